--- a/bench/capacity/hollow/owners.py
+++ b/bench/capacity/hollow/owners.py
@@ -70,7 +70,7 @@
     def _hear(self, connection: Connection, message: m.Message) -> None:
         self.placed += isinstance(message, m.Placed)
         self.ended += isinstance(message, m.GuestEnded)
-        if isinstance(message, m.Rejected | m.TurnedBack | m.BrokenOff):
+        if isinstance(message, m.Rejected | m.GuestRefused | m.GuestFailed):
             self.refused += 1
             why = message.code if isinstance(message, m.Rejected) else message.reason
             self.process.reasons[f"{message.__struct_config__.tag} {why}"] += 1
--- a/bench/capacity/hollow/worker.py
+++ b/bench/capacity/hollow/worker.py
@@ -55,8 +55,8 @@
             self._offered(now, planner, message)
         elif isinstance(message, m.Probe):
             self._say(planner, m.Report(number=message.number, load=self._load()))
-        elif isinstance(message, m.Roll):
-            self._say(planner, m.Running(guests=self._stands(planner)))
+        elif isinstance(message, m.InventoryRequest):
+            self._say(planner, m.Inventory(guests=self._stands(planner)))
         elif isinstance(message, m.Stop):
             self._stopped(planner, message)
         elif isinstance(message, m.Withdraw):
@@ -77,7 +77,7 @@
         key = (planner, offer.guest, offer.ask)
         known = key in self.running
         self.running[key] = offer
-        self._say(planner, m.Taken(**named(offer), load=self._load()))
+        self._say(planner, m.OfferAccepted(**named(offer), load=self._load()))
         if known:
             return
         self._say(planner, m.Started(**named(offer)))
@@ -93,7 +93,7 @@
     def _withdrawn(self, planner: str, message: m.Withdraw) -> None:
         key = (planner, message.guest, message.ask)
         if key in self.running:  # accepted already: it stands
-            self._say(planner, m.Taken(**named(message), load=self._load()))
+            self._say(planner, m.OfferAccepted(**named(message), load=self._load()))
             return
         how = self.ended[key][1] if key in self.ended else "withdrawn"
         self._say(planner, m.Ended(**named(message), how=how))
@@ -105,7 +105,7 @@
             del self.ended[next(iter(self.ended))]
         self._say(key[0], m.Ended(**named(offer), how=how, load=self._load()))
 
-    def _stands(self, planner: str) -> list[m.Stand]:
+    def _stands(self, planner: str) -> list[m.InventoryItem]:
         stands = [stand(offer, "runs") for key, offer in self.running.items() if key[0] == planner]
         stands += [
             stand(offer, "ended", how) for key, (offer, how) in self.ended.items() if key[0] == planner
@@ -117,8 +117,8 @@
         memory = sum(offer.memory for offer in self.running.values())
         return m.Load(cores_free=24.0 - cores, memory_free=41.0 - memory, busy=min(1.0, cores / 24.0))
 
-    def _use(self, offer: m.Offer) -> m.Use:
-        return m.Use(**named(offer), cores=offer.cores, memory=offer.memory)
+    def _use(self, offer: m.Offer) -> m.ResourceUse:
+        return m.ResourceUse(**named(offer), cores=offer.cores, memory=offer.memory)
 
     def _say(self, planner: str, message: m.Message) -> None:
         self.answers.append(Answer(planner, message))
@@ -127,13 +127,13 @@
         self.dues.append(Due(at, self.incarnation, key, what))
 
 
-def named(about: m.Offered) -> dict[str, str | int]:
+def named(about: m.DispatchMessage) -> dict[str, str | int]:
     """The fields by which a message names one dispatch."""
     return {"guest": about.guest, "ask": about.ask, "attempt": about.attempt}
 
 
-def stand(offer: m.Offer, state: str, how: str = "") -> m.Stand:
-    return m.Stand(
+def stand(offer: m.Offer, state: str, how: str = "") -> m.InventoryItem:
+    return m.InventoryItem(
         guest=offer.guest,
         ask=offer.ask,
         attempt=offer.attempt,
--- a/bench/capacity/hollow/workers.py
+++ b/bench/capacity/hollow/workers.py
@@ -96,7 +96,7 @@
             return
         self.worker.hear(now_us(), connection.peer, message)
         self.deliver()
-        if isinstance(message, m.Roll):
+        if isinstance(message, m.InventoryRequest):
             self.ready.add(connection.peer)
 
     def _greet(self, connection: Connection) -> None:
@@ -141,7 +141,7 @@
         stream = socket.create_connection((host, int(port)), timeout=10)
         self.lister = Connection(self.loop, stream, LIST_CODEC, lambda connection, message: None)
         self.lister.send(m.Hello(role="machine", name=f"workers-{settings.first}"))
-        self.lister.send(m.Enlist(entries=[place.entry() for place in self.places]))
+        self.lister.send(m.RegisterMachines(entries=[place.entry() for place in self.places]))
 
     def obey(self, command: Command) -> Counts:
         if isinstance(command, Restart):
@@ -177,7 +177,7 @@
             place.come_up()
         self.restarts += len(struck)
         if struck:
-            self.lister.send(m.Enlist(entries=[place.entry() for place in struck]))
+            self.lister.send(m.RegisterMachines(entries=[place.entry() for place in struck]))
 
 
 def host_of(number: int) -> str:
--- a/bench/capacity/outage.py
+++ b/bench/capacity/outage.py
@@ -23,10 +23,10 @@
 HELLO_BYTES = len(m.encode(m.Hello(role="planner", name="planner-000")))
 
 
-def stand(number: int) -> m.Stand:
+def stand(number: int) -> m.InventoryItem:
     """How the worker tells of its one task of this planner."""
     service, cores, memory = throughput.shape(number)
-    return m.Stand(
+    return m.InventoryItem(
         guest=f"task-{number:08d}",
         ask=0,
         attempt=0,
@@ -90,7 +90,7 @@
         """Tasks that stand on workers."""
         return sum(case.placed for case in self.engine.cases.values())
 
-    def _answer(self, name: str, stands: list[m.Stand]) -> None:
+    def _answer(self, name: str, stands: list[m.InventoryItem]) -> None:
         """The worker takes a connection: hello, welcome, roll call, what it has."""
         if name not in self.engine.links or self.engine.links[name].state != "dialling":
             return
@@ -98,7 +98,7 @@
             self._call(self.engine.link_up, name)
             return
         welcome = m.Welcome(name=name, incarnation=self.lives.get(name, 1), up_for=SECOND)
-        running = m.Running(guests=stands)
+        running = m.Inventory(guests=stands)
         self.counts["messages"] += 3
         self.counts["bytes"] += HELLO_BYTES + len(m.encode(welcome)) + len(m.encode(running))
         self._call(self.engine.link_up, name, welcome)
@@ -120,7 +120,7 @@
                 self.counts["bytes"] += len(m.encode(action.message))
                 if isinstance(action.message, m.Offer) and action.peer not in self.dead:
                     said = action.message
-                    taken = m.Taken(guest=said.guest, ask=said.ask, attempt=said.attempt)
+                    taken = m.OfferAccepted(guest=said.guest, ask=said.ask, attempt=said.attempt)
                     self._call(self.engine.machine_said, action.peer, taken)
             elif isinstance(action, Send) and isinstance(action.message, m.GuestEnded):
                 self.lost_at.append(self.now)
--- a/bench/capacity/rows_client.py
+++ b/bench/capacity/rows_client.py
@@ -69,7 +69,7 @@
             patience=60 * SECOND,
         )
         m.encode(submit)
-        heard(core, now, m.Held(guest=wanted.guest))
+        heard(core, now, m.Acknowledged(guest=wanted.guest))
         heard(core, now, m.Placed(guest=wanted.guest, machine="worker-00001"))
         heard(core, now, m.GuestEnded(guest=wanted.guest, how="done"))
         core.advance(now)
--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -142,7 +142,7 @@
         for number in range(size):
             name = workers.name(number)
             made.link_up(0, name, m.Welcome(name=name, incarnation=1))
-            made.machine_said(0, name, m.Running(guests=[]))
+            made.machine_said(0, name, m.Inventory(guests=[]))
         made.actions.clear()
         return made
 
--- a/bench/capture.py
+++ b/bench/capture.py
@@ -40,7 +40,7 @@
                 life=10_000_000,
             )
         )
-        + m.encode(m.Taken(guest=f"guest-{n}"))
+        + m.encode(m.OfferAccepted(guest=f"guest-{n}"))
         for n in range(1000)
     ]
     at, number, seq = 1_790_000_000_000_000, 0, [1] * streams
--- a/bench/client.py
+++ b/bench/client.py
@@ -33,7 +33,7 @@
     for number in range(guests):
         now, name = number * 1000, f"g{number}"
         core.submit(now, TaskRequest(name, "plain", "s", 1.0, 1.0, 5 * SECOND, "rerunnable"))
-        core.said(now, "p", m.Held(guest=name))
+        core.said(now, "p", m.Acknowledged(guest=name))
         core.said(now, "p", m.Placed(guest=name, machine="m"))
         core.said(now, "p", m.GuestEnded(guest=name, how="done"))
         core.advance(now)
@@ -46,7 +46,7 @@
             m.Submit(guest=name, product="plain", service="s", cores=1.0, memory=1.0, patience=5 * SECOND)
         )
         for said in (
-            m.Held(guest=name),
+            m.Acknowledged(guest=name),
             m.Placed(guest=name, machine="m"),
             m.GuestEnded(guest=name, how="done"),
         ):
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -178,14 +178,14 @@
         return await self.net.listen(f"{host}:0", listing, nursery)
 
     def _said(self, wire: Wire, said: m.Message) -> None:
-        if isinstance(said, m.Roll):
-            wire.send(m.Running(guests=[]))
+        if isinstance(said, m.InventoryRequest):
+            wire.send(m.Inventory(guests=[]))
         elif isinstance(said, m.Offer):
             about = {"guest": said.guest, "ask": said.ask, "attempt": said.attempt}
-            wire.send(m.Taken(**about))
+            wire.send(m.OfferAccepted(**about))
             wire.send(m.Started(**about))
             wire.send(
-                m.Use(
+                m.ResourceUse(
                     **about,
                     cores=said.cores * self.random.uniform(0.3, 1),
                     memory=said.memory * self.random.uniform(0.3, 1),
@@ -242,7 +242,7 @@
                 ask()
             async for said in wire.messages():
                 if not isinstance(said, m.Placed):
-                    assert isinstance(said, m.Held | m.GuestEnded), said
+                    assert isinstance(said, m.Acknowledged | m.GuestEnded), said
                     continue
                 placed += 1
                 if note:
@@ -327,17 +327,17 @@
 
 def tell_running(engine: Engine, count: int) -> None:
     """Each machine answers the roll call with its part of the running requests."""
-    stands: dict[int, list[m.Stand]] = {}
+    stands: dict[int, list[m.InventoryItem]] = {}
     for number in range(count):
         stands.setdefault(number % MEMORY_MACHINES, []).append(running_stand(number))
     for number, found in stands.items():
         engine.link_up(0, f"m{number}", m.Welcome(name=f"m{number}", incarnation=1))
-        engine.machine_said(0, f"m{number}", m.Running(guests=found))
+        engine.machine_said(0, f"m{number}", m.Inventory(guests=found))
 
 
-def running_stand(number: int) -> m.Stand:
+def running_stand(number: int) -> m.InventoryItem:
     service, cores, memory_used = shape(number)
-    return m.Stand(
+    return m.InventoryItem(
         guest=f"g{number}",
         ask=0,
         attempt=0,
--- a/hazelhold/capture/load.py
+++ b/hazelhold/capture/load.py
@@ -53,7 +53,7 @@
     async def listen(wire: Wire) -> None:
         try:
             async for said in wire.messages():
-                if isinstance(said, m.Placed | m.TurnedBack | m.BrokenOff | m.Rejected):
+                if isinstance(said, m.Placed | m.GuestRefused | m.GuestFailed | m.Rejected):
                     counts[said.__struct_config__.tag] += 1
                     open_asks.discard((said.guest, said.ask))
                 elif isinstance(said, m.GuestEnded):
--- a/hazelhold/client/core.py
+++ b/hazelhold/client/core.py
@@ -203,7 +203,7 @@
 
     def said(self, now: int, planner: str, message: m.Message) -> None:
         self.mute_since.pop(planner, None)
-        task = self.pending.get(message.guest) if isinstance(message, m.Named) else None
+        task = self.pending.get(message.guest) if isinstance(message, m.GuestMessage) else None
         if task is None or task.planner != planner:
             return
         if isinstance(message, m.State):
@@ -212,13 +212,13 @@
             self._finish(task, message.how, message.machine)
         elif message.ask != task.ask:
             self.counts["late_answers"] += 1
-        elif isinstance(message, m.Held):
+        elif isinstance(message, m.Acknowledged):
             self.throttles[planner].told(now, True)
         elif isinstance(message, m.Placed):
             self._placed(now, task, message.machine)
         elif task.state not in ("asked", "doubt"):
             return
-        elif isinstance(message, m.TurnedBack):
+        elif isinstance(message, m.GuestRefused):
             self.choice.answered(planner, now - task.sent_at, False, now)
             self._retry(now, task, "turned_back", message.again_after)
         elif isinstance(message, m.Rejected):
@@ -228,7 +228,7 @@
                 self._retry(now, task, "rejected", message.again_after)
             else:
                 self._finish(task, "rejected", reason=message.code)
-        elif isinstance(message, m.BrokenOff):
+        elif isinstance(message, m.GuestFailed):
             self.choice.answered(planner, now - task.sent_at, False, now)
             self._may_have_run(now, task, "broken_off")
 
--- a/hazelhold/emulate/town.py
+++ b/hazelhold/emulate/town.py
@@ -72,8 +72,10 @@
         self.town, self.config, self.costs = town, config, costs
         self.clock = town.clock
         self.names = [f"m{n:03d}" for n in range(machines)]
-        self.stands: dict[str, dict[tuple[str, int], m.Stand]] = {n: {} for n in self.names}
-        self.missed: dict[str, list[m.Stand]] = {n: [] for n in self.names}  # ends that no planner heard
+        self.stands: dict[str, dict[tuple[str, int], m.InventoryItem]] = {n: {} for n in self.names}
+        self.missed: dict[str, list[m.InventoryItem]] = {
+            n: [] for n in self.names
+        }  # ends that no planner heard
         self.life = 0
         self.up = False
 
@@ -224,12 +226,12 @@
     def _machine(self, name: str, said: m.Message) -> None:
         """A machine: takes what it is offered, tells what it has, ends what it is told to stop."""
         here = self.stands[name]
-        if isinstance(said, m.Roll):
+        if isinstance(said, m.InventoryRequest):
             missed, self.missed[name] = self.missed[name], []
-            self._later(("machine", name, m.Running(guests=[*here.values(), *missed])))
+            self._later(("machine", name, m.Inventory(guests=[*here.values(), *missed])))
         elif isinstance(said, m.Offer):
             key = said.guest, said.ask
-            here[key] = m.Stand(
+            here[key] = m.InventoryItem(
                 guest=said.guest,
                 ask=said.ask,
                 attempt=said.attempt,
@@ -242,7 +244,7 @@
             )
             self.town.counts["runs"] += 1
             self.clock.at(self.clock.now + said.life, self._over, name, key)
-            for kind in (m.Taken, m.Started):
+            for kind in (m.OfferAccepted, m.Started):
                 self._later(("machine", name, kind(guest=said.guest, ask=said.ask, attempt=said.attempt)))
         elif isinstance(said, m.Stop):
             self._over(name, (said.guest, said.ask))
--- a/hazelhold/engine/cases.py
+++ b/hazelhold/engine/cases.py
@@ -67,7 +67,7 @@
     ask: int  # the ask that machines hear of
     owner: str
     product: int
-    submit: m.Submit | m.Stand
+    submit: m.Submit | m.InventoryItem
     asks: dict[int, None] = field(default_factory=dict)  # asks that await an answer; emptied by it
     attempt: int = -1
     machine: str = ""  # where a dispatch is out, or where it runs
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -56,7 +56,7 @@
         self._answer(
             now,
             case,
-            m.TurnedBack(guest=case.guest, ask=case.ask, reason=reason, again_after=later),
+            m.GuestRefused(guest=case.guest, ask=case.ask, reason=reason, again_after=later),
             case.asks,
         )
         self._forget(case)
@@ -78,7 +78,7 @@
                     owner, m.GuestEnded(guest=guest, ask=ask, how=claim.how, machine=claim.machine)
                 )
         else:
-            said = m.BrokenOff(guest=guest, ask=ask, reason="claimed", planner=who)
+            said = m.GuestFailed(guest=guest, ask=ask, reason="claimed", planner=who)
             self._answer(now, case, said, case.asks)
         self._forget(case)
 
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -138,11 +138,11 @@
         if (loose := self.loose.get(guest, {}).get(machine)) and up:
             self._send_machine(machine, m.Stop(guest=guest, ask=loose.case.ask, attempt=loose.attempt))
 
-    def _final(self, now: int, case: Case, message: m.TurnedBack | m.BrokenOff) -> None:
+    def _final(self, now: int, case: Case, message: m.GuestRefused | m.GuestFailed) -> None:
         """A final answer; a dispatch that is still out becomes a loose one."""
         if (
             self.claims is not None
-            and isinstance(message, m.TurnedBack)
+            and isinstance(message, m.GuestRefused)
             and not case.unsure
             and not (case.machine and case.sent)
             and not self.loose.get(case.guest)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -162,12 +162,12 @@
             why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if case.cancelled else self._later(now, case.guest, span)
             self._final(
-                now, case, m.TurnedBack(guest=case.guest, ask=case.ask, reason=why, again_after=later)
+                now, case, m.GuestRefused(guest=case.guest, ask=case.ask, reason=why, again_after=later)
             )
         elif step is Step.BREAK_OFF:
             case = self.cases[name]
             why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
-            self._final(now, case, m.BrokenOff(guest=case.guest, ask=case.ask, reason=why))
+            self._final(now, case, m.GuestFailed(guest=case.guest, ask=case.ask, reason=why))
         elif step is Step.CALL_OFF:
             self._call_off(now, name, machine)
         elif step is Step.PROBE:
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -28,7 +28,7 @@
 )
 from hazelhold.state.ledger import Ledger
 
-ANSWERS = msgspec.msgpack.Decoder(m.Placed | m.TurnedBack | m.BrokenOff)
+ANSWERS = msgspec.msgpack.Decoder(m.Placed | m.GuestRefused | m.GuestFailed)
 
 
 class Keeping:
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -60,7 +60,7 @@
         link.roll_due = now + micros(self.limits.reconnect_ms)
         link.before, link.incarnation = link.incarnation, welcome.incarnation
         link.used_at = now
-        self._send_machine(machine, m.Roll())
+        self._send_machine(machine, m.InventoryRequest())
 
     def _opened(self, now: int, link: Link) -> None:
         """A connection stands to a machine that tells nothing of what it holds."""
@@ -132,7 +132,7 @@
         link.heard_at, link.unanswered = now, 0
         if not self.peers.rolls:
             link.lost_at = 0
-        if isinstance(message, m.Running):
+        if isinstance(message, m.Inventory):
             self._rolled(now, link, message)
             return
         if isinstance(message, m.Report):
@@ -141,10 +141,10 @@
                 self._tested(now, link, message.well)
                 self._probe_over(now, machine, message.well)
             return
-        if isinstance(message, m.Pressed):
+        if isinstance(message, m.MemoryPressure):
             self.brain.memory_pressed(now, machine, message.share)
             return
-        if not isinstance(message, m.Offered):
+        if not isinstance(message, m.DispatchMessage):
             return
         if (report := getattr(message, "load", None)) is not None:
             self.brain.machine_reported(now, machine, load(report))
@@ -163,13 +163,18 @@
                 return
         self._heard_loose(now, machine, message)
 
-    def _heard(self, now: int, case: Case, message: m.Offered) -> None:
+    def _heard(self, now: int, case: Case, message: m.DispatchMessage) -> None:
         """News of the dispatch that is out, or of the placed guest."""
         case.spoken_at = now
-        if isinstance(message, m.Taken) and not case.placed and case.called_off and not self.peers.rolls:
+        if (
+            isinstance(message, m.OfferAccepted)
+            and not case.placed
+            and case.called_off
+            and not self.peers.rolls
+        ):
             # The taking back ends what was taken, and no word follows that an owner could be told.
             self._ended(now, case, Ending.CALLED_OFF, Remark.NONE)
-        elif isinstance(message, m.Taken) and not case.placed:
+        elif isinstance(message, m.OfferAccepted) and not case.placed:
             case.placed = True
             self._mark("guest", case.name)
             self._fact(now, case, "placed")
@@ -189,17 +194,17 @@
             )
             if case.sent_unconfirmed and (link := self.links.get(case.machine)) and link.heir:
                 self._move_task(now, case, link.heir)
-        elif isinstance(message, m.Refused) and not case.placed:
+        elif isinstance(message, m.OfferRefused) and not case.placed:
             self.counts["refused_" + message.remark[:20]] += 1
             self._ended(now, case, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
         elif isinstance(message, m.Started):
             self.brain.guest_runs(now, case.name)
-        elif isinstance(message, m.Use):
+        elif isinstance(message, m.ResourceUse):
             if message.cores is not None:
                 self.brain.cores_used(now, case.name, message.cores)
             if message.memory is not None:
                 self.brain.memory_used(now, case.name, message.memory)
-        elif isinstance(message, m.Served):
+        elif isinstance(message, m.ServiceLevel):
             self.brain.guest_served(now, case.name, message.share)
         elif isinstance(message, m.Ended):
             ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
@@ -225,7 +230,7 @@
         self._mark("guest", case.name)
         self.brain.guest_cancelled(now, case.name)
 
-    def _heard_loose(self, now: int, machine: str, message: m.Offered) -> None:
+    def _heard_loose(self, now: int, machine: str, message: m.DispatchMessage) -> None:
         """News of a dispatch that was given up."""
         loose = self.loose.get(message.guest, {}).get(machine)
         if loose is None or loose.case.ask != message.ask:
@@ -236,17 +241,20 @@
                     self._send_owner(stand.owner, told)
                 return
             self.counts["stray_messages"] += 1
-            if self.peers.tells_use and isinstance(message, m.Started | m.Use | m.Served):
+            if self.peers.tells_use and isinstance(message, m.Started | m.ResourceUse | m.ServiceLevel):
                 self._spoke_of_unknown(machine, message.guest)
             if isinstance(message, m.Ended) and not self.peers.asks_again:
                 self._keep_end(now, message.guest, message.how)
             return
-        if isinstance(message, m.Refused | m.Ended):
+        if isinstance(message, m.OfferRefused | m.Ended):
             self._settled(message.guest, machine)
-        elif isinstance(message, m.Taken | m.Started | m.Use | m.Served) and not loose.stands:
+        elif (
+            isinstance(message, m.OfferAccepted | m.Started | m.ResourceUse | m.ServiceLevel)
+            and not loose.stands
+        ):
             self._stands(now, loose)
 
-    def _rolled(self, now: int, link: Link, running: m.Running) -> None:
+    def _rolled(self, now: int, link: Link, running: m.Inventory) -> None:
         """What a machine has of ours, against what is thought to be there."""
         self.unheard.discard(link.machine)
         if link.rolled:  # nobody asked: it cannot tell what is on its way there
@@ -264,7 +272,7 @@
                 self._call_off(now, name, link.machine)
             if stand and stand.state == "ended":
                 if not case.placed and stand.how != "withdrawn":  # accepted while nobody listened
-                    self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
+                    self._heard(now, case, m.OfferAccepted(guest=case.guest, ask=case.ask))
                 self._heard(now, case, m.Ended(guest=case.guest, ask=case.ask, how=stand.how))
             elif (
                 stand
@@ -272,7 +280,7 @@
                 and not case.placed
                 and not (stand.state == "accepted" and self.facts.confirms_running)
             ):
-                self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
+                self._heard(now, case, m.OfferAccepted(guest=case.guest, ask=case.ask))
             if stand and stand.state == "runs":
                 self.brain.guest_runs(now, name)
             if stand is None and case.placed:
@@ -318,7 +326,7 @@
             case.claim = case.sent_claim = b""
         self._ended(now, case, Ending.NOT_SENT, Remark.NONE)
 
-    def _found(self, now: int, link: Link, stand: m.Stand) -> None:
+    def _found(self, now: int, link: Link, stand: m.InventoryItem) -> None:
         """A guest of ours that runs and that this planner does not know: from before its start."""
         if stand.product not in self.products:
             self.counts["found_unknown_product"] += 1
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -43,7 +43,7 @@
                 self._answer(now, case, m.Placed(guest=guest, ask=ask, machine=case.machine), [ask])
             else:
                 case.asks[ask] = None
-                self._send_owner(owner, m.Held(guest=guest, ask=ask))
+                self._send_owner(owner, m.Acknowledged(guest=guest, ask=ask))
             return
         if past := self.answers.get((guest, ask)):
             self.counts["answers_repeated"] += 1
@@ -65,7 +65,7 @@
         self.counts["taken"] += 1
         self._mark("guest", case.name)
         if self.peers.hears_held:
-            self._send_owner(owner, m.Held(guest=guest, ask=ask))
+            self._send_owner(owner, m.Acknowledged(guest=guest, ask=ask))
         earlier = self._earlier(now, submit, old)
         case.unsure = earlier.machine if earlier else ""
         self.brain.guest_arrived(now, self._ask(case, submit.patience, earlier))
@@ -258,7 +258,7 @@
         """Whether guests can be placed: some machine of the list takes them."""
         return not self.stopping and any(f.mode is Mode.READY for f in self.roster.fellows.values())
 
-    def _state(self, message: m.Named) -> m.State:
+    def _state(self, message: m.GuestMessage) -> m.State:
         guest, ask = message.guest, message.ask
         case = self.newest.get(guest)
         if case and case.placed:
--- a/hazelhold/model/machine.py
+++ b/hazelhold/model/machine.py
@@ -21,15 +21,15 @@
     ProductBehaviour,
 )
 from hazelhold.protocol.messages import (
+    DispatchMessage,
     Ended,
+    Inventory,
+    InventoryItem,
+    MemoryPressure,
     Offer,
-    Offered,
-    Pressed,
+    OfferAccepted,
     Probe,
-    Running,
-    Served,
-    Stand,
-    Taken,
+    ServiceLevel,
 )
 
 __all__ = ["MachineProfile", "MachineFaults", "HostedTask", "Machine", "ProductBehaviour"]
@@ -50,7 +50,7 @@
         if known := self.tasks.get(key):  # another dispatch of what it has: no second start
             known.offer = offer
             if known.taken:
-                self._say(planner, Taken(guest=offer.guest, ask=offer.ask, attempt=offer.attempt))
+                self._say(planner, OfferAccepted(guest=offer.guest, ask=offer.ask, attempt=offer.attempt))
             return
         for at, (who, waits, _) in enumerate(self.line):
             if isinstance(waits, Offer) and (who, waits.guest, waits.ask) == key:
@@ -67,7 +67,7 @@
         if self._hears():
             self._queue(now, planner, probe)
 
-    def withdrawn(self, now: int, planner: str, message: Offered) -> None:
+    def withdrawn(self, now: int, planner: str, message: DispatchMessage) -> None:
         """Hands back what still waits; what was accepted stands, and says so once more."""
         if not self._hears():
             return
@@ -81,7 +81,7 @@
                 return
         if (known := self.tasks.get(key)) and known.taken:
             offer = known.offer
-            self._say(planner, Taken(guest=offer.guest, ask=offer.ask, attempt=message.attempt))
+            self._say(planner, OfferAccepted(guest=offer.guest, ask=offer.ask, attempt=message.attempt))
         elif known:  # accepted, not yet running where only running is confirmed: it can still be handed back
             self._remove(known, now)
             self._end(key, known.offer, "withdrawn", known)
@@ -94,7 +94,7 @@
                 planner, Ended(guest=message.guest, ask=message.ask, attempt=message.attempt, how="withdrawn")
             )
 
-    def stopped(self, now: int, planner: str, message: Offered) -> None:
+    def stopped(self, now: int, planner: str, message: DispatchMessage) -> None:
         if self._hears() and (known := self.tasks.get((planner, message.guest, message.ask))):
             self._remove(known, now)
             self._end(known.key, known.offer, "stopped", known)
@@ -118,10 +118,10 @@
             for key, (offer, how, _) in self.ended.items()
             if key[0] == planner
         ]
-        self.out.append((planner, Running(guests=stands, complete=now - self.forgotten_at >= 60 * SECOND)))
+        self.out.append((planner, Inventory(guests=stands, complete=now - self.forgotten_at >= 60 * SECOND)))
 
-    def _stand(self, offer: Offer, state: str, how: str = "") -> Stand:
-        return Stand(
+    def _stand(self, offer: Offer, state: str, how: str = "") -> InventoryItem:
+        return InventoryItem(
             guest=offer.guest,
             ask=offer.ask,
             attempt=offer.attempt,
@@ -182,10 +182,11 @@
             if guest.share < 0.95:
                 offer = guest.offer
                 self._tell(
-                    guest, Served(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, share=guest.share)
+                    guest,
+                    ServiceLevel(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, share=guest.share),
                 )
             if used > 0.85:
-                self._say(planner, Pressed(share=used))
+                self._say(planner, MemoryPressure(share=used))
         self._at(now + SECOND, "notes")
 
     def _do_send_away(self, now: int, key: Key | None) -> None:
--- a/hazelhold/model/machine_admission.py
+++ b/hazelhold/model/machine_admission.py
@@ -4,7 +4,7 @@
 
 from hazelhold.model.machine_tasks import MachineTasks
 from hazelhold.model.machine_types import HostedTask, Key
-from hazelhold.protocol.messages import Offer, Probe, Report, Taken
+from hazelhold.protocol.messages import Offer, OfferAccepted, Probe, Report
 
 
 class MachineAdmission(MachineTasks):
@@ -69,7 +69,8 @@
         if not profile.confirms_running and not guest.fails:
             guest.taken = True
             self._say(
-                planner, Taken(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, load=self._shown())
+                planner,
+                OfferAccepted(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, load=self._shown()),
             )
         self.waiting.append(guest)
         self._start_next(now)
--- a/hazelhold/model/machine_state.py
+++ b/hazelhold/model/machine_state.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from hazelhold.model.machine_types import SECOND, HostedTask, Key, MachineFaults, MachineProfile
-from hazelhold.protocol.messages import Ended, Load, Message, Offer, Probe, Refused, Taken
+from hazelhold.protocol.messages import Ended, Load, Message, Offer, OfferAccepted, OfferRefused, Probe
 
 
 class MachineState:
@@ -79,7 +79,7 @@
     def _say(self, planner: str, message: Message) -> None:
         if self.faults.silent:
             return
-        if self.faults.lost_answers and isinstance(message, Taken | Refused | Ended):
+        if self.faults.lost_answers and isinstance(message, OfferAccepted | OfferRefused | Ended):
             if self.random.random() < self.faults.lost_answers:
                 self.counts["answers_lost"] += 1
                 return
--- a/hazelhold/model/machine_tasks.py
+++ b/hazelhold/model/machine_tasks.py
@@ -4,7 +4,7 @@
 
 from hazelhold.model.machine_state import MachineState
 from hazelhold.model.machine_types import SECOND, HostedTask, Key
-from hazelhold.protocol.messages import Ended, Offer, Refused, Started, Taken, Use
+from hazelhold.protocol.messages import Ended, Offer, OfferAccepted, OfferRefused, ResourceUse, Started
 
 
 class MachineTasks(MachineState):
@@ -39,7 +39,8 @@
         if self.profile.confirms_running:
             hosted.taken = True
             self._say(
-                key[0], Taken(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, load=self._shown())
+                key[0],
+                OfferAccepted(guest=offer.guest, ask=offer.ask, attempt=offer.attempt, load=self._shown()),
             )
         else:
             self._tell(hosted, Started(guest=offer.guest, ask=offer.ask, attempt=offer.attempt))
@@ -68,7 +69,7 @@
         hosted.memory = offer.memory * min(1.6, behaviour.memory_use * level**0.5)
         self._tell(
             hosted,
-            Use(
+            ResourceUse(
                 guest=offer.guest,
                 ask=offer.ask,
                 attempt=offer.attempt,
@@ -142,7 +143,7 @@
         self.counts["refused_" + remark] += 1
         self._say(
             planner,
-            Refused(
+            OfferRefused(
                 guest=offer.guest, ask=offer.ask, attempt=offer.attempt, remark=remark, load=self._shown()
             ),
         )
--- a/hazelhold/model/owners.py
+++ b/hazelhold/model/owners.py
@@ -102,7 +102,7 @@
                 self._later(now, wanted, int(self.random.uniform(0.05, 0.5) * SECOND))
 
     def said(self, now: int, planner: str, message: m.Message) -> None:
-        wanted = self.guests.get(message.guest) if isinstance(message, m.Named) else None
+        wanted = self.guests.get(message.guest) if isinstance(message, m.GuestMessage) else None
         if wanted is None or wanted.planner != planner:
             return
         if isinstance(message, m.State):
@@ -114,11 +114,11 @@
             wanted.state, wanted.fails = "placed", 0
             if now >= wanted.until:
                 self._forget(wanted)
-        elif isinstance(message, m.TurnedBack | m.Rejected):
+        elif isinstance(message, m.GuestRefused | m.Rejected):
             self.counts["turned_back"] += 1
             wanted.reason = "turned_back"
             self._failed(now, wanted, getattr(message, "again_after", 0))
-        elif isinstance(message, m.BrokenOff):
+        elif isinstance(message, m.GuestFailed):
             self.counts["broken_off"] += 1
             wanted.reason = "broken_off"
             self._unsure(now, wanted)
--- a/hazelhold/platform/words.py
+++ b/hazelhold/platform/words.py
@@ -117,10 +117,10 @@
     """What an owner is told; None for what this protocol has no word for."""
     if isinstance(message, m.Placed):
         return BinaryMessage(ANSWER, message.guest, {DESCRIPTION: message.description})
-    if isinstance(message, m.TurnedBack):
+    if isinstance(message, m.GuestRefused):
         more = {WAIT: str(message.again_after // 1000).encode()} if message.again_after else {}
         return released(message.guest, FULL, more)
-    if isinstance(message, m.BrokenOff):
+    if isinstance(message, m.GuestFailed):
         return released(message.guest, RESET)
     if isinstance(message, m.Rejected):
         return released(message.guest, FULL if message.code in ("full", "stopping") else ERROR)
@@ -165,7 +165,7 @@
     if line.op == "accept":
         if line.desc is None:
             raise CodecError("no_description", "an answer without a description")
-        return m.Taken(guest=line.call, load=load(line), description=line.desc.encode())
+        return m.OfferAccepted(guest=line.call, load=load(line), description=line.desc.encode())
     if line.op == "end":
         return ended(line, placed)
     if line.op == "tested":
@@ -179,7 +179,7 @@
     told = line.text("note")
     if not placed:
         if line.why == FULL:
-            return m.Refused(guest=line.call, remark=REMARKS.get(told, ""), load=load(line))
+            return m.OfferRefused(guest=line.call, remark=REMARKS.get(told, ""), load=load(line))
         # A machine can end in these words only what it had accepted: its answer is still on its way.
         accepted = "done" if line.why == OK else HOWS.get(told, "cut") if line.why == RESET else "cut"
         how = {ERROR: "error", MOOT: "not_sent"}.get(line.why, accepted)
@@ -203,13 +203,13 @@
     if not sound(value):
         return None
     if told == "cpu":
-        return m.Use(guest=line.call, cores=value)
+        return m.ResourceUse(guest=line.call, cores=value)
     if told == "mem":
-        return m.Use(guest=line.call, memory=value)
+        return m.ResourceUse(guest=line.call, memory=value)
     if told == "share":
-        return m.Served(guest=line.call, share=value)
+        return m.ServiceLevel(guest=line.call, share=value)
     if told == "tight":
-        return m.Pressed(share=value)
+        return m.MemoryPressure(share=value)
     return None
 
 
--- a/hazelhold/protocol/messages.py
+++ b/hazelhold/protocol/messages.py
@@ -25,14 +25,14 @@
     """What all messages have in common: their type stands in the field `t`."""
 
 
-class Named(Message, kw_only=True):
+class GuestMessage(Message, kw_only=True):
     """A message about one ask of one guest: `ask` counts the times that its owner has asked, from 0."""
 
     guest: Id
     ask: Count = 0
 
 
-class Offered(Named, kw_only=True):
+class DispatchMessage(GuestMessage, kw_only=True):
     """A message about one dispatch of a guest; `attempt` counts the dispatches of this ask, from 0."""
 
     attempt: Count = 0
@@ -86,7 +86,7 @@
 # Owners and planners.
 
 
-class Submit(Named, tag="submit", kw_only=True):
+class Submit(GuestMessage, tag="submit", kw_only=True):
     """Asks for a guest to be placed within `patience`; `life` is how long it will still run."""
 
     product: Id
@@ -102,22 +102,22 @@
     ticket: str = ""  # the mark by which machines know a repeat of a ticketed guest
 
 
-class Cancel(Named, tag="cancel", kw_only=True):
+class Cancel(GuestMessage, tag="cancel", kw_only=True):
     """The owner no longer wants the guest, wherever it is."""
 
 
-class Query(Named, tag="query", kw_only=True):
+class Query(GuestMessage, tag="query", kw_only=True):
     """Asks how things stand with a guest. Who names a product whose guests may run twice spares the planners
     a look at what is agreed."""
 
     product: str = ""
 
 
-class Held(Named, tag="held", kw_only=True):
+class Acknowledged(GuestMessage, tag="held", kw_only=True):
     """The planner has taken the ask."""
 
 
-class Rejected(Named, tag="rejected", kw_only=True):
+class Rejected(GuestMessage, tag="rejected", kw_only=True):
     """The planner has not taken the ask: it is malformed, or the planner is full or stopping."""
 
     code: str
@@ -125,7 +125,7 @@
     again_after: Span = 0
 
 
-class Placed(Named, tag="placed", kw_only=True):
+class Placed(GuestMessage, tag="placed", kw_only=True):
     """Final answer: the guest was accepted by a machine, or runs there."""
 
     machine: Id
@@ -133,28 +133,28 @@
     planner: str = ""  # who has it, if another
 
 
-class TurnedBack(Named, tag="turned_back", kw_only=True):
+class GuestRefused(GuestMessage, tag="turned_back", kw_only=True):
     """Final answer: no, and trying again is harmless."""
 
     reason: str = ""
     again_after: Span = 0
 
 
-class BrokenOff(Named, tag="broken_off", kw_only=True):
+class GuestFailed(GuestMessage, tag="broken_off", kw_only=True):
     """Final answer: failed, with no promise. `planner`: who has claimed it, and may know more."""
 
     reason: str = ""
     planner: str = ""
 
 
-class GuestEnded(Named, tag="guest_ended", kw_only=True):
+class GuestEnded(GuestMessage, tag="guest_ended", kw_only=True):
     """A placed guest's end: done, error, evicted, pushed_out, sent_away, stopped or lost."""
 
     how: str
     machine: str = ""
 
 
-class State(Named, tag="state", kw_only=True):
+class State(GuestMessage, tag="state", kw_only=True):
     """Answers a Query: held, out, running, turned_back, broken_off, ended or unknown."""
 
     state: str
@@ -166,7 +166,7 @@
 # Planners and machines.
 
 
-class Offer(Offered, tag="offer", kw_only=True):
+class Offer(DispatchMessage, tag="offer", kw_only=True):
     """Offers a guest to a machine, which answers Taken or Refused."""
 
     product: Id
@@ -181,11 +181,11 @@
     ticket: str = ""
 
 
-class Withdraw(Offered, tag="withdraw", kw_only=True):
+class Withdraw(DispatchMessage, tag="withdraw", kw_only=True):
     """Takes an offer back. Not yet accepted: handed back as Ended withdrawn. Accepted: it stands."""
 
 
-class Stop(Offered, tag="stop", kw_only=True):
+class Stop(DispatchMessage, tag="stop", kw_only=True):
     """Stops an accepted guest."""
 
 
@@ -195,48 +195,48 @@
     number: Count
 
 
-class Roll(Message, tag="roll", kw_only=True):
+class InventoryRequest(Message, tag="roll", kw_only=True):
     """Asks for all that the machine has of this planner; answered by Running."""
 
 
-class Taken(Offered, tag="taken", kw_only=True):
+class OfferAccepted(DispatchMessage, tag="taken", kw_only=True):
     """The machine accepted the guest, or it runs, as the deployment confirms."""
 
     load: Load | None = None
     description: bytes = b""
 
 
-class Refused(Offered, tag="refused", kw_only=True):
+class OfferRefused(DispatchMessage, tag="refused", kw_only=True):
     """The machine does not take the guest; it never ran."""
 
     remark: str  # no_cores, no_memory, line_full, not_here
     load: Load | None = None
 
 
-class Started(Offered, tag="started", kw_only=True):
+class Started(DispatchMessage, tag="started", kw_only=True):
     """The guest runs."""
 
 
-class Use(Offered, tag="use", kw_only=True):
+class ResourceUse(DispatchMessage, tag="use", kw_only=True):
     """What a running guest uses now; None where that is not told."""
 
     cores: Room | None = None
     memory: Room | None = None
 
 
-class Served(Offered, tag="served", kw_only=True):
+class ServiceLevel(DispatchMessage, tag="served", kw_only=True):
     """The share of full service that a guest gets."""
 
     share: Share
 
 
-class Pressed(Message, tag="pressed", kw_only=True):
+class MemoryPressure(Message, tag="pressed", kw_only=True):
     """The share of the machine's memory in use."""
 
     share: Share
 
 
-class Ended(Offered, tag="ended", kw_only=True):
+class Ended(DispatchMessage, tag="ended", kw_only=True):
     """The end of a guest: done, error, evicted, pushed_out, sent_away, stopped; or withdrawn: it never ran.
 
     `ran` and `served` are how long it ran, and how much full service that was worth.
@@ -256,7 +256,7 @@
     well: bool = True
 
 
-class Stand(Struct, omit_defaults=True):
+class InventoryItem(Struct, omit_defaults=True):
     """One guest in a Running: line, accepted, runs, or ended with how."""
 
     guest: Id
@@ -272,11 +272,11 @@
     how: str = ""
 
 
-class Running(Message, tag="running", kw_only=True):
+class Inventory(Message, tag="running", kw_only=True):
     """All that a machine has of a planner, with the ends that it may have missed. `complete` is false if some
     ends are forgotten; only a complete one proves that an offer never arrived."""
 
-    guests: list[Stand]
+    guests: list[InventoryItem]
     complete: bool = True
 
 
@@ -312,7 +312,7 @@
     entries: list[Entry]
 
 
-class Enlist(Message, tag="enlist", kw_only=True):
+class RegisterMachines(Message, tag="enlist", kw_only=True):
     """What machines, or whoever keeps them, tell the list service; with `rooms` only the rooms are news."""
 
     entries: list[Entry]
@@ -326,12 +326,25 @@
 
 
 FROM_OWNER = Hello | Submit | Cancel | Query | Bye
-TO_OWNER = Welcome | Held | Rejected | Placed | TurnedBack | BrokenOff | GuestEnded | State | Fault | Bye
-TO_MACHINE = Hello | Offer | Withdraw | Stop | Probe | Roll | Bye
+TO_OWNER = (
+    Welcome | Acknowledged | Rejected | Placed | GuestRefused | GuestFailed | GuestEnded | State | Fault | Bye
+)
+TO_MACHINE = Hello | Offer | Withdraw | Stop | Probe | InventoryRequest | Bye
 FROM_MACHINE = (
-    Welcome | Taken | Refused | Started | Use | Served | Pressed | Ended | Report | Running | Fault | Bye
+    Welcome
+    | OfferAccepted
+    | OfferRefused
+    | Started
+    | ResourceUse
+    | ServiceLevel
+    | MemoryPressure
+    | Ended
+    | Report
+    | Inventory
+    | Fault
+    | Bye
 )
-TO_LIST = Hello | Watch | Enlist | Bye
+TO_LIST = Hello | Watch | RegisterMachines | Bye
 FROM_LIST = Welcome | Listing | ListRefused | Fault | Bye
 
 ENCODER = msgspec.msgpack.Encoder()
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -11,7 +11,7 @@
 from hazelhold.model.listing import ListService
 from hazelhold.model.machine import Machine, MachineProfile, ProductBehaviour
 from hazelhold.model.owners import OwnerModel, Want
-from hazelhold.protocol.messages import Enlist, Entry
+from hazelhold.protocol.messages import Entry, RegisterMachines
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.troubles import Target, TroubleStep
 from hazelhold.service.net import Net
@@ -195,7 +195,7 @@
             self.service.rooms(rooms)
         else:
             self.remote.send(
-                Enlist(
+                RegisterMachines(
                     rooms=True,
                     entries=[
                         Entry(
@@ -225,7 +225,7 @@
             up_for=max(0, host.now() - machine.up_at),
         )
         if self.remote is not None:
-            self.remote.send(Enlist(entries=[entry]))
+            self.remote.send(RegisterMachines(entries=[entry]))
             return
         self.service.set(self.net.now(), entry, machine.up_at - host.clock_off, at_once)
         self.list_host.ticker.stir()
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -163,7 +163,7 @@
             if isinstance(message, m.Offer) and self._harmful(message.product):
                 self.feed("offer_held_back", message)
             elif (
-                isinstance(message, m.TurnedBack | m.BrokenOff)
+                isinstance(message, m.GuestRefused | m.GuestFailed)
                 and (until := self._until(message)) > self.wall()
             ):
                 self.held_back.append((until, action))
@@ -175,7 +175,7 @@
         engine = self.engine
         return engine.facts.products[engine.products[product]].effect.name != "RERUNNABLE"
 
-    def _until(self, message: m.TurnedBack | m.BrokenOff) -> int:
+    def _until(self, message: m.GuestRefused | m.GuestFailed) -> int:
         """Until when this answer is better held back; 0 if it may go. What the disk may still have of the
         guest is its last image that was safe; it is gone from the ledger, its patience was not over."""
         kept = self.store.before.get(f"{message.guest}/{message.ask}")
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -251,7 +251,7 @@
                 attempt=said.attempt,
                 machine=action.peer,
             )
-        elif isinstance(said, m.Placed | m.TurnedBack | m.BrokenOff | m.GuestEnded | m.Rejected):
+        elif isinstance(said, m.Placed | m.GuestRefused | m.GuestFailed | m.GuestEnded | m.Rejected):
             more = {
                 key: value
                 for key in ("machine", "reason", "how", "code")
--- a/hazelhold/standin/lister.py
+++ b/hazelhold/standin/lister.py
@@ -38,9 +38,9 @@
         now = self.net.now()
         if isinstance(message, m.Watch):
             self.service.watched(now, planner, message.since)
-        elif isinstance(message, m.Enlist) and message.rooms:
+        elif isinstance(message, m.RegisterMachines) and message.rooms:
             self.service.rooms({e.machine: (e.cores_room, e.memory_room) for e in message.entries})
-        elif isinstance(message, m.Enlist):
+        elif isinstance(message, m.RegisterMachines):
             for entry in message.entries:
                 self.service.set(now, entry, now - (entry.up_for or 0), entry.machine not in self.known)
                 self.known.add(entry.machine)
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -94,7 +94,7 @@
             machine.stopped(now, planner, message)
         elif isinstance(message, m.Probe):
             machine.probed(now, planner, message)
-        elif isinstance(message, m.Roll):
+        elif isinstance(message, m.InventoryRequest):
             machine.rolled(now, planner)
         self._deliver()
         self.ticker.stir()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -91,7 +91,7 @@
         self.engine = Engine(planner_config(**limits), 1, 0)
         self.dead: set[str] = set()
         self.dialled: list[str] = []
-        self.stands: dict[str, list[m.Stand]] = {}
+        self.stands: dict[str, list[m.InventoryItem]] = {}
         self.lives: dict[str, int] = {}
         self.said: list[tuple[str, m.Message]] = []  # all that was sent, to whom
         self.asks: list[Agree] = []  # what is to be agreed among planners
@@ -134,7 +134,7 @@
 
     def comes_up(self, now: int, name: str, complete: bool = True) -> None:
         self.engine.link_up(now, name, m.Welcome(name=name, incarnation=self.lives.get(name, 1)))
-        self.engine.machine_said(now, name, m.Running(guests=self.stands.get(name, []), complete=complete))
+        self.engine.machine_said(now, name, m.Inventory(guests=self.stands.get(name, []), complete=complete))
 
     def submits(
         self,
@@ -187,9 +187,9 @@
         ]
 
 
-def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.Stand:
+def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.InventoryItem:
     """How a machine tells of a guest that it was offered."""
-    return m.Stand(
+    return m.InventoryItem(
         guest=offer.guest,
         ask=offer.ask,
         attempt=offer.attempt,
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -81,7 +81,7 @@
     async def final(self, guest: str, ask: int = 0) -> m.Message:
         return await self.hears(
             lambda x: (
-                isinstance(x, m.Placed | m.TurnedBack | m.BrokenOff) and (x.guest, x.ask) == (guest, ask)
+                isinstance(x, m.Placed | m.GuestRefused | m.GuestFailed) and (x.guest, x.ask) == (guest, ask)
             )
         )
 
@@ -92,7 +92,7 @@
             said = await self.final(guest, number)
             if isinstance(said, m.Placed):
                 return said
-            assert isinstance(said, m.TurnedBack), said
+            assert isinstance(said, m.GuestRefused), said
             await trio.sleep(max(0.05, said.again_after / 1e6))
         raise AssertionError(f"{guest} was never placed: {said}")
 
@@ -244,7 +244,7 @@
             made.signal(0, signal.SIGSTOP)
             other.submit("x", ask=1)
             said = await other.final("x", 1)
-            assert isinstance(said, m.BrokenOff | m.Placed) and said.planner == "planner-0"
+            assert isinstance(said, m.GuestFailed | m.Placed) and said.planner == "planner-0"
             stood = await other.state("x", lambda s: s.state in ("running", "unsettled"))
             assert stood.planner == "planner-0"
             made.signal(0, signal.SIGCONT)
@@ -288,7 +288,7 @@
             made.wires.cut(["planner-0"], ["planner-1", "planner-2"], "in")  # it is heard, and does not hear
             owners[0].submit("x")
             said = await owners[0].final("x")
-            assert isinstance(said, m.TurnedBack) and said.reason == "no_majority" and said.again_after > 0
+            assert isinstance(said, m.GuestRefused) and said.reason == "no_majority" and said.again_after > 0
             owners[0].submit("plain", "till-import")
             assert isinstance(await owners[0].final("plain"), m.Placed)
             line = await made.logged("cannot_agree", 0, key="claim/x")
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -76,7 +76,7 @@
     made.act(SECOND, made.dues[0])
     said(made)
     for planner, state in (("planner", "ended"), ("other", "runs"), ("third", None)):
-        made.hear(SECOND, planner, m.Roll())
+        made.hear(SECOND, planner, m.InventoryRequest())
         (running,) = said(made)
         assert [stand.state for stand in running.guests] == ([state] if state else [])
 
@@ -88,12 +88,13 @@
     made.restart(SECOND)
     assert made.welcome(2 * SECOND) == m.Welcome(name="w", incarnation=2, up_for=SECOND)
     made.act(2 * SECOND, due)
-    made.hear(2 * SECOND, "planner", m.Roll())
-    assert said(made) == [m.Running(guests=[])]
+    made.hear(2 * SECOND, "planner", m.InventoryRequest())
+    assert said(made) == [m.Inventory(guests=[])]
 
 
 @pytest.mark.parametrize(
-    "message", [m.Roll(), m.Probe(number=3), offer(), m.Hello(role="planner", name="p"), m.Watch()]
+    "message",
+    [m.InventoryRequest(), m.Probe(number=3), offer(), m.Hello(role="planner", name="p"), m.Watch()],
 )
 def test_the_kind_of_a_message_is_read_from_its_head(message: m.Message) -> None:
     assert kind_of(m.ENCODER.encode(message)) == message.__struct_config__.tag
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -165,7 +165,7 @@
     table.agree(20)
     offer = one.sent(m.Offer, "x")[0]
     assert table.claim("x") == c.Claim("p0", 1, 0, 0, "held", table.claim("x").machine, "", 2)
-    one.says(30, table.claim("x").machine, of(m.Taken, offer))
+    one.says(30, table.claim("x").machine, of(m.OfferAccepted, offer))
     table.agree(30)
     assert table.claim("x").state == "placed"
     one.says(40, table.claim("x").machine, of(m.Ended, offer, how="done"))
@@ -180,12 +180,12 @@
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
     other.submits(20, "x", "once", ask=1, reason="unanswered")
     table.agree(20)
-    said = other.sent(m.BrokenOff, "x")[0]
+    said = other.sent(m.GuestFailed, "x")[0]
     assert (said.reason, said.planner) == ("claimed", "p0")
     other.owner(30, m.Query(guest="x", ask=1))
     table.agree(30)
     assert (other.sent(m.State)[-1].state, other.sent(m.State)[-1].planner) == ("unsettled", "p0")
-    one.says(40, at, of(m.Taken, offer))
+    one.says(40, at, of(m.OfferAccepted, offer))
     table.agree(40)
     other.owner(50, m.Query(guest="x", ask=1))
     table.agree(50)
@@ -211,7 +211,7 @@
     table.agree(10, other)
     table.agree(10, one)
     assert len(other.sent(m.Offer, "x")) == 1 and not one.sent(m.Offer, "x")
-    assert one.sent(m.BrokenOff, "x")[0].planner == "p1"
+    assert one.sent(m.GuestFailed, "x")[0].planner == "p1"
 
 
 def test_a_guest_that_was_turned_back_may_be_had_by_another() -> None:
@@ -220,10 +220,10 @@
     one.submits(10, "x", "once", patience=200 * MS)
     table.agree(10)
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
-    one.says(20, at, of(m.Refused, offer, remark="no_memory"))
+    one.says(20, at, of(m.OfferRefused, offer, remark="no_memory"))
     one.owner(30, m.Cancel(guest="x"))
     table.agree(30)
-    assert one.sent(m.TurnedBack, "x") and table.claim("x").state == "free"
+    assert one.sent(m.GuestRefused, "x") and table.claim("x").state == "free"
     other.submits(40, "x", "once", ask=1, reason="turned_back")
     table.agree(40)
     assert other.sent(m.Offer, "x") and table.claim("x").planner == "p1"
@@ -241,7 +241,7 @@
     one.submits(10, "r", "plain")
     assert one.sent(m.Offer, "r")
     table.refuse(500 * MS, one, outcome, reason)
-    said = one.sent(m.TurnedBack, "x")[0]
+    said = one.sent(m.GuestRefused, "x")[0]
     assert said.reason == reason and said.again_after > 0
     assert not one.sent(m.Offer, "x") and not one.engine.brain.guests.get("x/0")
     if outcome == "open":  # it may stand yet: released, so that another may have it
@@ -280,7 +280,7 @@
     blank.lists(20, [blank.entry("c")])
     blank.submits(30, "x", "once", ask=1, reason="unanswered")
     table.agree(30)
-    assert not blank.sent(m.Offer, "x") and blank.sent(m.BrokenOff, "x")[0].planner == "p0"
+    assert not blank.sent(m.Offer, "x") and blank.sent(m.GuestFailed, "x")[0].planner == "p0"
 
 
 def recovered(one: Member, table: Table, stands: dict, life_of: dict[str, int] | None = None) -> Member:
@@ -322,7 +322,7 @@
     one, table = kept()
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
     after = recovered(one, table, {at: [stand(offer, "line")]})
-    after.says(120, at, of(m.Refused, offer, remark="no_memory"))
+    after.says(120, at, of(m.OfferRefused, offer, remark="no_memory"))
     table.agree(120 + 800 * MS)
     return one, after, table, offer, at
 
@@ -337,17 +337,17 @@
     one, table = kept()
     after = recovered(one, table, {})
     table.agree(200 * MS)
-    assert not after.sent(m.Offer, "x") and after.sent(m.BrokenOff, "x")
+    assert not after.sent(m.Offer, "x") and after.sent(m.GuestFailed, "x")
     assert table.claim("x").life == 1
 
 
 def test_the_older_of_two_lives_sends_nothing_more() -> None:
     one, after, table, offer, at = gone_on()
-    one.says(130, at, of(m.Refused, offer, remark="no_memory"))  # it was only paused
+    one.says(130, at, of(m.OfferRefused, offer, remark="no_memory"))  # it was only paused
     table.members = (*table.members, one)
     table.agree(140 + 900 * MS)
     assert len(one.sent(m.Offer, "x")) == 1 and len(after.sent(m.Offer, "x")) == 1
-    assert one.sent(m.BrokenOff, "x")[0].reason == "claimed"
+    assert one.sent(m.GuestFailed, "x")[0].reason == "claimed"
 
 
 def test_a_late_copy_that_is_adopted_is_told_with_its_machine() -> None:
@@ -357,8 +357,8 @@
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
     for now in range(100, 5100, 100):  # overdue: given up, and broken off in the end
         table.agree(now * MS)
-    assert one.sent(m.BrokenOff, "x")
-    one.says(5200 * MS, at, of(m.Taken, offer))
+    assert one.sent(m.GuestFailed, "x")
+    one.says(5200 * MS, at, of(m.OfferAccepted, offer))
     table.agree(5200 * MS)
     assert (table.claim("x").state, table.claim("x").machine) == ("placed", at)
     other.submits(5300 * MS, "x", "once", ask=1, reason="broken_off")
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -68,7 +68,7 @@
 def test_a_turn_back_is_followed_by_a_marked_repeat_after_the_advised_wait() -> None:
     caller = Caller()
     planner = caller.asks(0)
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
+    caller.says(S, planner, m.GuestRefused(guest="g", again_after=2 * S))
     caller.passes(S, 3 * S)
     assert len(caller.submits()) == 1
     caller.passes(3 * S, 4 * S)
@@ -79,7 +79,7 @@
 def test_no_retry_whose_answer_could_not_come_in_time() -> None:
     caller = Caller()
     planner = caller.asks(0, patience=2 * S)
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
+    caller.says(S, planner, m.GuestRefused(guest="g", again_after=2 * S))
     assert caller.told == [("g", "turned_back", True)]
     caller.passes(S, 6 * S)
     assert len(caller.submits()) == 1
@@ -97,7 +97,7 @@
 def test_after_a_break_off_it_goes_again_by_its_effect(effect: str, group: str, goes: bool) -> None:
     caller = Caller()
     planner = caller.asks(0, effect, group=group)
-    caller.says(S, planner, m.BrokenOff(guest="g"))
+    caller.says(S, planner, m.GuestFailed(guest="g"))
     caller.passes(S, 2 * S)
     assert (len(caller.submits()) == 2) is goes and (caller.queries() == 0)
     if goes:
@@ -158,7 +158,7 @@
     caller = Caller()
     planner = caller.asks(0)
     caller.core.cancel(S, "g")
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=0))
+    caller.says(S, planner, m.GuestRefused(guest="g", again_after=0))
     caller.passes(S, 3 * S)
     assert caller.told == [("g", "cancelled", True)] and len(caller.submits()) == 1
 
@@ -174,7 +174,7 @@
 def test_a_frozen_client_sends_nothing_after_its_deadlines() -> None:
     caller = Caller()
     planner = caller.asks(0, patience=3 * S)
-    caller.says(S, planner, m.TurnedBack(guest="g"))
+    caller.says(S, planner, m.GuestRefused(guest="g"))
     caller.run(60 * S)  # nothing ran for a minute
     assert len(caller.submits()) == 1 and caller.told == [("g", "turned_back", True)]
 
@@ -238,8 +238,8 @@
         about = {"guest": "g", "ask": submit.ask}
         if what in ("turn", "break", "place") and up[planner] and may_act.get(planner, 0) > now:
             said = {
-                "turn": m.TurnedBack(**about, again_after=wait * MS),
-                "break": m.BrokenOff(**about),
+                "turn": m.GuestRefused(**about, again_after=wait * MS),
+                "break": m.GuestFailed(**about),
                 "place": m.Placed(**about, machine="a"),
             }[what]
             may_act[planner] = 0 if what == "turn" else may_act[planner]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -27,9 +27,9 @@
 def test_a_guest_is_held_offered_and_placed_once() -> None:
     harness = EngineHarness()
     offer, machine = harness.offer(0, "g")
-    harness.says(9 * MS, machine, of(m.Taken, offer))
-    assert len(harness.sent(m.Held)) == len(harness.sent(m.Offer)) == len(harness.sent(m.Placed)) == 1
-    harness.says(9 * MS, machine, of(m.Taken, offer))
+    harness.says(9 * MS, machine, of(m.OfferAccepted, offer))
+    assert len(harness.sent(m.Acknowledged)) == len(harness.sent(m.Offer)) == len(harness.sent(m.Placed)) == 1
+    harness.says(9 * MS, machine, of(m.OfferAccepted, offer))
     assert len(harness.sent(m.Placed)) == 1
 
 
@@ -37,11 +37,11 @@
     harness = EngineHarness()
     offer, machine = harness.offer(0, "g", "once")
     due = harness.engine.overdue[0][0]
-    harness.says(due, machine, of(m.Taken, offer))
-    assert harness.sent(m.Placed) and not harness.sent(m.BrokenOff) and not harness.sent(m.Withdraw)
+    harness.says(due, machine, of(m.OfferAccepted, offer))
+    assert harness.sent(m.Placed) and not harness.sent(m.GuestFailed) and not harness.sent(m.Withdraw)
 
 
-@pytest.mark.parametrize(("product", "ends"), [("once", m.BrokenOff), ("plain", m.TurnedBack)])
+@pytest.mark.parametrize(("product", "ends"), [("once", m.GuestFailed), ("plain", m.GuestRefused)])
 def test_silence_until_the_patience_ends_is_answered_in_time(product: str, ends: type) -> None:
     harness = EngineHarness("a")
     harness.offer(0, "g", product)
@@ -54,9 +54,9 @@
     harness = EngineHarness("a")
     offer, machine = harness.offer(0, "g", "once")
     harness.run(harness.engine.overdue[0][0])
-    assert harness.sent(m.BrokenOff)
+    assert harness.sent(m.GuestFailed)
     assert harness.owner(5000 * MS, m.Query(guest="g"))[-1].state == "unsettled"
-    harness.says(5100 * MS, machine, of(m.Taken, offer))
+    harness.says(5100 * MS, machine, of(m.OfferAccepted, offer))
     assert harness.owner(5200 * MS, m.Query(guest="g"))[-1].state == "running"
     assert not harness.sent(m.Stop) and not harness.sent(m.Placed)
 
@@ -71,7 +71,7 @@
         first, machine = harness.offer(6000 * MS, "h")
         harness.run(harness.engine.overdue[0][0])
         other = [message for message in harness.sent(m.Offer, "h") if message.attempt == 1]
-    said = harness.says(7000 * MS, machine, of(m.Taken, first))
+    said = harness.says(7000 * MS, machine, of(m.OfferAccepted, first))
     assert other and [message.guest for message in said if isinstance(message, m.Stop)] == [first.guest]
 
 
@@ -83,7 +83,7 @@
     from hazelhold.interface import Ending, Remark
 
     harness.engine._ended(1000 * MS, case, Ending.OVERDUE, Remark.NONE)
-    harness.engine.machine_said(1001 * MS, machine, of(m.Taken, offer))
+    harness.engine.machine_said(1001 * MS, machine, of(m.OfferAccepted, offer))
     harness.run(1001 * MS)
     assert len(harness.sent(m.Placed)) == 1 and len(harness.sent(m.Offer)) == 1
 
@@ -92,9 +92,9 @@
     harness = EngineHarness("a")
     harness.offer(0, "g", "once")
     lose(harness, 10 * MS, "a")
-    assert not harness.sent(m.BrokenOff)
+    assert not harness.sent(m.GuestFailed)
     back(harness, 100 * MS, "a")  # same life, complete, nothing there: proof that it never ran
-    assert len(harness.sent(m.Offer, "g")) == 2 and not harness.sent(m.BrokenOff)
+    assert len(harness.sent(m.Offer, "g")) == 2 and not harness.sent(m.GuestFailed)
 
 
 @pytest.mark.parametrize("why", ["new life", "incomplete"])
@@ -104,13 +104,13 @@
     lose(harness, 10 * MS, "a")
     harness.lives["a"] = 2 if why == "new life" else 1
     back(harness, 100 * MS, "a", complete=why != "incomplete")
-    assert len(harness.sent(m.Offer, "g")) == 1 and len(harness.sent(m.BrokenOff)) == 1
+    assert len(harness.sent(m.Offer, "g")) == 1 and len(harness.sent(m.GuestFailed)) == 1
 
 
 def test_a_placed_guest_outlives_its_link() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
-    harness.says(5 * MS, "a", of(m.Taken, offer))
+    harness.says(5 * MS, "a", of(m.OfferAccepted, offer))
     lose(harness, 10 * MS, "a")
     harness.stands["a"] = [stand(offer)]
     back(harness, 100 * MS, "a")
@@ -122,7 +122,7 @@
 def test_a_machine_that_stays_away_loses_its_guests_and_returns_them() -> None:
     harness = EngineHarness("a", reconnect_ms=1000.0)
     offer, _ = harness.offer(0, "g", "once")
-    harness.says(5 * MS, "a", of(m.Taken, offer))
+    harness.says(5 * MS, "a", of(m.OfferAccepted, offer))
     lose(harness, 10 * MS, "a")
     for now in range(20 * MS, 2000 * MS, 50 * MS):
         if harness.engine.links["a"].state == "dialling":
@@ -150,7 +150,7 @@
 def test_a_new_address_is_dialled_and_asked_before_anything_is_lost() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
-    harness.says(5 * MS, "a", of(m.Taken, offer))
+    harness.says(5 * MS, "a", of(m.OfferAccepted, offer))
     harness.stands["a"] = [stand(offer)]
     harness.lists(10 * MS, [m.Entry(machine="a", address="moved", mode="ready", kind="box", incarnation=1)])
     harness.run(20 * MS)
@@ -173,7 +173,7 @@
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     harness.submits(10 * MS, "g", ask=1, reason="unanswered")
-    harness.says(20 * MS, "a", of(m.Taken, offer))
+    harness.says(20 * MS, "a", of(m.OfferAccepted, offer))
     assert [p.ask for p in harness.sent(m.Placed)] == [0, 1] and len(harness.sent(m.Offer)) == 1
     harness.submits(30 * MS, "g", ask=2, reason="unanswered")
     assert [p.ask for p in harness.sent(m.Placed)] == [0, 1, 2] and len(harness.sent(m.Offer)) == 1
@@ -185,7 +185,7 @@
     harness.submits(0, "g", patience=100 * MS)
     harness.run(100 * MS)
     assert harness.owner(200 * MS, m.Query(guest="g"))[-1].state == "turned_back"
-    assert isinstance(harness.submits(200 * MS, "g", patience=100 * MS)[-1], m.TurnedBack)
+    assert isinstance(harness.submits(200 * MS, "g", patience=100 * MS)[-1], m.GuestRefused)
     harness.run(5000 * MS)
     assert harness.owner(5000 * MS, m.Query(guest="g"))[-1].state == "unknown"
     assert not harness.engine.answers and not harness.engine.cases and not harness.engine.newest
@@ -199,20 +199,20 @@
         harness.lists(0, [harness.entry("a", "cordoned")])
         harness.submits(0, "g", "once")
         said = harness.owner(10 * MS, m.Cancel(guest="g"))
-        assert [(type(s), s.reason) for s in said] == [(m.TurnedBack, "cancelled")]
+        assert [(type(s), s.reason) for s in said] == [(m.GuestRefused, "cancelled")]
 
     def test_out_and_handed_back(self) -> None:
         harness = EngineHarness("a")
         offer, _ = harness.offer(0, "g", "once")
         assert [type(s) for s in harness.owner(10 * MS, m.Cancel(guest="g"))] == [m.Withdraw]
         said = harness.says(20 * MS, "a", of(m.Ended, offer, how="withdrawn"))
-        assert [(type(s), s.reason) for s in said] == [(m.TurnedBack, "cancelled")]
+        assert [(type(s), s.reason) for s in said] == [(m.GuestRefused, "cancelled")]
 
     def test_out_and_accepted_meanwhile(self) -> None:
         harness = EngineHarness("a")
         offer, _ = harness.offer(0, "g", "once")
         harness.owner(10 * MS, m.Cancel(guest="g"))
-        said = harness.says(20 * MS, "a", of(m.Taken, offer))
+        said = harness.says(20 * MS, "a", of(m.OfferAccepted, offer))
         assert [type(s) for s in said] == [m.Placed, m.Stop]
         said = harness.says(30 * MS, "a", of(m.Ended, offer, how="stopped"))
         assert [(type(s), s.how) for s in said] == [(m.GuestEnded, "stopped")]
@@ -224,7 +224,7 @@
         harness.owner(10 * MS, m.Cancel(guest="g"))
         for now in range(10 * MS, 5100 * MS, 100 * MS):
             harness.run(now)
-        assert [b.reason for b in harness.sent(m.BrokenOff)] == ["cancelled"] and len(
+        assert [b.reason for b in harness.sent(m.GuestFailed)] == ["cancelled"] and len(
             harness.sent(m.Offer)
         ) == 1
 
@@ -234,7 +234,7 @@
         harness.owner(10 * MS, m.Cancel(guest="g"))
         said = harness.submits(20 * MS, "g", "once", ask=1)
         assert len(harness.sent(m.Offer)) == 1 and any(
-            isinstance(s, m.BrokenOff) and s.ask == 1 for s in said
+            isinstance(s, m.GuestFailed) and s.ask == 1 for s in said
         )
 
     def test_of_nobody(self) -> None:
@@ -253,7 +253,7 @@
     assert harness.owner(20 * MS, m.Query(guest="g"))[-1].state == "running"
     assert harness.owner(20 * MS, m.Query(guest="other"))[-1].state == "unsettled"
     said = harness.submits(30 * MS, "third", "once", ask=1, reason="unanswered")
-    assert isinstance(said[-1], m.BrokenOff) and not harness.sent(m.Offer)
+    assert isinstance(said[-1], m.GuestFailed) and not harness.sent(m.Offer)
     back(harness, 40 * MS, "b")
     assert harness.owner(50 * MS, m.Query(guest="other"))[-1].state == "unknown"
     harness.says(60 * MS, "a", of(m.Ended, offer, how="done"))
@@ -264,14 +264,14 @@
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g", "once")
     other, _ = harness.offer(0, "h")
-    harness.says(1 * MS, "a", of(m.Taken, other))
+    harness.says(1 * MS, "a", of(m.OfferAccepted, other))
     harness.engine.stop(10 * MS)
     harness.run(10 * MS)
     assert isinstance(harness.submits(20 * MS, "late")[-1], m.Rejected)
     assert harness.engine.unanswered() == 1
     harness.engine.stop_now(30 * MS)
     harness.run(30 * MS)
-    assert harness.engine.unanswered() == 0 and len(harness.sent(m.BrokenOff, "g")) == 1
+    assert harness.engine.unanswered() == 0 and len(harness.sent(m.GuestFailed, "g")) == 1
     assert not harness.sent(m.Stop)  # what runs, runs on
 
 
@@ -306,12 +306,12 @@
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     for message in (
-        m.Taken(guest="x"),
+        m.OfferAccepted(guest="x"),
         m.Ended(guest="g", attempt=7, how="done"),
-        m.Use(guest="g", ask=3, cores=1, memory=1),
-        m.Pressed(share=0.9),
-        m.Running(guests=[]),
-        of(m.Refused, offer, remark="odd"),
+        m.ResourceUse(guest="g", ask=3, cores=1, memory=1),
+        m.MemoryPressure(share=0.9),
+        m.Inventory(guests=[]),
+        of(m.OfferRefused, offer, remark="odd"),
     ):
         harness.says(MS, "a", message)
     assert not harness.sent(m.Placed) and harness.engine.cases
@@ -346,7 +346,7 @@
 def test_a_ticketed_copy_too_many_is_called_off() -> None:
     harness = EngineHarness("ab")
     offer, machine = harness.offer(0, "g", "ticket")
-    harness.says(MS, machine, of(m.Taken, offer))
+    harness.says(MS, machine, of(m.OfferAccepted, offer))
     other = {"a": "b", "b": "a"}[machine]
     harness.engine.link_down(2 * MS, other)
     harness.stands[other] = [stand(offer)]
@@ -360,11 +360,11 @@
     offer, machine = harness.offer(0, "g", "once")
     harness.lives[machine] = 2
     harness.lists(10 * MS, [harness.entry(machine, up_for=5 * MS)])
-    assert not harness.sent(m.BrokenOff) and len(harness.sent(m.Offer)) == 1
+    assert not harness.sent(m.GuestFailed) and len(harness.sent(m.Offer)) == 1
     assert harness.engine.brain.machines[machine].cold_at == 5 * MS
     lose(harness, 20 * MS, machine)
     back(harness, 40 * MS, machine)  # in the life that the list told of: whether it ran cannot be known
-    assert len(harness.sent(m.BrokenOff)) == 1 and len(harness.sent(m.Offer)) == 1
+    assert len(harness.sent(m.GuestFailed)) == 1 and len(harness.sent(m.Offer)) == 1
 
 
 def test_by_a_list_that_has_been_silent_for_longer_than_the_grace_nothing_is_offered() -> None:
@@ -374,5 +374,5 @@
     for now in range(0, 10_000, 50):
         harness.run(now * MS)
     harness.submits(10_000 * MS, "g")
-    assert harness.sent(m.Held, "g")
+    assert harness.sent(m.Acknowledged, "g")
     assert not harness.sent(m.Offer)
--- a/tests/test_fleetconfig_settings.py
+++ b/tests/test_fleetconfig_settings.py
@@ -95,12 +95,12 @@
     planner.put(fleet={**FLEET, "max_dispatches": most})
     desk, now = planner.desk, 0
     planner.submit("g")
-    while now < 5000 * MS and not desk.sent(m.TurnedBack, "g"):
+    while now < 5000 * MS and not desk.sent(m.GuestRefused, "g"):
         for offer in desk.sent(m.Offer, "g")[-1:]:
-            desk.says(now, "a", m.Refused(guest="g", ask=0, attempt=offer.attempt, remark="not_here"))
+            desk.says(now, "a", m.OfferRefused(guest="g", ask=0, attempt=offer.attempt, remark="not_here"))
         now += 20 * MS
         desk.run(now)
-    assert len(desk.sent(m.Offer, "g")) == offers and desk.sent(m.TurnedBack, "g")
+    assert len(desk.sent(m.Offer, "g")) == offers and desk.sent(m.GuestRefused, "g")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -59,7 +59,9 @@
         machine.offered(number * S, "p", offer(f"g{number}", cores=cores, memory=memory))
         machine.advance(number * S + S // 2)
     said = [
-        (s.guest, getattr(s, "remark", "taken")) for _, s in machine.out if isinstance(s, m.Taken | m.Refused)
+        (s.guest, getattr(s, "remark", "taken"))
+        for _, s in machine.out
+        if isinstance(s, m.OfferAccepted | m.OfferRefused)
     ]
     assert said == [("g0", "taken"), ("g1", "no_cores"), ("g2", "no_memory"), ("g3", "taken")]
 
@@ -86,7 +88,7 @@
     said = told(machine, 2 * S)
     assert [s.how for s in said if isinstance(s, m.Ended)] == ["pushed_out"]
     machine.offered(2 * S, "p", offer("high2", "high", memory=8))
-    assert [s.remark for s in told(machine, 3 * S) if isinstance(s, m.Refused)] == ["no_memory"]
+    assert [s.remark for s in told(machine, 3 * S) if isinstance(s, m.OfferRefused)] == ["no_memory"]
 
 
 def test_memory_that_overflows_evicts_the_lowest_first() -> None:
@@ -105,7 +107,7 @@
     machine.offered(0, "p", offer("g", "ticket"))
     machine.offered(0, "other", offer("g", "ticket"))
     said = told(machine, S)
-    assert [s.remark for s in said if isinstance(s, m.Refused)] == ["not_here"]
+    assert [s.remark for s in said if isinstance(s, m.OfferRefused)] == ["not_here"]
 
 
 def test_withdrawn_in_line_it_never_ran_and_once_accepted_it_stands() -> None:
@@ -129,7 +131,7 @@
     machine.offered(2 * S, "p", offer("g", attempt=1))
     machine.advance(3 * S)
     assert len(machine.tasks) == 1
-    assert [s.attempt for _, s in machine.out if isinstance(s, m.Taken)] == [0, 1]
+    assert [s.attempt for _, s in machine.out if isinstance(s, m.OfferAccepted)] == [0, 1]
     assert sum(isinstance(s, m.Started) for _, s in machine.out) == 1
 
 
@@ -175,7 +177,7 @@
         machine.advance(number * 50 * MS)
     machine.faults.use_factor = 2
     machine.unsettle(10 * S)
-    served = [s.share for s in told(machine, 15 * S) if isinstance(s, m.Served)]
+    served = [s.share for s in told(machine, 15 * S) if isinstance(s, m.ServiceLevel)]
     assert served and max(served) < 0.95
 
 
@@ -185,7 +187,7 @@
     one.offered(0, "p", offer("g", "ticket"))
     assert "taken" in kinds(one, S)
     two.offered(S, "p", offer("g", "ticket"))
-    assert [s.remark for s in told(two, 2 * S) if isinstance(s, m.Refused)] == ["not_here"]
+    assert [s.remark for s in told(two, 2 * S) if isinstance(s, m.OfferRefused)] == ["not_here"]
     one.went_down()
     two.offered(2 * S, "p", offer("g", "ticket"))
     assert "taken" in kinds(two, 3 * S)
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -394,7 +394,7 @@
 ) -> None:
     fields = {"note": line["note"]} if "note" in line else {}
     message = words.from_machine(Line("end", "1", fields, line.get("why")), placed)
-    if isinstance(message, m.Refused):
+    if isinstance(message, m.OfferRefused):
         from hazelhold.engine.links import REMARKS
 
         assert (ending, remark) == (Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
@@ -408,10 +408,10 @@
 
     note = '{"op":"info","call":"1","with":{"note":"%s","value":%s}}'
     assert said(note % ("up", "0")) == m.Started(guest="1")
-    assert said(note % ("cpu", "0.5")) == m.Use(guest="1", cores=0.5)
-    assert said(note % ("mem", '"1.5"')) == m.Use(guest="1", memory=1.5)
-    assert said(note % ("share", "0.25")) == m.Served(guest="1", share=0.25)
-    assert said(note % ("tight", "0.9")) == m.Pressed(share=0.9)
+    assert said(note % ("cpu", "0.5")) == m.ResourceUse(guest="1", cores=0.5)
+    assert said(note % ("mem", '"1.5"')) == m.ResourceUse(guest="1", memory=1.5)
+    assert said(note % ("share", "0.25")) == m.ServiceLevel(guest="1", share=0.25)
+    assert said(note % ("tight", "0.9")) == m.MemoryPressure(share=0.9)
     assert said(note % ("cpu", '"nan"')) is None and said(note % ("cpu", '"x"')) is None
     assert said('{"op":"tested","call":"0a","why":1,"with":{"load":"x0:12;x1:40;queue:3"}}') == m.Report(
         number=10, load=m.Load(12.0, 40.0), well=True
@@ -423,14 +423,14 @@
 
 def test_answers_to_owners_say_whether_another_try_is_harmless() -> None:
     guest = f"{1:016x}"
-    assert words.to_owner(m.TurnedBack(guest=guest, again_after=1_500_000)) == BinaryMessage(
+    assert words.to_owner(m.GuestRefused(guest=guest, again_after=1_500_000)) == BinaryMessage(
         END, guest, {WAIT: b"1500", CAUSE: b"\x22"}
     )
-    assert words.to_owner(m.TurnedBack(guest=guest)).parameters == {CAUSE: b"\x22"}
+    assert words.to_owner(m.GuestRefused(guest=guest)).parameters == {CAUSE: b"\x22"}
     harmless = {34, 42, 102}
-    assert words.to_owner(m.BrokenOff(guest=guest)).cause not in harmless
+    assert words.to_owner(m.GuestFailed(guest=guest)).cause not in harmless
     assert words.to_owner(m.Rejected(guest=guest, code="unknown_product")).cause not in harmless
-    assert words.to_owner(m.Held(guest=guest)) is None
+    assert words.to_owner(m.Acknowledged(guest=guest)) is None
     assert words.to_owner(m.Placed(guest=guest, machine="a", description=b"\x00\xff")).parameters == {
         DESCRIPTION: b"\x00\xff"
     }
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -162,7 +162,7 @@
                 m.Submit(guest="g", product="once", service="s", cores=1.0, memory=1.0, patience=1_000_000)
             )
         )
-        assert isinstance((await peer.hear())[0], m.Held)
+        assert isinstance((await peer.hear())[0], m.Acknowledged)
         await peer.stream.aclose()
         await trio.sleep(2)
         peer = await owner(planner, net)
@@ -216,11 +216,11 @@
                 m.Submit(guest="g", product="once", service="s", cores=1.0, memory=1.0, patience=500_000_000)
             )
         )
-        assert isinstance((await peer.hear())[0], m.Held)
+        assert isinstance((await peer.hear())[0], m.Acknowledged)
         start = trio.current_time()
         planner.stop()
         said = await peer.hear(3)
-        assert [type(s) for s in said] == [m.TurnedBack, m.Bye] and said[0].reason == "stopping"
+        assert [type(s) for s in said] == [m.GuestRefused, m.Bye] and said[0].reason == "stopping"
         assert trio.current_time() - start < 4
 
     with_planner(test)
@@ -276,8 +276,8 @@
             await trio.sleep(1)
             peer = await owner(planner, net)
             first = machines.peers["a"][0]
-            assert isinstance((await first.hear())[0], m.Roll)
-            await first.stream.send_all(m.encode(m.Running(guests=[])))
+            assert isinstance((await first.hear())[0], m.InventoryRequest)
+            await first.stream.send_all(m.encode(m.Inventory(guests=[])))
             await peer.stream.send_all(
                 m.encode(
                     m.Submit(
@@ -293,8 +293,8 @@
                 await trio.sleep(0.01)
             assert trio.current_time() - broke < 0.1
             second = machines.peers["a"][1]
-            assert isinstance((await second.hear())[0], m.Roll)
-            await second.stream.send_all(m.encode(m.Running(guests=[])))
+            assert isinstance((await second.hear())[0], m.InventoryRequest)
+            await second.stream.send_all(m.encode(m.Inventory(guests=[])))
             assert (await second.hear())[0] == msgspec.structs.replace(offer, attempt=1)
             nursery.cancel_scope.cancel()
 
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -75,7 +75,7 @@
         assert await ask("g2", "plain") == "held:" and not planner.engine.kept_well
         assert await ask("g3", "once") == "rejected:not_kept"
         await trio.sleep(3)  # g1 gets its answer in time though it cannot be kept
-        assert [a.guest for a in said if isinstance(a, m.TurnedBack)] == ["g1", "g2"]
+        assert [a.guest for a in said if isinstance(a, m.GuestRefused)] == ["g1", "g2"]
         on.fails.clear()
         on.room = None
         await trio.sleep(2)
@@ -104,7 +104,7 @@
         planner.hand_over()
         await trio.sleep(0.1)
         assert isinstance(said[-1], m.Bye) and said[-1].reason == "hand_over"
-        assert not any(isinstance(a, m.TurnedBack | m.BrokenOff) for a in said)
+        assert not any(isinstance(a, m.GuestRefused | m.GuestFailed) for a in said)
         second = Planner(planner_config(), 2, planner.net, disk=on)
         async with trio.open_nursery() as nursery:
             await nursery.start(second.run)
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -42,9 +42,9 @@
     again = life.harness(3 * S)
     assert again.owner(3 * S, m.Query(guest="g"))[0].state == "held"
     again.run(4900 * MS)
-    assert not again.sent(m.TurnedBack)
+    assert not again.sent(m.GuestRefused)
     again.run(5 * S)
-    assert [a.reason for a in again.sent(m.TurnedBack)] == ["no_machine"]
+    assert [a.reason for a in again.sent(m.GuestRefused)] == ["no_machine"]
     life.dies(again, 5 * S)
     assert life.harness(6 * S).owner(6 * S, m.Query(guest="g"))[0].state == "turned_back"
 
@@ -77,9 +77,9 @@
 def test_a_guest_that_ran_is_found_and_one_that_ended_meanwhile_is_told() -> None:
     life, harness = started()
     first, one = harness.offer(S, "g1", "once")
-    harness.says(S, one, of(m.Taken, first))
+    harness.says(S, one, of(m.OfferAccepted, first))
     second, two = harness.offer(S, "g2", "once")
-    harness.says(S, two, of(m.Taken, second))
+    harness.says(S, two, of(m.OfferAccepted, second))
     life.dies(harness, S)
     again = EngineHarness("")
     again.stands = {one: [stand(first, "runs")]}
@@ -101,13 +101,13 @@
     again = life.harness(2 * S, complete=False)
     again.lists(2 * S, [again.entry(n) for n in "ab"], whole=True)
     again.run(2100 * MS)
-    assert len(again.sent(m.Offer)) == sent and len(again.sent(m.BrokenOff)) == 1 - sent
+    assert len(again.sent(m.Offer)) == sent and len(again.sent(m.GuestFailed)) == 1 - sent
 
 
 def test_attempts_are_counted_over_lives_and_the_list_must_speak_before_anything_is_sent() -> None:
     life, harness = started()
     offer, machine = harness.offer(S, "g")
-    harness.says(S, machine, of(m.Refused, offer, remark="no_cores"))
+    harness.says(S, machine, of(m.OfferRefused, offer, remark="no_cores"))
     life.dies(harness, S)
     again = life.harness(2 * S)
     assert again.engine.brain.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -94,7 +94,7 @@
     while True:
         harness.engine.pump(late)
         said = [getattr(action, "message", None) for action in harness.engine.actions]
-        answered.append(sum(isinstance(each, m.TurnedBack) for each in said))
+        answered.append(sum(isinstance(each, m.GuestRefused) for each in said))
         if not harness.engine.more:
             break
         assert harness.engine.next_at(late) == late
@@ -147,7 +147,7 @@
 
 def placing(wire: Wire, said: m.Message) -> None:
     if isinstance(said, m.Submit):
-        wire.send(m.Held(guest=said.guest, ask=said.ask))
+        wire.send(m.Acknowledged(guest=said.guest, ask=said.ask))
         wire.send(m.Placed(guest=said.guest, ask=said.ask, machine="m"))
     elif isinstance(said, m.Query):
         wire.send(m.State(guest=said.guest, ask=said.ask, state="running", machine="m"))
@@ -192,7 +192,7 @@
         def say(wire: Wire, said: m.Message) -> None:
             asked[name] += isinstance(said, m.Submit)
             if isinstance(said, m.Submit):
-                wire.send(m.Held(guest=said.guest, ask=said.ask))
+                wire.send(m.Acknowledged(guest=said.guest, ask=said.ask))
                 wire.cut()  # and the answer with it
             else:
                 placing(wire, said)
