--- a/bench/capacity/hollow/claims.py
+++ b/bench/capacity/hollow/claims.py
@@ -17,7 +17,7 @@
 from bench.capacity.hollow.results import Trial
 from bench.capacity.hollow.rig import SECOND, Rig
 from bench.capacity.hollow.tally import Flow, total
-from hazelhold.config.planner import CopiesConfig, CopiesPlanner, PlannerConfig
+from hazelhold.config.planner import PlannerConfig, ReplicaPlannerConfig, ReplicationConfig
 from hazelhold.rehearse.ports import free_ports
 from hazelhold.replica.votes import found
 from hazelhold.state.disk import RealDisk
@@ -59,11 +59,11 @@
     def config_of(self, number: int) -> PlannerConfig:
         config = super().config_of(number)
         folder = self.folder / f"votes-{number}"
-        copies = CopiesConfig(
+        copies = ReplicationConfig(
             listen=self.listens[config.name],
             folder=str(folder),
             planners=[
-                CopiesPlanner(name, address, f"z{n}")
+                ReplicaPlannerConfig(name, address, f"z{n}")
                 for n, (name, address) in enumerate(self.listens.items())
             ],
             replicas=REPLICAS,
--- a/bench/capacity/rows_door.py
+++ b/bench/capacity/rows_door.py
@@ -10,7 +10,7 @@
 from bench import throughput
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import measurement
-from hazelhold.config.planner import LimitsConfig, micros
+from hazelhold.config.planner import LimitsConfig, to_microseconds
 from hazelhold.engine import advice
 from hazelhold.engine.cases import Send
 from hazelhold.engine.engine import Engine
@@ -151,7 +151,7 @@
         limits.handshakes_a_second,
         limits.handshake_burst,
         limits.handshakes_at_once,
-        micros(limits.return_most_ms),
+        to_microseconds(limits.return_most_ms),
         Random(1),
     )
     yield processor_time(lambda: [door.admits(NOW) for _ in range(size)])
--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -9,7 +9,7 @@
 from bench.capacity.registry import measurement
 from bench.capacity.target import TASKS_RUNNING
 from hazelhold.brain import Brain
-from hazelhold.config.planner import deployment
+from hazelhold.config.planner import deployment_settings
 from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Ask, Mode, Step
@@ -23,7 +23,7 @@
 
 
 def brain(machines: int, planners: int) -> Brain:
-    made = Brain(1, deployment(throughput.planner_config())._replace(planners=planners))
+    made = Brain(1, deployment_settings(throughput.planner_config())._replace(planners=planners))
     made.machines_listed(0, [workers.listed(n) for n in range(machines)], True)
     return made
 
--- a/bench/copies.py
+++ b/bench/copies.py
@@ -30,7 +30,7 @@
 from msgspec.structs import replace
 
 from bench import throughput
-from hazelhold.config.planner import CopiesConfig, CopiesPlanner, ProductConfig
+from hazelhold.config.planner import GuestClassConfig, ReplicaPlannerConfig, ReplicationConfig
 from hazelhold.protocol.messages import encode
 from hazelhold.rehearse.ports import free_ports
 from hazelhold.replica import messages
@@ -53,13 +53,13 @@
         pass
 
 
-def configs(count: int, folder: Path, replicas: int) -> list[CopiesConfig]:
+def configs(count: int, folder: Path, replicas: int) -> list[ReplicationConfig]:
     planners = [
-        CopiesPlanner(f"p{n}" if n else "p", f"127.0.0.1:{port}", f"z{n % 3}")
+        ReplicaPlannerConfig(f"p{n}" if n else "p", f"127.0.0.1:{port}", f"z{n % 3}")
         for n, port in enumerate(free_ports(count))
     ]
     return [
-        CopiesConfig(
+        ReplicationConfig(
             listen=p.address,
             folder=str(folder / p.name),
             planners=planners,
@@ -70,7 +70,7 @@
     ]
 
 
-def name_of(config: CopiesConfig) -> str:
+def name_of(config: ReplicationConfig) -> str:
     return next(p.name for p in config.planners if p.address == config.listen)
 
 
@@ -200,7 +200,7 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             for file in sorted(folder.glob("other*.json")):
-                config = msgspec.json.decode(file.read_bytes(), type=CopiesConfig)
+                config = msgspec.json.decode(file.read_bytes(), type=ReplicationConfig)
                 part = Copies(
                     name_of(config), config, TcpNet(), RealDisk(Path(config.folder)), lambda *_: None
                 )
@@ -230,12 +230,12 @@
                 stdout=subprocess.PIPE,
             )
             assert process.stdout.readline() == b"up\n"
-        exclusive = ProductConfig("once", "exclusive", 800, 60_000, easy_until=1.0, lost_after=1.0)
+        exclusive = GuestClassConfig("once", "exclusive", 800, 60_000, easy_until=1.0, lost_after=1.0)
 
         def config(*args: object, **more: object) -> object:
             found_ = plain(*args, **more)
             estate = replace(found_.estate, products=[*found_.estate.products, exclusive])
-            return replace(found_, estate=estate, copies=made[0] if on else CopiesConfig())
+            return replace(found_, estate=estate, copies=made[0] if on else ReplicationConfig())
 
         throughput.planner_config = config
         try:
--- a/bench/module.py
+++ b/bench/module.py
@@ -47,7 +47,7 @@
 
 def day(module: ModuleType, seed: int, steps: int, machines: int) -> list[Decision]:
     """All decisions of one generated day; what happens depends on the seed and on earlier decisions."""
-    plain = throughput.deployment(throughput.planner_config())
+    plain = throughput.deployment_settings(throughput.planner_config())
     kinds = (
         (today.Effect.RERUNNABLE, today.Place.ALL, 1.0, today.Place.NOWHERE),
         (today.Effect.EXCLUSIVE, today.Place.ALL, 2.0, today.Place.MACHINE),
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -21,14 +21,14 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import (
-    Estate,
-    KindConfig,
+    FleetSettings,
+    GuestClassConfig,
     LimitsConfig,
     ListConfig,
+    MachineKindConfig,
     MachinesConfig,
     PlannerConfig,
-    ProductConfig,
-    deployment,
+    deployment_settings,
 )
 from hazelhold.engine import advice
 from hazelhold.engine.engine import Engine
@@ -44,9 +44,9 @@
 
 def planner_config(listen: str = "127.0.0.1:0", lister: str = "") -> PlannerConfig:
     """One planner with room for whatever comes, so that room is never what limits it."""
-    estate = Estate(
-        [ProductConfig("plain", "rerunnable", 800, 60_000, easy_until=1.0, lost_after=1.0)],
-        [KindConfig("box", 2000, 4000)],
+    estate = FleetSettings(
+        [GuestClassConfig("plain", "rerunnable", 800, 60_000, easy_until=1.0, lost_after=1.0)],
+        [MachineKindConfig("box", 2000, 4000)],
         MachinesConfig(cores_multiple=4, memory_multiple=2, probing=False),
     )
     return PlannerConfig(
@@ -96,7 +96,7 @@
 
 def alone(machines: int, running: int, guests: int, planners: int = 1) -> dict[str, float]:
     """The module with nothing round it: asks come one by one, are taken at once, and the oldest ends."""
-    brain, random = Brain(1, deployment(planner_config())._replace(planners=planners)), Random(1)
+    brain, random = Brain(1, deployment_settings(planner_config())._replace(planners=planners)), Random(1)
     brain.machines_listed(
         0, [Listed(f"m{n}", Mode.READY, 0, 0, n // 4, 0, 2000.0, 4000.0) for n in range(machines)], True
     )
--- a/hazelhold/audit/attempts.py
+++ b/hazelhold/audit/attempts.py
@@ -2,13 +2,13 @@
 
 from typing import Any
 
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 
 class Attempt:
     """One offer to a machine."""
 
-    def __init__(self, crossing: Crossing) -> None:
+    def __init__(self, crossing: RecordedMessage) -> None:
         self.crossing, self.at, self.machine = crossing, crossing.at, crossing.peer
         self.number = crossing.message.get("attempt", 0)
         self.out = True  # neither answered nor given up
@@ -19,9 +19,9 @@
 class Ask:
     """One ask of a task, from when it was taken."""
 
-    def __init__(self, taken: Crossing, submit: dict[str, Any] | None) -> None:
+    def __init__(self, taken: RecordedMessage, submit: dict[str, Any] | None) -> None:
         self.taken, self.submit = taken, submit or {}
-        self.finals: list[Crossing] = []
+        self.finals: list[RecordedMessage] = []
         self.attempts: list[Attempt] = []
         self.forgotten = False  # what was answered last may not have been kept
         self.excused = False  # its planner died while its disk failed, and a second run does no harm
--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -15,7 +15,7 @@
 
 from hazelhold.audit.history import Call, linearizable
 from hazelhold.audit.rules import AuditRules, Breach
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 PLANNER, LIFE, ASK, ATTEMPT, STATE, MACHINE, HOW, NO = range(8)  # places in a claim
 ORDER = ("free", "held", "placed", "over")
@@ -56,7 +56,7 @@
 class ClaimAudit:
     """Judges the crossings of one day; `off` if nothing was agreed on it."""
 
-    def __init__(self, crossings: Iterable[Crossing], rules: AuditRules) -> None:
+    def __init__(self, crossings: Iterable[RecordedMessage], rules: AuditRules) -> None:
         self.crossings = list(crossings)
         self.effects = {name: product.get("effect") for name, product in rules.products.items()}
         self.off = not any(c.way in ("ask", "agreed") for c in self.crossings)
@@ -73,8 +73,8 @@
 
     def _histories(self) -> list[Breach]:
         calls: dict[str, list[Call]] = defaultdict(list)
-        open_asks: dict[tuple[str, int], Crossing] = {}
-        last: dict[str, Crossing] = {}
+        open_asks: dict[tuple[str, int], RecordedMessage] = {}
+        last: dict[str, RecordedMessage] = {}
         for c in self.crossings:
             if c.way not in ("ask", "agreed"):
                 continue
@@ -103,7 +103,7 @@
         found = []
         claimed: set[tuple] = set()  # planner, guest, ask, attempt, machine
         # Dispatches that may have run, by guest: planner, machine, ask, attempt.
-        out: dict[str, dict[tuple[str, str, int, int], Crossing]] = defaultdict(dict)
+        out: dict[str, dict[tuple[str, str, int, int], RecordedMessage]] = defaultdict(dict)
         asks: dict[tuple[str, int], tuple[str, list]] = {}
         for c in self.crossings:
             body = c.message or {}
@@ -122,7 +122,7 @@
                 self._fate(c, body, out)
         return found
 
-    def _offer(self, c: Crossing, body: dict[str, Any], claimed: set, out: dict) -> list[Breach]:
+    def _offer(self, c: RecordedMessage, body: dict[str, Any], claimed: set, out: dict) -> list[Breach]:
         found = []
         guest, ask, attempt = body["guest"], body.get("ask", 0), body.get("attempt", 0)
         if (c.by, guest, ask, attempt, c.peer) not in claimed:
@@ -143,7 +143,7 @@
         out[c.by, c.peer, ask, attempt] = c
         return found
 
-    def _fate(self, c: Crossing, body: dict[str, Any], out: dict) -> None:
+    def _fate(self, c: RecordedMessage, body: dict[str, Any], out: dict) -> None:
         """What machines say of a dispatch takes it from those that may have run, or may be on."""
         kind, guest = body.get("t"), body.get("guest", "")
         if kind == "refused" or kind == "ended" and body.get("how") != "done":
--- a/hazelhold/audit/findings.py
+++ b/hazelhold/audit/findings.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 FINAL_ANSWERS = ("placed", "turned_back", "broken_off")
 RETURN_ALLOWANCE = 1_000_000  # so long a planner that comes back may take for answers that fell due meanwhile
@@ -33,11 +33,11 @@
     planner: str
     machine: str
     at: int
-    frames: list[Crossing]
+    frames: list[RecordedMessage]
 
 
 def breach(
-    rule: int, what: str, planner: str, frames: list[Crossing], guest: str = "", machine: str = ""
+    rule: int, what: str, planner: str, frames: list[RecordedMessage], guest: str = "", machine: str = ""
 ) -> Breach:
     """A breach at the moment of its last crossing."""
     return Breach(rule, what, guest, planner, machine, frames[-1].at, frames)
--- a/hazelhold/audit/machine_ends.py
+++ b/hazelhold/audit/machine_ends.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 
 from hazelhold.audit.findings import AuditRules, Breach, breach
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 
 class MachineEnds:
@@ -14,16 +14,16 @@
         self.found: list[Breach] = []
         self.tally: Counter[str] = Counter()
         self.products: dict[str, str] = {}  # by task
-        self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # task: machine: its start
-        self.done: dict[str, Crossing] = {}  # by task
+        self.running: dict[str, dict[str, RecordedMessage]] = defaultdict(dict)  # task: machine: its start
+        self.done: dict[str, RecordedMessage] = {}  # by task
 
-    def judge(self, crossings: list[Crossing]) -> None:
+    def judge(self, crossings: list[RecordedMessage]) -> None:
         """Takes the crossings of the whole day, in order."""
         for c in crossings:
             if c.role == "machine":
                 self._crossed(c)
 
-    def _crossed(self, c: Crossing) -> None:
+    def _crossed(self, c: RecordedMessage) -> None:
         body = c.message or {}
         kind, task = body.get("t", ""), body.get("guest", "")
         if c.way == "fact":
@@ -41,7 +41,7 @@
             if body["how"] == "done":
                 self.done[task] = c
 
-    def _fact(self, c: Crossing, what: str) -> None:
+    def _fact(self, c: RecordedMessage, what: str) -> None:
         self.tally["machine_" + what] += 1
         if what == "fell_over":
             self.found.append(breach(4, "a cold machine was pushed over", "", [c], machine=c.by))
@@ -49,7 +49,7 @@
             for starts in self.running.values():
                 starts.pop(c.by, None)
 
-    def _started(self, c: Crossing, task: str) -> None:
+    def _started(self, c: RecordedMessage, task: str) -> None:
         self.tally["starts"] += 1
         product = self.rules.products.get(self.products.get(task, ""), {})
         if product.get("effect") == "exclusive":
@@ -62,7 +62,7 @@
                 self.found.append(breach(2, what, c.peer, [self.done[task], c], task, c.by))
         self.running[task][c.by] = c
 
-    def _ends_told_late(self, c: Crossing) -> None:
+    def _ends_told_late(self, c: RecordedMessage) -> None:
         """Ends that could not be told when they came stand in a machine's whole word."""
         for stand in c.message["guests"]:
             if stand["state"] == "ended":
--- a/hazelhold/audit/planner_life.py
+++ b/hazelhold/audit/planner_life.py
@@ -6,7 +6,7 @@
 from hazelhold.audit.attempts import Ask, Attempt
 from hazelhold.audit.findings import ANSWER_SLACK, FINAL_ANSWERS, RETURN_ALLOWANCE, AuditRules, Breach, breach
 from hazelhold.audit.timeline import Outages, Timeline
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 AskKey = tuple[str, int]  # a task's name and the number of the ask
 
@@ -15,7 +15,7 @@
     """What the planner was told of a machine last, and by which crossing."""
 
     mode: str
-    since: Crossing
+    since: RecordedMessage
 
 
 class Place(NamedTuple):
@@ -42,14 +42,14 @@
         self.tally: Counter[str] = Counter()
         self.open_asks: list[str] = []
         self.asks: dict[AskKey, Ask] = {}
-        self.submits: dict[AskKey, Crossing] = {}
+        self.submits: dict[AskKey, RecordedMessage] = {}
         self.told: dict[str, Told] = {}  # by machine
         self.places: dict[str, Place] = {}  # by machine
         self.seats: dict[AskKey, Seat] = {}
         self.killed_at = 0
         self.outages = Outages([])
 
-    def judge(self, crossings: list[Crossing]) -> None:
+    def judge(self, crossings: list[RecordedMessage]) -> None:
         """Takes the crossings of the whole life, in order."""
         self.outages = Outages(crossings)
         for c in crossings:
@@ -61,10 +61,12 @@
                 self._crossed(c)
         self._judge_unanswered()
 
-    def _breach(self, rule: int, what: str, frames: list[Crossing], task: str, machine: str = "") -> None:
+    def _breach(
+        self, rule: int, what: str, frames: list[RecordedMessage], task: str, machine: str = ""
+    ) -> None:
         self.found.append(breach(rule, what, self.planner, frames, task, machine))
 
-    def _died(self, c: Crossing) -> None:
+    def _died(self, c: RecordedMessage) -> None:
         self.killed_at = c.at
         unkept = (c.message or {}).get("unkept")
         for ask in self.asks.values():
@@ -73,7 +75,7 @@
                 ask.excused |= self._effect(ask) == "rerunnable"
                 ask.forgotten = True
 
-    def _crossed(self, c: Crossing) -> None:
+    def _crossed(self, c: RecordedMessage) -> None:
         body = c.message or {}
         kind, key = body.get("t", ""), (body.get("guest", ""), body.get("ask", 0))
         leaves = c.way in ("out", "kept")
@@ -101,14 +103,14 @@
 
     # Owners.
 
-    def _take(self, key: AskKey, c: Crossing) -> None:
+    def _take(self, key: AskKey, c: RecordedMessage) -> None:
         if key in self.asks:
             return
         self.tally["taken"] += 1
         submit = self.submits.get(key)
         self.asks[key] = Ask(submit or c, submit.message if submit else None)
 
-    def _answer(self, ask: Ask | None, task: str, c: Crossing) -> None:
+    def _answer(self, ask: Ask | None, task: str, c: RecordedMessage) -> None:
         kind = c.message["t"]
         if ask is None or ask.excused:
             return  # a repeat of an answer that an earlier ask got, or all that is known of it is old
@@ -124,7 +126,7 @@
         if kind == "turned_back":
             self._judge_refusal(ask, task, c)
 
-    def _judge_lateness(self, ask: Ask, task: str, c: Crossing) -> None:
+    def _judge_lateness(self, ask: Ask, task: str, c: RecordedMessage) -> None:
         patience = ask.submit.get("patience")
         if patience is None:
             return
@@ -133,7 +135,7 @@
             what = f"answered {(c.at - due) / 1000:.0f} ms after the patience"
             self._breach(1, what, [ask.taken, c], task)
 
-    def _judge_refusal(self, ask: Ask, task: str, c: Crossing) -> None:
+    def _judge_refusal(self, ask: Ask, task: str, c: RecordedMessage) -> None:
         effect = self._effect(ask)
         group = self._product(ask.product).get("group")
         once = effect == "exclusive" or effect == "ticketed" and group != "all"
@@ -141,7 +143,7 @@
             what = "turned back though a dispatch may have run"
             self._breach(2, what, [ask.taken, ran[0].crossing, c], task, ran[0].machine)
 
-    def _answer_when_asked(self, ask: Ask | None, c: Crossing) -> None:
+    def _answer_when_asked(self, ask: Ask | None, c: RecordedMessage) -> None:
         """A planner that died before it sent an answer gives it when its owner asks."""
         state = c.message.get("state", "")
         if ask is None or ask.finals:
@@ -159,7 +161,7 @@
 
     # The list.
 
-    def _list_told(self, c: Crossing) -> None:
+    def _list_told(self, c: RecordedMessage) -> None:
         entries = c.message.get("entries", [])
         for entry in entries:
             name, mode = entry["machine"], entry["mode"]
@@ -173,7 +175,7 @@
 
     # Attempts.
 
-    def _offer(self, c: Crossing, key: AskKey) -> None:
+    def _offer(self, c: RecordedMessage, key: AskKey) -> None:
         task, machine = key[0], c.peer
         if key not in self.asks and key in self.submits and self.rules.durable:
             submit = self.submits[key]  # the planner died before it could say that it took the task
@@ -194,7 +196,7 @@
         self._judge_spread(key, c)
         ask.attempts.append(Attempt(c))
 
-    def _judge_number(self, ask: Ask, task: str, c: Crossing) -> None:
+    def _judge_number(self, ask: Ask, task: str, c: RecordedMessage) -> None:
         out = [a for a in ask.attempts if a.out]
         if out:
             self._breach(2, "two dispatches out", [out[0].crossing, c], task, c.peer)
@@ -202,7 +204,7 @@
             what = f"dispatch number {len(ask.attempts) + 1}"
             self._breach(2, what, [ask.taken, c], task, c.peer)
 
-    def _judge_effect(self, ask: Ask, task: str, c: Crossing) -> None:
+    def _judge_effect(self, ask: Ask, task: str, c: RecordedMessage) -> None:
         ran = ask.may_have_run
         if not ran:
             return
@@ -218,12 +220,12 @@
             if self._group(reach, c.peer) != self._group(reach, first.machine):
                 self._breach(2, "a ticketed guest sent outside its group", frames, task, c.peer)
 
-    def _judge_mode(self, task: str, c: Crossing) -> None:
+    def _judge_mode(self, task: str, c: RecordedMessage) -> None:
         mode, since = self.told.get(c.peer, Told("unlisted", c))
         if mode != "ready" and (mode == "unlisted" or c.at > since.at + self.rules.drain_grace):
             self._breach(3, f"a dispatch to a machine told {mode}", [since, c], task, c.peer)
 
-    def _judge_spread(self, key: AskKey, c: Crossing) -> None:
+    def _judge_spread(self, key: AskKey, c: RecordedMessage) -> None:
         product = self._product(c.message.get("product", ""))
         reach, service = product.get("spread", "nowhere"), c.message["service"]
         if reach != "nowhere":
@@ -267,7 +269,7 @@
         if kind != "taken" and key in self.seats and self.seats[key].machine == machine:
             del self.seats[key]
 
-    def _machine_lists_all(self, c: Crossing) -> None:
+    def _machine_lists_all(self, c: RecordedMessage) -> None:
         """A machine's whole word on a planner's tasks, after a new connection: what is missing never
         arrived, if the machine remembers all and lives the life in which it was offered."""
         machine = c.peer
@@ -283,7 +285,7 @@
         for key in [k for k, seat in self.seats.items() if seat.machine == machine and k not in here]:
             del self.seats[key]
 
-    def _compare(self, attempt: Attempt, stand: dict[str, Any] | None, c: Crossing) -> None:
+    def _compare(self, attempt: Attempt, stand: dict[str, Any] | None, c: RecordedMessage) -> None:
         if stand is None:
             attempt.out = False
             same_life = self.timeline.machine_life(c.peer, attempt.at) == self.timeline.machine_life(
--- a/hazelhold/audit/rules.py
+++ b/hazelhold/audit/rules.py
@@ -14,7 +14,7 @@
 from hazelhold.audit.machine_ends import MachineEnds
 from hazelhold.audit.planner_life import PlannerLife
 from hazelhold.audit.timeline import Timeline
-from hazelhold.protocol.record import Crossing, RecordError, read_record
+from hazelhold.protocol.record import RecordedMessage, RecordError, read_record
 
 __all__ = ["Audit", "Breach", "AuditRules"]
 
@@ -22,7 +22,7 @@
 class Audit:
     """Judges the crossings of one day. RecordError if no rules stand among them."""
 
-    def __init__(self, crossings: Iterable[Crossing]) -> None:
+    def __init__(self, crossings: Iterable[RecordedMessage]) -> None:
         self.timeline = Timeline(crossings)
         rules = [c.message for c in self.crossings if c.way == "rules"]
         if not rules:
@@ -38,7 +38,7 @@
         return cls(c for file in files for c in read_record(file))
 
     @property
-    def crossings(self) -> list[Crossing]:
+    def crossings(self) -> list[RecordedMessage]:
         return self.timeline.crossings
 
     def breaches(self) -> list[Breach]:
--- a/hazelhold/audit/score.py
+++ b/hazelhold/audit/score.py
@@ -8,15 +8,15 @@
 from collections import defaultdict
 
 from hazelhold.audit.rules import AuditRules
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 WINDOW = 10_000_000
 
 
-def score(crossings: list[Crossing], rules: AuditRules) -> dict[str, float]:
+def score(crossings: list[RecordedMessage], rules: AuditRules) -> dict[str, float]:
     """Shares from 0 to 1: whole, worst_window, worst_product, worst_customer, and service, their weighted
     sum."""
-    wanted: dict[str, Crossing] = {}
+    wanted: dict[str, RecordedMessage] = {}
     served: dict[str, float] = defaultdict(float)
     starts: dict[str, int] = {}
     cancelled: dict[str, int] = {}
--- a/hazelhold/audit/timeline.py
+++ b/hazelhold/audit/timeline.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from hazelhold.audit.findings import RETURN_ALLOWANCE
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 LifeKey = tuple[str, int]  # a planner's name and the number of its life
 PLANNER_DOWN = ("planner_kill", "planner_stop", "planner_pause")
@@ -14,7 +14,7 @@
 class Timeline:
     """The crossings of one day in order, with the look-ups that judging needs, each made once."""
 
-    def __init__(self, crossings: Iterable[Crossing]) -> None:
+    def __init__(self, crossings: Iterable[RecordedMessage]) -> None:
         self.crossings = sorted(crossings, key=lambda c: c.at)
         self._machine_starts: dict[str, list[int]] | None = None
         self._newest_asks: dict[str, int] | None = None
@@ -23,10 +23,10 @@
     def ends_at(self) -> int:
         return self.crossings[-1].at
 
-    def planner_lives(self, durable: bool) -> dict[LifeKey, list[Crossing]]:
+    def planner_lives(self, durable: bool) -> dict[LifeKey, list[RecordedMessage]]:
         """The planners' own crossings, apart for each life. With durable state a planner has one life."""
         number: Counter[str] = Counter()
-        lives: dict[LifeKey, list[Crossing]] = defaultdict(list)
+        lives: dict[LifeKey, list[RecordedMessage]] = defaultdict(list)
         for c in self.crossings:
             if c.role == "planner":
                 lives[c.by, number[c.by]].append(c)
@@ -79,7 +79,7 @@
 class Outages:
     """When one planner was paused, or (with durable state) down, or dying again before it was well."""
 
-    def __init__(self, crossings: list[Crossing]) -> None:
+    def __init__(self, crossings: list[RecordedMessage]) -> None:
         self.deaths = [c.at for c in crossings if c.way in ("planner_kill", "planner_stop")]
         self.spans: list[tuple[int, int]] = []
         down_since = 0
--- a/hazelhold/audit/views.py
+++ b/hazelhold/audit/views.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 GONE = ("gone", "left")
 
@@ -40,7 +40,7 @@
 class Views:
     """The views of one day."""
 
-    def __init__(self, crossings: Iterable[Crossing], bounds: ViewBounds) -> None:
+    def __init__(self, crossings: Iterable[RecordedMessage], bounds: ViewBounds) -> None:
         self.bounds = bounds
         self.notice, self.heal = round(bounds.notice_s * 1e6), round(bounds.heal_s * 1e6)
         self.up: set[str] = set()
@@ -82,7 +82,7 @@
 
     # The truth.
 
-    def _happened(self, c: Crossing) -> None:
+    def _happened(self, c: RecordedMessage) -> None:
         names = (c.message or {}).get("pairs", [])
         if c.way in ("planner_up", "planner_start"):
             self.up.add(c.peer)
@@ -153,7 +153,7 @@
 
     # The views.
 
-    def _believed(self, c: Crossing) -> None:
+    def _believed(self, c: RecordedMessage) -> None:
         said, by, of = c.message or {}, c.by, c.peer
         what, life = said.get("what", ""), said.get("life", -1)
         if what == "started":
--- a/hazelhold/cli/copies.py
+++ b/hazelhold/cli/copies.py
@@ -8,7 +8,7 @@
 
 from hazelhold.cli.errors import report_errors
 from hazelhold.config.load import ConfigError
-from hazelhold.config.planner import CopiesConfig, read_planner
+from hazelhold.config.planner import ReplicationConfig, read_planner
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 
@@ -18,7 +18,7 @@
     """What planners agree on among themselves, and keep for each other."""
 
 
-def _copies_config(config: Path) -> tuple[str, CopiesConfig]:
+def _copies_config(config: Path) -> tuple[str, ReplicationConfig]:
     planner_config = read_planner(config)
     if not planner_config.copies.listen:
         raise ConfigError(str(config), [("copies.listen", "is not there: copies are off")])
--- a/hazelhold/config/day.py
+++ b/hazelhold/config/day.py
@@ -6,7 +6,7 @@
 from msgspec import Meta, Struct
 
 from hazelhold.config.load import ConfigError, build, parse, read_text
-from hazelhold.config.planner import Estate, Name, Positive, check_estate
+from hazelhold.config.planner import FleetSettings, Name, Positive, check_estate
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Part = Annotated[float, Meta(ge=0, le=1)]
@@ -40,7 +40,7 @@
 BETWEEN = ("planner_pause", "planner_cut", "planner_loss", "planner_disk")  # of planners among themselves
 
 
-class Wares(Struct, frozen=True):
+class GuestMix(Struct, frozen=True):
     """How guests of one product come and behave, by the name of the product in the estate."""
 
     product: Name
@@ -52,7 +52,7 @@
     work_ms: Positive = 60.0
 
 
-class Stock(Struct, frozen=True):
+class MachineStock(Struct, frozen=True):
     """Machines of one kind; each range is drawn for each machine."""
 
     kind: Name
@@ -65,7 +65,7 @@
     report_ms: Range = (260.0, 690.0)
 
 
-class Roster(Struct, frozen=True):
+class ListServiceSettings(Struct, frozen=True):
     """The list service: how late it is, and how."""
 
     notice_s: Range = (0.5, 3.0)
@@ -132,11 +132,11 @@
 
     name: Name
     length_s: Annotated[float, Meta(gt=0, le=86_400)]
-    estate: Estate
-    wares: Annotated[list[Wares], Meta(min_length=1)]
-    stock: Annotated[list[Stock], Meta(min_length=1)]
+    estate: FleetSettings
+    wares: Annotated[list[GuestMix], Meta(min_length=1)]
+    stock: Annotated[list[MachineStock], Meta(min_length=1)]
     planners: Few = 2
-    roster: Roster = Roster()
+    roster: ListServiceSettings = ListServiceSettings()
     demand: Demand = Demand()
     troubles: list[Trouble] = []
     zones: Few = 1
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -29,7 +29,7 @@
 }
 
 
-class ProductConfig(Struct, frozen=True):
+class GuestClassConfig(Struct, frozen=True):
     """One product: what a second run does, what is promised, how it bears crowded cores."""
 
     name: Name
@@ -49,7 +49,7 @@
     spread_most: Annotated[int, Meta(ge=1, le=1000)] = 2
 
 
-class KindConfig(Struct, frozen=True):
+class MachineKindConfig(Struct, frozen=True):
     """One kind of machine."""
 
     name: Name
@@ -156,7 +156,7 @@
     most_members: Annotated[int, Meta(ge=2, le=100_000)] = 4096
 
 
-class CopiesPlanner(Struct, frozen=True):
+class ReplicaPlannerConfig(Struct, frozen=True):
     """One planner of the agreed set."""
 
     name: Name
@@ -164,14 +164,14 @@
     zone: Annotated[str, Meta(max_length=60)] = ""
 
 
-class CopiesConfig(Struct, frozen=True):
+class ReplicationConfig(Struct, frozen=True):
     """What the planners agree on, and keep for each other. The set and its epoch are the same in the files of
     all."""
 
     listen: str = ""  # where the others reach this one, TCP; empty: off
     folder: str = ""  # for its votes: a folder of its own, made by `hazelhold copies found`
     epoch: Annotated[int, Meta(ge=1, le=1 << 31)] = 1
-    planners: list[CopiesPlanner] = []
+    planners: list[ReplicaPlannerConfig] = []
     replicas: Annotated[int, Meta(ge=1, le=15)] = 3  # how many keep each value; odd
     deployment: Name = "hazelhold"
     reach: dict[str, str] = {}  # by name: where it is reached from here, if not at its address
@@ -181,11 +181,11 @@
     retry_ms: Millis = 1000.0  # how often a failed disk is tried again
 
 
-class Estate(Struct, frozen=True):
+class FleetSettings(Struct, frozen=True):
     """What all planners and stand-ins of a deployment agree on."""
 
-    products: Annotated[list[ProductConfig], Meta(min_length=1)]
-    kinds: Annotated[list[KindConfig], Meta(min_length=1)]
+    products: Annotated[list[GuestClassConfig], Meta(min_length=1)]
+    kinds: Annotated[list[MachineKindConfig], Meta(min_length=1)]
     fleet: MachinesConfig
     customers: list[Name] = []
 
@@ -196,7 +196,7 @@
     name: Name
     listen: str
     list: ListConfig
-    estate: Estate
+    estate: FleetSettings
     slot: Whole = 0
     planners: Annotated[int, Meta(ge=1, le=100_000)] = 1
     seed: Whole = 0
@@ -204,15 +204,15 @@
     capture: CaptureConfig = CaptureConfig()
     state: StateConfig = StateConfig()
     membership: MembershipConfig = MembershipConfig()
-    copies: CopiesConfig = CopiesConfig()
+    copies: ReplicationConfig = ReplicationConfig()
     fleetconfig: FleetConfigSection = FleetConfigSection()
 
 
-def micros(millis: float) -> int:
+def to_microseconds(millis: float) -> int:
     return round(millis * 1000)
 
 
-def check_estate(estate: Estate, place: str = "estate") -> list[tuple[str, str]]:
+def check_estate(estate: FleetSettings, place: str = "estate") -> list[tuple[str, str]]:
     """What is wrong with an estate as a whole: names twice, times that contradict one another."""
     faults = []
     for field, names in (
@@ -274,7 +274,7 @@
     copies = config.copies
     if not copies.listen:
         wrong = "is missing: without it copies are off, but other keys are set"
-        return [("copies.listen", wrong)] if copies != CopiesConfig() else []
+        return [("copies.listen", wrong)] if copies != ReplicationConfig() else []
     names = [p.name for p in copies.planners]
     given = [
         ("listen", copies.listen),
@@ -332,7 +332,7 @@
     return config
 
 
-def deployment(config: PlannerConfig) -> interface.Deployment:
+def deployment_settings(config: PlannerConfig) -> interface.Deployment:
     """The start facts for the module."""
     estate, fleet = config.estate, config.estate.fleet
     kinds = [k.name for k in estate.kinds]
@@ -340,8 +340,8 @@
         interface.Product(
             effect=EFFECTS[p.effect],
             group=PLACES[p.group],
-            window=micros(p.window_ms),
-            goal_time=micros(p.goal_ms),
+            window=to_microseconds(p.window_ms),
+            goal_time=to_microseconds(p.goal_ms),
             payoff=p.payoff,
             start_bonus=p.start_bonus_s,
             priority=p.priority,
@@ -359,7 +359,7 @@
         products=products,
         kinds=tuple(interface.Kind(k.cores, k.memory) for k in estate.kinds),
         list_is_asked=config.list.asked,
-        ask_within=micros(config.list.ask_within_ms),
+        ask_within=to_microseconds(config.list.ask_within_ms),
         list_has_room=config.list.has_room,
         cores_multiple=fleet.cores_multiple,
         memory_multiple=fleet.memory_multiple,
@@ -368,9 +368,9 @@
         probing=fleet.probing,
         reports_count_asked=fleet.reports_count == "asked",
         max_dispatches=fleet.max_dispatches,
-        cold_for=micros(fleet.cold_for_ms),
+        cold_for=to_microseconds(fleet.cold_for_ms),
         cold_from=fleet.cold_from,
-        cold_window=micros(fleet.cold_window_ms),
+        cold_window=to_microseconds(fleet.cold_window_ms),
         cold_offers=fleet.cold_offers,
         fleet_price=fleet.price,
     )
--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -20,7 +20,7 @@
 from hazelhold.audit.score import score
 from hazelhold.config.day import BETWEEN, Day
 from hazelhold.config.load import ConfigError
-from hazelhold.config.planner import LimitsConfig, ListConfig, PlannerConfig, micros
+from hazelhold.config.planner import LimitsConfig, ListConfig, PlannerConfig, to_microseconds
 from hazelhold.emulate.clock import Clock
 from hazelhold.emulate.fleet_lines import FarDoor
 from hazelhold.emulate.fleet_owner import Sender
@@ -28,7 +28,7 @@
 from hazelhold.emulate.fleet_time import SECOND, Net, Notes, Wake
 from hazelhold.model.owners import OwnerModel
 from hazelhold.protocol import messages as m
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 from hazelhold.rehearse.environment import Environment
 from hazelhold.rehearse.run import audit_rules
 from hazelhold.rehearse.troubles import plan
@@ -40,7 +40,7 @@
     def __init__(self, day: Day, seed: int, audited: bool = True, delay: int = 300, far: int = 1500) -> None:
         self.clock = Clock()
         self.clock.now = SECOND  # moments of 0 mean none
-        self.crossings: list[Crossing] | None = [] if audited else None
+        self.crossings: list[RecordedMessage] | None = [] if audited else None
         super().__init__(day, seed, Net(self.clock), None, "fleet")
         self.delay, self.far_delay, self.numbers = delay, far, 0
         self.reach: dict[str, set[str]] = {}  # owner: planners that it is connected to
@@ -144,8 +144,8 @@
                 list(self.configs),
                 self.wants,
                 demand.rate / demand.owners,
-                (micros(demand.again_ms[0]), micros(demand.again_ms[1])),
-                micros(self.day.estate.fleet.settle_ms),
+                (to_microseconds(demand.again_ms[0]), to_microseconds(demand.again_ms[1])),
+                to_microseconds(self.day.estate.fleet.settle_ms),
                 demand.cancel_share,
                 now,
                 until,
@@ -184,7 +184,7 @@
         if step.what == "planner_stop":
             host.stopping = True
             host.feed("stop")
-            self._stopped(host, self.clock.now + micros(host.config.limits.stop_ms))
+            self._stopped(host, self.clock.now + to_microseconds(host.config.limits.stop_ms))
         else:
             self._ended(host)
 
@@ -214,6 +214,6 @@
     return Fleet(day, seed, audited).play()
 
 
-def write_records(crossings: Iterable[Crossing], path: Path) -> None:
+def write_records(crossings: Iterable[RecordedMessage], path: Path) -> None:
     """What crossed, as a record that `hazelhold audit` reads."""
     path.write_bytes(b"".join(msgspec.json.encode(c) + b"\n" for c in crossings))
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from hazelhold.config.planner import PlannerConfig, micros
+from hazelhold.config.planner import PlannerConfig, to_microseconds
 from hazelhold.emulate.fleet_lines import Line
 from hazelhold.emulate.fleet_time import SECOND, Notes, Wake
 from hazelhold.engine.cases import AskList, Dial, HangUp, Lost, Send
@@ -25,7 +25,11 @@
         self.list_line: Line | None = None
         self.list_wanted: int | None = None if config.list.asked else 0
         self.ticker = Wake(
-            self.clock, fleet.net.now, self.engine.next_at, self._work, micros(config.limits.batch_ms)
+            self.clock,
+            fleet.net.now,
+            self.engine.next_at,
+            self._work,
+            to_microseconds(config.limits.batch_ms),
         )
         self.ticker.stir()
         self._follow()
--- a/hazelhold/emulate/fleet_time.py
+++ b/hazelhold/emulate/fleet_time.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from hazelhold.emulate.clock import Clock
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 
 SECOND = 1_000_000
 
@@ -13,13 +13,13 @@
 class Notes:
     """Takes the place of a recorder: crossings kept in memory, with one list for the whole fleet."""
 
-    def __init__(self, by: str, role: str, kept: list[Crossing] | None) -> None:
+    def __init__(self, by: str, role: str, kept: list[RecordedMessage] | None) -> None:
         self.by, self.role, self.kept = by, role, kept
 
     def note(self, at: int, peer: str, way: str, message: msgspec.Struct | None = None) -> None:
         if self.kept is not None:
             body = msgspec.to_builtins(message) if message is not None else None
-            self.kept.append(Crossing(at, self.by, self.role, peer, way, body))
+            self.kept.append(RecordedMessage(at, self.by, self.role, peer, way, body))
 
     def close(self) -> None:
         """Nothing is open."""
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,7 +1,7 @@
 """Dispatches of guests, from the decision to their end: offers, time-outs, what was given up, answers."""
 
 from hazelhold.brain import NEVER_RAN
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import Case, Loose
 from hazelhold.engine.tables import OutstandingProbe, Tables
 from hazelhold.interface import Ending, Remark
@@ -165,7 +165,7 @@
         )
         if not self.peers.asks_again:
             self._violated(self.monitor.answered(case.name, self.facts.products[case.product].effect), case)
-        keep = now + micros(self.limits.keep_answers_ms)
+        keep = now + to_microseconds(self.limits.keep_answers_ms)
         for ask in list(asks):
             told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
             if self.peers.asks_again:
@@ -219,7 +219,7 @@
             if link is not None and not self.peers.rolls:
                 link.told = [each for each in link.told if each[0] > now] + [(now + CROSSED, message)]
         elif fellow := self.roster.fellows.get(machine):
-            link.words.append((now + micros(self.limits.keep_answers_ms), message))
+            link.words.append((now + to_microseconds(self.limits.keep_answers_ms), message))
             self._dial(now, fellow)
 
     # Probes.
@@ -229,7 +229,9 @@
             self._rested(now, link)
         self.probe_number += 1
         self.counts["probes"] += 1
-        self.probes[machine] = OutstandingProbe(self.probe_number, now + micros(self.limits.probe_ms))
+        self.probes[machine] = OutstandingProbe(
+            self.probe_number, now + to_microseconds(self.limits.probe_ms)
+        )
         fellow = self.roster.fellows.get(machine)
         if fellow is None:
             self._probe_over(now, machine, False)
--- a/hazelhold/engine/doubts.py
+++ b/hazelhold/engine/doubts.py
@@ -7,7 +7,7 @@
 have come to another process than the one that answers there now: everywhere else its end was or will be told.
 """
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import Case, Doubt, DoubtCause
 from hazelhold.engine.link_loss import LinkLoss
 from hazelhold.engine.machines import Link
@@ -46,7 +46,7 @@
         """Its machine ended a connection after it was sent, as a process does that dies. Machines speak of a
         task every few seconds, so they are given as long as one that is silent."""
         if self.peers.tells_use:
-            decided_at = reset_at + micros(self.limits.lost_ms)
+            decided_at = reset_at + to_microseconds(self.limits.lost_ms)
             self.doubted[case.name] = Doubt(cause, reset_at, decided_at, reset_at + LISTED_WITHIN)
 
     def _doubt_all_on(self, now: int, link: Link) -> None:
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -12,7 +12,7 @@
 
 from heapq import heappop
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import AskList, HangUp
 from hazelhold.engine.claiming import Claiming
 from hazelhold.engine.keep import Keeping, recover
@@ -107,7 +107,7 @@
                     self._not_sent(now, case, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
-                self._unheard(now, machine, probe.due - micros(self.limits.probe_ms))
+                self._unheard(now, machine, probe.due - to_microseconds(self.limits.probe_ms))
                 self._probe_over(now, machine, False)
         for link in self._restless():
             if link.settled():
@@ -117,14 +117,14 @@
                 self.counts["rolls_unanswered"] += 1  # it is mute: as good as a broken link
                 self.actions.append(HangUp(link.machine))
                 self._link_lost(now, link)
-                link.dial_at = now + micros(self.limits.reconnect_ms) // 10
+                link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
             elif link.state == "dialling" and link.dial_due <= now:
                 self.actions.append(HangUp(link.machine))
                 self.link_failed(now, link.machine)
             if (
                 link.state == "down"
                 and link.lost_at
-                and (now - link.lost_at >= micros(self.limits.reconnect_ms))
+                and (now - link.lost_at >= to_microseconds(self.limits.reconnect_ms))
             ):
                 self._forget_machine(now, link)
             if link.state == "down" and link.dial_at and link.dial_at <= now:
@@ -142,7 +142,7 @@
                 table.popitem(last=False)
         if now < self.idle_at:
             return
-        idle = micros(self.limits.idle_close_ms)
+        idle = to_microseconds(self.limits.idle_close_ms)
         self.idle_at = now + min(500_000, idle // 8)  # four fifths of the far side's time, and a tenth of it
         self._settle_doubts(now)
         if not self.peers.rolls:
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import Case, Loose
 from hazelhold.engine.tables import Tables
 from hazelhold.interface import Earlier, Effect, Learned, Mode
@@ -261,7 +261,7 @@
         else:
             engine.brain.guest_arrived(now, ask)
             engine.brain.dispatch_stands(now, case.machine, case.name, case.sent_at)
-            due = max(image.due_at - epoch, now + micros(engine.limits.reconnect_ms))
+            due = max(image.due_at - epoch, now + to_microseconds(engine.limits.reconnect_ms))
             engine._overdue(due, case)
     if case.cancelled:
         engine.brain.guest_cancelled(now, case.name)
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -1,6 +1,6 @@
 """What the loss of a connection to a machine, and of the machine itself, means for what is there."""
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import HangUp
 from hazelhold.engine.dispatches import Dispatches
 from hazelhold.engine.machines import Link
@@ -24,7 +24,7 @@
         if not self.peers.rolls and link.machine not in self.roster.fellows and not self._awaits_heir(link):
             self._forget_machine(now, link)  # it has left the list, and its connection with it
             return
-        keep = now + micros(self.limits.keep_answers_ms)
+        keep = now + to_microseconds(self.limits.keep_answers_ms)
         link.words += [(keep, message) for until, message in link.told if until > now]
         link.told.clear()
         if link.holds or any(link.machine in by for by in self.loose.values()):
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -1,6 +1,6 @@
 """The connections to machines, and what machines say on them."""
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import Case, HangUp, Loose, Lost
 from hazelhold.engine.dispatches import CROSSED
 from hazelhold.engine.list_news import ListNews
@@ -57,7 +57,7 @@
             return
         link.state, link.rolled = "up", False
         self.restless[machine] = None
-        link.roll_due = now + micros(self.limits.reconnect_ms)
+        link.roll_due = now + to_microseconds(self.limits.reconnect_ms)
         link.before, link.incarnation = link.incarnation, welcome.incarnation
         link.used_at = now
         self._send_machine(machine, m.InventoryRequest())
@@ -91,7 +91,7 @@
         something in the time for which it may say nothing on a standing one, and owes no answer since. Each
         probe is paid for, and some machines close a connection after half a second of quiet."""
         asked = link.unanswered or link.asked_at > link.heard_at
-        return not asked and now - link.heard_at <= micros(self.limits.silent_ms)
+        return not asked and now - link.heard_at <= to_microseconds(self.limits.silent_ms)
 
     def link_failed(self, now: int, machine: str, refused: bool = False) -> None:
         """A dial failed or took too long: offers that waited for it surely never ran. `refused`: nobody
@@ -100,17 +100,17 @@
         if link is None:
             return
         if refused and not self.peers.rolls and link.lost_at:
-            link.lost_at = now - micros(self.limits.reconnect_ms)
+            link.lost_at = now - to_microseconds(self.limits.reconnect_ms)
         self.counts["dials_failed"] += 1
         self.restless[machine] = None
         link.state = "down"
         self._drop_queue(now, link)
-        if link.lost_at and now - link.lost_at >= micros(self.limits.reconnect_ms):
+        if link.lost_at and now - link.lost_at >= to_microseconds(self.limits.reconnect_ms):
             self._forget_machine(now, link)
         elif link.lost_at:
-            link.dial_at = now + micros(self.limits.reconnect_ms) // 10
+            link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
         elif any(until > now for until, _ in link.words):
-            link.dial_at = now + micros(self.limits.reconnect_ms) // 10
+            link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
         elif machine in self.unheard:
             link.dial_at = now + 1_000_000
 
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -1,6 +1,6 @@
 """What owners say: asks, cancels, queries, guests that stand already."""
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import Case
 from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.events import TaskEvent
@@ -88,7 +88,7 @@
             return "unknown_product", f"no product is called {submit.product!r}"
         if submit.customer and submit.customer not in self.customers:
             return "unknown_customer", f"no customer is called {submit.customer!r}"
-        if submit.patience > micros(self.limits.patience_ms):
+        if submit.patience > to_microseconds(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
         if not self.kept_well and self.facts.products[self.products[submit.product]].effect is not (
             Effect.RERUNNABLE
--- a/hazelhold/engine/silence.py
+++ b/hazelhold/engine/silence.py
@@ -1,6 +1,6 @@
 """What the silence of machines means: those that say nothing are asked, and then taken for lost."""
 
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.cases import HangUp, Loose
 from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.machines import Link
@@ -63,14 +63,14 @@
         that has said nothing for a while is asked, since the module asks none that takes nothing, first on
         its connection, then on a new one. One that stays silent, or has left the list a second ago, has lost
         what stood there."""
-        silent = micros(self.limits.silent_ms)
+        silent = to_microseconds(self.limits.silent_ms)
         if not link.holds or now - self.ran_on_at < HEARD_WITHIN:
             return
         if link.machine not in self.roster.fellows:
             link.gone_at = link.gone_at or now
             if now - link.gone_at < (HEIR_WITHIN if self._awaits_heir(link) else GONE_WITHIN):
                 return
-        elif not link.lost_at or now - link.heard_at < micros(self.limits.lost_ms):
+        elif not link.lost_at or now - link.heard_at < to_microseconds(self.limits.lost_ms):
             if link.state == "down" and not link.lost_at and now - link.heard_at > silent:
                 link.lost_at = link.dial_at = now
                 self.restless[link.machine] = None
@@ -83,7 +83,7 @@
                     link.asked_at = now
                     self.probe_number += 1
                     self._send_machine(link.machine, m.Probe(number=self.probe_number))
-                elif now - link.asked_at > micros(self.limits.probe_ms):
+                elif now - link.asked_at > to_microseconds(self.limits.probe_ms):
                     self._abandon(now, link)
             return
         if link.state != "down":
@@ -95,7 +95,7 @@
     def _ask_loose(self, now: int, loose: Loose) -> None:
         """Asks again what became of a dispatch that was given up, ten times in its keeping time, then forgets
         it: its machine is out of reach for good, or has lost its memory."""
-        keep = micros(self.limits.keep_answers_ms)
+        keep = to_microseconds(self.limits.keep_answers_ms)
         if now - loose.sent_at > 10 * keep:
             self.counts["loose_forgotten"] += 1
             self._settled(loose.case.guest, loose.machine)
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from hazelhold.brain import Brain
-from hazelhold.config.planner import PlannerConfig, micros
+from hazelhold.config.planner import PlannerConfig, to_microseconds
 from hazelhold.engine.advice import Advice
 from hazelhold.engine.cases import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
 from hazelhold.engine.events import Event, MachineEvent, RuleEvent, TaskEvent
@@ -105,7 +105,9 @@
         self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that gives it room, emptied by it
         self.more = False  # the last pump ended at its limit
         self.advice = Advice(
-            micros(self.limits.again_least_ms), micros(self.limits.again_most_ms), Random(f"advice/{seed}")
+            to_microseconds(self.limits.again_least_ms),
+            to_microseconds(self.limits.again_most_ms),
+            Random(f"advice/{seed}"),
         )
 
     def share(self, planners: int, slot: int) -> None:
@@ -205,7 +207,7 @@
     def _keep_end(self, now: int, guest: str, how: str) -> None:
         if len(self.ends) >= self.limits.open_guests:
             self.ends.popitem(last=False)
-        self.ends[guest] = how, now + micros(self.limits.keep_answers_ms)
+        self.ends[guest] = how, now + to_microseconds(self.limits.keep_answers_ms)
         self.ends.move_to_end(guest)
         self._mark("end", guest)
 
@@ -237,8 +239,8 @@
             link.dial_at = now + 100_000  # what waits for it stays here, and is tried again or ends unsent
         elif link.state == "down":
             link.state, link.dial_at, link.address = "dialling", 0, fellow.address
-            link.dial_due = now + micros(self.limits.connect_ms)
-            self.actions.append(Dial(fellow.name, fellow.address, micros(self.limits.connect_ms)))
+            link.dial_due = now + to_microseconds(self.limits.connect_ms)
+            self.actions.append(Dial(fellow.name, fellow.address, to_microseconds(self.limits.connect_ms)))
         return link
 
     def _rested(self, now: int, link: Link) -> None:
@@ -251,7 +253,8 @@
             or link.machine in self.probes
             or (link.machine not in self.roster.fellows)
             or (  # it could not be dialled again
-                now - max(link.used_at, link.heard_at, link.opened_at) <= micros(self.limits.idle_close_ms)
+                now - max(link.used_at, link.heard_at, link.opened_at)
+                <= to_microseconds(self.limits.idle_close_ms)
             )
         ):
             return
--- a/hazelhold/engine/terms.py
+++ b/hazelhold/engine/terms.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from hazelhold.config.planner import LimitsConfig, PlannerConfig, deployment
+from hazelhold.config.planner import LimitsConfig, PlannerConfig, deployment_settings
 from hazelhold.interface import Deployment
 
 
@@ -35,7 +35,7 @@
 def terms_of(config: PlannerConfig) -> Terms:
     estate = config.estate
     return Terms(
-        deployment(config),
+        deployment_settings(config),
         tuple(p.name for p in estate.products),
         tuple(estate.customers),
         tuple(k.name for k in estate.kinds),
--- a/hazelhold/fleetconfig/control_host.py
+++ b/hazelhold/fleetconfig/control_host.py
@@ -10,7 +10,7 @@
 import trio
 
 from hazelhold.config.fleetconfig import ControlFile
-from hazelhold.config.planner import CopiesConfig, CopiesPlanner
+from hazelhold.config.planner import ReplicaPlannerConfig, ReplicationConfig
 from hazelhold.fleetconfig import control_actions as c
 from hazelhold.fleetconfig import messages as m
 from hazelhold.fleetconfig.control import ControlCore
@@ -36,14 +36,14 @@
 KEY = "fleetconfig/head"  # of the agreed register
 
 
-def copies_config(file: ControlFile) -> CopiesConfig:
+def copies_config(file: ControlFile) -> ReplicationConfig:
     """The register's set as the agreed values want it."""
     votes = file.votes
-    return CopiesConfig(
+    return ReplicationConfig(
         listen=votes.listen,
         folder=votes.folder,
         epoch=votes.epoch,
-        planners=[CopiesPlanner(seat.name, seat.votes, seat.zone) for seat in file.control],
+        planners=[ReplicaPlannerConfig(seat.name, seat.votes, seat.zone) for seat in file.control],
         replicas=votes.replicas,
         deployment=file.deployment,
         reach=votes.reach,
--- a/hazelhold/fleetconfig/schema.py
+++ b/hazelhold/fleetconfig/schema.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from hazelhold.config.load import ConfigError, build
-from hazelhold.config.planner import KindConfig, MachinesConfig, NotNegative, ProductConfig
+from hazelhold.config.planner import GuestClassConfig, MachineKindConfig, MachinesConfig, NotNegative
 from hazelhold.fleetconfig.document import Fault
 
 PlaceName = Annotated[str, Meta(max_length=60)]
@@ -42,8 +42,8 @@
 SECTIONS: dict[str, type[Struct]] = {
     "planners": PlannerItem,
     "teams": TeamItem,
-    "products": ProductConfig,
-    "kinds": KindConfig,
+    "products": GuestClassConfig,
+    "kinds": MachineKindConfig,
     "customers": CustomerItem,
 }
 SINGLE_ITEMS: dict[str, type[Struct]] = {"fleet": MachinesConfig}
@@ -104,7 +104,7 @@
     """What an item points to: items' names, or `address IP:PORT`, which only one planner may have."""
     if isinstance(value, TeamItem) and value.parent:
         yield f"teams/{value.parent}"
-    elif isinstance(value, ProductConfig) and value.kind:
+    elif isinstance(value, GuestClassConfig) and value.kind:
         yield f"kinds/{value.kind}"
     elif isinstance(value, PlannerItem):
         yield f"address {value.address}"
--- a/hazelhold/fleetconfig/settings.py
+++ b/hazelhold/fleetconfig/settings.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from hazelhold.config.planner import Estate, PlannerConfig, ProductConfig, check_estate
+from hazelhold.config.planner import FleetSettings, GuestClassConfig, PlannerConfig, check_estate
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.terms import Terms, terms_of
 from hazelhold.fleetconfig.document import Document, Fault
@@ -83,11 +83,11 @@
         return {name.removeprefix(prefix): value for name, value in found}
 
 
-def effective_estate(file: Estate, overrides: Overrides) -> Estate:
+def effective_estate(file: FleetSettings, overrides: Overrides) -> FleetSettings:
     """The estate of this file with the document's items in place. SettingsError names all that is wrong."""
     wrong = [f"{fault.item}: {fault.text}" for faults in overrides.faults.values() for fault in faults]
     customers = overrides.section("customers/")
-    made = Estate(
+    made = FleetSettings(
         _beside(file.products, overrides.section("products/")),
         _beside(file.kinds, overrides.section("kinds/")),
         overrides.values.get(FLEET, file.fleet),
@@ -99,7 +99,7 @@
     return made
 
 
-def _terms(file: PlannerConfig, overrides: Overrides) -> tuple[Estate, Terms]:
+def _terms(file: PlannerConfig, overrides: Overrides) -> tuple[FleetSettings, Terms]:
     """The estate, and what an engine is told of it. SettingsError whatever is wrong: a revision reaches all
     planners, and must not end one of them by an error that nobody thought of."""
     try:
@@ -118,7 +118,7 @@
     return [*(given.get(entry.name, entry) for entry in filed), *added]
 
 
-def restart_reasons(before: Estate, after: Estate) -> list[str]:
+def restart_reasons(before: FleetSettings, after: FleetSettings) -> list[str]:
     """What a running engine cannot take, by item and field."""
     reasons = []
     if before.kinds != after.kinds:
@@ -182,8 +182,8 @@
         self.engine.reconfigure(terms_of(replace(self.file, estate=estate)))
         self.estate, self.refused = estate, False
 
-    def _in_engine_order(self, estate: Estate) -> Estate:
+    def _in_engine_order(self, estate: FleetSettings) -> FleetSettings:
         """Products that the engine has keep their places."""
-        products: dict[str, ProductConfig] = {product.name: product for product in estate.products}
+        products: dict[str, GuestClassConfig] = {product.name: product for product in estate.products}
         kept = [products.pop(product.name) for product in self.estate.products]
         return replace(estate, products=[*kept, *products.values()])
--- a/hazelhold/fleetconfig/validation.py
+++ b/hazelhold/fleetconfig/validation.py
@@ -19,10 +19,10 @@
 from typing import NamedTuple
 
 from hazelhold.config.planner import (
-    Estate,
-    KindConfig,
+    FleetSettings,
+    GuestClassConfig,
+    MachineKindConfig,
     MachinesConfig,
-    ProductConfig,
     check_addresses,
     check_estate,
 )
@@ -231,12 +231,14 @@
         for name in self.touched:
             if name.startswith("kinds/") and not self._is_there(name):
                 affected.update(self.draft.pointing_to(name))
-        names = [name for name in sorted(affected) if isinstance(self._read(name), ProductConfig)]
+        names = [name for name in sorted(affected) if isinstance(self._read(name), GuestClassConfig)]
         products = [self._read(name) for name in names]
         kinds = {product.kind for product in products if product.kind}
         there = [kind for kind in sorted(kinds) if self._is_there(f"kinds/{kind}")]
         # A kind that has faults of its own is there: only its name matters to `check_estate`.
-        estate = Estate(products, [KindConfig(kind, 1.0, 1.0) for kind in there], MachinesConfig())
+        estate = FleetSettings(
+            products, [MachineKindConfig(kind, 1.0, 1.0) for kind in there], MachinesConfig()
+        )
         for place, reason in check_estate(estate, "e"):
             at, _, field = place.removeprefix("e.products[").partition("].")
             self._fault(names[int(at)], f"{field}: {reason}")
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -11,7 +11,7 @@
 
 from hazelhold import __version__
 from hazelhold.config.load import split_address
-from hazelhold.config.planner import MembershipConfig, micros
+from hazelhold.config.planner import MembershipConfig, to_microseconds
 from hazelhold.membership.core import Core, News, Post, Reply, Terms
 from hazelhold.membership.messages import VERSION
 from hazelhold.membership.rows import ALIVE, Row
@@ -31,13 +31,13 @@
 def terms(config: MembershipConfig) -> Terms:
     return Terms(
         deployment=config.deployment,
-        probe=micros(config.probe_ms),
-        answer=micros(config.answer_ms),
-        suspect=micros(config.suspect_ms),
-        suspect_most=micros(config.suspect_most_ms),
-        sync=micros(config.sync_ms),
-        heal=micros(config.heal_ms),
-        join=micros(config.probe_ms),
+        probe=to_microseconds(config.probe_ms),
+        answer=to_microseconds(config.answer_ms),
+        suspect=to_microseconds(config.suspect_ms),
+        suspect_most=to_microseconds(config.suspect_most_ms),
+        sync=to_microseconds(config.sync_ms),
+        heal=to_microseconds(config.heal_ms),
+        join=to_microseconds(config.probe_ms),
         forget=round(config.forget_s * 1e6),
         most_members=config.most_members,
     )
--- a/hazelhold/protocol/record.py
+++ b/hazelhold/protocol/record.py
@@ -10,7 +10,7 @@
 VERSION = 1
 
 
-class Crossing(Struct, omit_defaults=True):
+class RecordedMessage(Struct, omit_defaults=True):
     """One frame, or the opening or closing of a connection, as one end saw it.
 
     `at` is in microseconds on the clock that all ends here share; `by` and `peer` are names; `role` is
@@ -37,7 +37,7 @@
         if self.file is None:
             return
         body = msgspec.to_builtins(message) if message is not None else None
-        crossing = Crossing(at, self.by, self.role, peer, way, body)
+        crossing = RecordedMessage(at, self.by, self.role, peer, way, body)
         if not self.file.closed:  # a day is over while connections still end
             self.file.write(self.encoder.encode(crossing) + b"\n")
 
@@ -50,9 +50,9 @@
     """A record that cannot be read; the text names file, line and reason."""
 
 
-def read_record(path: Path) -> Iterator[Crossing]:
+def read_record(path: Path) -> Iterator[RecordedMessage]:
     """All crossings of a file in its order; a last line that was cut short is passed over."""
-    decoder = msgspec.json.Decoder(Crossing)
+    decoder = msgspec.json.Decoder(RecordedMessage)
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
             try:
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.config.day import Day
-from hazelhold.config.planner import micros
+from hazelhold.config.planner import to_microseconds
 from hazelhold.model.listing import ListService
 from hazelhold.model.machine import Machine, MachineProfile, ProductBehaviour
 from hazelhold.model.owners import OwnerModel, Want
@@ -41,8 +41,8 @@
             seed,
             net.now(),
             (round(r.notice_s[0] * 1e6), round(r.notice_s[1] * 1e6)),
-            micros(r.period_ms),
-            (micros(r.answer_ms[0]), micros(r.answer_ms[1])),
+            to_microseconds(r.period_ms),
+            (to_microseconds(r.answer_ms[0]), to_microseconds(r.answer_ms[1])),
         )
         self.list_host = ListHost(net, self.service, self.recorder("list", "list"))
         self.senders: list[SenderHost] = []
@@ -70,7 +70,7 @@
                         customer=random.choice(day.estate.customers) if day.estate.customers else "",
                         cores=cores,
                         memory=memory,
-                        patience=micros(product.patience_ms),
+                        patience=to_microseconds(product.patience_ms),
                         life=round(random.uniform(*wares.life_s) * 1e6),
                         harmless=product.effect == "rerunnable",
                         weight=wares.share / count * random.uniform(0.5, 1.5),
@@ -88,7 +88,7 @@
                 ticketed=products[w.product].effect == "ticketed",
                 easy_until=products[w.product].easy_until,
                 lost_after=products[w.product].lost_after,
-                work=micros(w.work_ms),
+                work=to_microseconds(w.work_ms),
                 life=round(sum(w.life_s) / 2 * 1e6),
                 cores_use=sum(w.cores_use) / 2,
                 memory_use=sum(w.memory_use) / 2,
@@ -110,17 +110,17 @@
                     makes_room=fleet.makes_room,
                     confirms_running=fleet.confirms == "running",
                     counts_asked=fleet.reports_count == "asked",
-                    look=micros(random.uniform(*stock.look_ms)),
+                    look=to_microseconds(random.uniform(*stock.look_ms)),
                     line=round(random.uniform(*stock.line)),
                     starts=round(random.uniform(*stock.starts)),
                     setup=random.uniform(*stock.setup),
                     kept=round(random.uniform(*stock.kept)),
                     cold_from=fleet.cold_from,
-                    cold_for=micros(fleet.cold_for_ms),
+                    cold_for=to_microseconds(fleet.cold_for_ms),
                     tip_multiple=fleet.tip_multiple,
-                    tip_window=micros(fleet.cold_window_ms),
+                    tip_window=to_microseconds(fleet.cold_window_ms),
                     cold_offers=fleet.cold_offers,
-                    report_period=micros(random.uniform(*stock.report_ms)),
+                    report_period=to_microseconds(random.uniform(*stock.report_ms)),
                     drains=day.drains,
                 )
                 name = f"m{number:03d}"
@@ -163,8 +163,8 @@
                 list(planners),
                 self.wants,
                 demand.rate / demand.owners,
-                (micros(demand.again_ms[0]), micros(demand.again_ms[1])),
-                micros(self.day.estate.fleet.settle_ms),
+                (to_microseconds(demand.again_ms[0]), to_microseconds(demand.again_ms[1])),
+                to_microseconds(self.day.estate.fleet.settle_ms),
                 demand.cancel_share,
                 now,
                 until,
--- a/hazelhold/rehearse/run.py
+++ b/hazelhold/rehearse/run.py
@@ -15,14 +15,14 @@
 from hazelhold.audit.views import ViewBounds, Views
 from hazelhold.config.day import Day
 from hazelhold.config.planner import (
-    CopiesConfig,
-    CopiesPlanner,
     LimitsConfig,
     ListConfig,
     MembershipConfig,
     PlannerConfig,
+    ReplicaPlannerConfig,
+    ReplicationConfig,
     StateConfig,
-    micros,
+    to_microseconds,
 )
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.crashes import CrashingRunner, DiskFault
@@ -87,7 +87,9 @@
 ) -> list[PlannerConfig]:
     """The configurations with claims agreed among all, each planner reaching the others by its own wires."""
     names = [s.name for s in configs]
-    planners = [CopiesPlanner(name, ports[at], f"zone-{at % day.zones}") for at, name in enumerate(names)]
+    planners = [
+        ReplicaPlannerConfig(name, ports[at], f"zone-{at % day.zones}") for at, name in enumerate(names)
+    ]
     found = []
     for a, config in enumerate(configs):
         reach = {
@@ -96,7 +98,7 @@
         found.append(
             replace(
                 config,
-                copies=CopiesConfig(
+                copies=ReplicationConfig(
                     listen=ports[a],
                     folder=str(folder / "votes" / config.name),
                     planners=planners,
@@ -117,9 +119,9 @@
             p.name: {
                 "effect": p.effect,
                 "group": p.group,
-                "window": micros(p.window_ms),
-                "goal": micros(p.goal_ms),
-                "patience": micros(p.patience_ms),
+                "window": to_microseconds(p.window_ms),
+                "goal": to_microseconds(p.goal_ms),
+                "patience": to_microseconds(p.patience_ms),
                 "payoff": p.payoff,
                 "start_bonus": p.start_bonus_s,
                 "late_worth": p.late_worth,
@@ -129,7 +131,7 @@
             for p in day.estate.products
         },
         max_dispatches=fleet.max_dispatches,
-        drain_grace=micros(fleet.drain_grace_ms),
+        drain_grace=to_microseconds(fleet.drain_grace_ms),
         confirms_running=fleet.confirms == "running",
         weights=day.weights,
     )
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -14,7 +14,7 @@
 import trio
 from msgspec import Struct
 
-from hazelhold.config.planner import CopiesConfig
+from hazelhold.config.planner import ReplicationConfig
 from hazelhold.protocol.frames import FrameError
 from hazelhold.protocol.messages import Codec, encode
 from hazelhold.protocol.record import Recorder
@@ -98,7 +98,7 @@
     def __init__(
         self,
         name: str,
-        config: CopiesConfig,
+        config: ReplicationConfig,
         net: Net,
         disk: Disk,
         told: Callable[[int, str, bytes, str], None],
@@ -408,7 +408,7 @@
     """Makes votes safe and lets answers go: one commit at a time, what comes meanwhile shares the next. While
     the disk fails nothing is answered; every `retry_ms` all votes are written anew as a whole."""
 
-    def __init__(self, votes: Votes, config: CopiesConfig, stirred: Callable[[], None]) -> None:
+    def __init__(self, votes: Votes, config: ReplicationConfig, stirred: Callable[[], None]) -> None:
         self.votes, self.config, self.stirred = votes, config, stirred
         self.store = votes.store
         self.queue: deque[tuple[list[Change], Callable[[], object]]] = deque()  # emptied by each commit
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -13,7 +13,7 @@
 import xxhash
 from msgspec import Struct
 
-from hazelhold.config.planner import CopiesConfig
+from hazelhold.config.planner import ReplicationConfig
 from hazelhold.replica import claims, messages
 from hazelhold.replica.acceptor import Acceptor, Cell
 from hazelhold.replica.rejoin import Joiner, Source
@@ -81,13 +81,13 @@
     return True
 
 
-def digest(config: CopiesConfig) -> str:
+def digest(config: ReplicationConfig) -> str:
     """The same for the same set, in whatever order."""
     said = [config.replicas, *sorted((p.name, p.zone) for p in config.planners)]
     return xxhash.xxh3_64_hexdigest(msgspec.json.encode(said))
 
 
-def found(disk: Disk, name: str, config: CopiesConfig, wall: int) -> None:
+def found(disk: Disk, name: str, config: ReplicationConfig, wall: int) -> None:
     """Gives an empty folder its seat. StateError if anything is there: a planner that lost its disk must not
     get it back this way."""
     store = Store(disk, name, KINDS)
@@ -127,7 +127,7 @@
         self,
         disk: Disk,
         name: str,
-        config: CopiesConfig,
+        config: ReplicationConfig,
         nonce: int,
         retention: Retention = keep_open_claims,
     ) -> None:
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -15,7 +15,7 @@
 import structlog
 import trio
 
-from hazelhold.config.planner import StateConfig, micros
+from hazelhold.config.planner import StateConfig, to_microseconds
 from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
@@ -191,7 +191,7 @@
         """Keeps what was learned, and tries a failed disk again."""
         learn_at = 0
         while True:
-            await trio.sleep(micros(self.config.retry_ms) / 1e6)
+            await trio.sleep(to_microseconds(self.config.retry_ms) / 1e6)
             now = self.now()
             if not self.failed and now >= learn_at:
                 learn_at = now + round(self.config.learned_s * 1e6)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,13 +2,13 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import (
-    Estate,
-    KindConfig,
+    FleetSettings,
+    GuestClassConfig,
     LimitsConfig,
     ListConfig,
+    MachineKindConfig,
     MachinesConfig,
     PlannerConfig,
-    ProductConfig,
 )
 from hazelhold.engine.cases import Agree, Dial, Send
 from hazelhold.engine.engine import Engine
@@ -76,11 +76,13 @@
 def planner_config(**limits: object) -> PlannerConfig:
     """A planner's configuration with one product of each effect."""
     products = [
-        ProductConfig("plain", "rerunnable", 800, 5000),
-        ProductConfig("once", "exclusive", 800, 5000),
-        ProductConfig("ticket", "ticketed", 800, 5000, group="cell", window_ms=4000),
+        GuestClassConfig("plain", "rerunnable", 800, 5000),
+        GuestClassConfig("once", "exclusive", 800, 5000),
+        GuestClassConfig("ticket", "ticketed", 800, 5000, group="cell", window_ms=4000),
     ]
-    estate = Estate(products, [KindConfig("box", 24, 40)], MachinesConfig(cores_multiple=2.5, probing=False))
+    estate = FleetSettings(
+        products, [MachineKindConfig("box", 24, 40)], MachinesConfig(cores_multiple=2.5, probing=False)
+    )
     return PlannerConfig("p0", "door", ListConfig("list"), estate, limits=LimitsConfig(**limits))
 
 
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -15,7 +15,7 @@
 from hazelhold.audit.claims import ClaimAudit
 from hazelhold.audit.rules import Audit
 from hazelhold.cli.members import ask
-from hazelhold.config.day import Stock, read_day
+from hazelhold.config.day import MachineStock, read_day
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.environment import Environment
@@ -117,7 +117,7 @@
         self.folder, self.nursery = folder, nursery
         self.net = TcpNet()
         full = read_day(DAY)
-        self.day = replace(full, planners=count, troubles=[], stock=[Stock(kind="large-box", count=3)])
+        self.day = replace(full, planners=count, troubles=[], stock=[MachineStock(kind="large-box", count=3)])
         (folder / "records").mkdir()
         self.chief = Recorder(folder / "records" / "rehearsal.jsonl", "rehearsal", "rehearsal")
         self.environment = Environment(self.day, 1, self.net, folder / "records", "127.0.0.1")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,7 +6,7 @@
 
 from hazelhold.audit.rules import Audit
 from hazelhold.audit.score import score
-from hazelhold.protocol.record import Crossing, Recorder, RecordError, read_record
+from hazelhold.protocol.record import RecordedMessage, Recorder, RecordError, read_record
 
 S = 1_000_000
 RULES = {
@@ -40,7 +40,7 @@
     """Writes a record from the planner's point of view, a tenth of a second a line."""
 
     def __init__(self) -> None:
-        self.crossings = [Crossing(0, "rehearsal", "rehearsal", "", "rules", RULES)]
+        self.crossings = [RecordedMessage(0, "rehearsal", "rehearsal", "", "rules", RULES)]
         self.at = S
         self.lists("a", "ready").lists("b", "ready", cell=1).lists("c", "ready")
 
@@ -56,7 +56,7 @@
     ) -> "Tape":
         self.at += round(wait * S)
         message = {"t": kind, **body} if kind else None
-        self.crossings.append(Crossing(self.at, by, role, peer, way, message))
+        self.crossings.append(RecordedMessage(self.at, by, role, peer, way, message))
         return self
 
     def lists(self, machine: str, mode: str, cell: int = 0, wait: float = 0.1) -> "Tape":
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -21,7 +21,7 @@
 from bench.capacity.hollow.worker import Worker
 from bench.capacity.registry import RefusedError
 from hazelhold.protocol import messages as m
-from hazelhold.protocol.record import Crossing, read_record
+from hazelhold.protocol.record import RecordedMessage, read_record
 
 SECOND = 1_000_000
 WORKERS = 20
@@ -117,7 +117,7 @@
     return found
 
 
-def openings(record: Path, worker_name: str) -> list[Crossing]:
+def openings(record: Path, worker_name: str) -> list[RecordedMessage]:
     return [c for c in read_record(record) if c.peer == worker_name and c.way == "open"]
 
 
--- a/tests/test_claim_audit.py
+++ b/tests/test_claim_audit.py
@@ -6,7 +6,7 @@
 
 from hazelhold.audit.claims import ClaimAudit
 from hazelhold.audit.rules import AuditRules
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 from hazelhold.replica import claims as c
 
 RULES = AuditRules({"once": {"effect": "exclusive"}, "plain": {"effect": "rerunnable"}}, 4, 250_000)
@@ -20,11 +20,11 @@
 
 def asked(
     at: int, by: str, no: int, change: list, value: bytes, outcome: str = "agreed", rounds: int = 1
-) -> list[Crossing]:
+) -> list[RecordedMessage]:
     key = "claim/g"
     return [
-        Crossing(at, by, "planner", key, "ask", {"process": by + "/1", "no": no, "change": change}),
-        Crossing(
+        RecordedMessage(at, by, "planner", key, "ask", {"process": by + "/1", "no": no, "change": change}),
+        RecordedMessage(
             at + 5,
             by,
             "planner",
@@ -42,17 +42,21 @@
     ]
 
 
-def take(at: int, by: str = "p0", value: bytes = CLAIM, known: bytes = b"", **more: object) -> list[Crossing]:
+def take(
+    at: int, by: str = "p0", value: bytes = CLAIM, known: bytes = b"", **more: object
+) -> list[RecordedMessage]:
     change = ["take", by, 1, 0, 0, "m", 2, text(known)]
     return asked(at, by, 2, change, value, **more)
 
 
-def offer(at: int, by: str = "p0", product: str = "once", machine: str = "m") -> list[Crossing]:
-    return [Crossing(at, by, "planner", machine, "out", {"t": "offer", "guest": "g", "product": product})]
+def offer(at: int, by: str = "p0", product: str = "once", machine: str = "m") -> list[RecordedMessage]:
+    return [
+        RecordedMessage(at, by, "planner", machine, "out", {"t": "offer", "guest": "g", "product": product})
+    ]
 
 
-def said(at: int, by: str = "p0", **body: object) -> list[Crossing]:
-    return [Crossing(at, by, "planner", "m", "in", {"guest": "g", **body})]
+def said(at: int, by: str = "p0", **body: object) -> list[RecordedMessage]:
+    return [RecordedMessage(at, by, "planner", "m", "in", {"guest": "g", **body})]
 
 
 OTHER = c.encode(c.Take("p1", 1, 0, 0, "m", 2).claim())
--- a/tests/test_copies_host.py
+++ b/tests/test_copies_host.py
@@ -12,7 +12,7 @@
 from trio.testing import MockClock
 
 from hazelhold.cli.main import main
-from hazelhold.config.planner import CopiesConfig, CopiesPlanner, check_planner
+from hazelhold.config.planner import ReplicaPlannerConfig, ReplicationConfig, check_planner
 from hazelhold.protocol.frames import frame
 from hazelhold.protocol.messages import encode
 from hazelhold.replica import claims as c
@@ -27,7 +27,9 @@
 
 NAMES = ("p0", "p1", "p2")
 CONFIGS = {
-    n: CopiesConfig(listen=f"at-{n}", folder="-", planners=[CopiesPlanner(x, f"at-{x}") for x in NAMES])
+    n: ReplicationConfig(
+        listen=f"at-{n}", folder="-", planners=[ReplicaPlannerConfig(x, f"at-{x}") for x in NAMES]
+    )
     for n in NAMES
 }
 
@@ -267,12 +269,14 @@
         planner_config(), listen="127.0.0.1:1", list=replace(planner_config().list, address="127.0.0.1:2")
     )
     assert check_planner(full) == []
-    assert [p for p, _ in check_planner(replace(full, copies=CopiesConfig(folder="x")))] == ["copies.listen"]
-    wrong = CopiesConfig(
+    assert [p for p, _ in check_planner(replace(full, copies=ReplicationConfig(folder="x")))] == [
+        "copies.listen"
+    ]
+    wrong = ReplicationConfig(
         listen="somewhere:1",
         replicas=4,
         reach={"p9": "127.0.0.1:5"},
-        planners=[CopiesPlanner("p1", "127.0.0.1:0"), CopiesPlanner("p1", "127.0.0.1:4")],
+        planners=[ReplicaPlannerConfig("p1", "127.0.0.1:0"), ReplicaPlannerConfig("p1", "127.0.0.1:4")],
     )
     places = [p for p, _ in check_planner(replace(full, copies=wrong))]
     assert places == [
@@ -292,11 +296,11 @@
         planner_config(),
         listen="127.0.0.1:1",
         list=replace(planner_config().list, address="127.0.0.1:2"),
-        copies=CopiesConfig(
+        copies=ReplicationConfig(
             listen="127.0.0.1:3",
             folder=str(tmp_path / "votes"),
             replicas=1,
-            planners=[CopiesPlanner("p0", "127.0.0.1:3")],
+            planners=[ReplicaPlannerConfig("p0", "127.0.0.1:3")],
         ),
     )
     file = tmp_path / "p0.json5"
@@ -311,5 +315,5 @@
     assert shown.exit_code == 0 and "p0 of hazelhold, epoch 1" in shown.output
     assert run(main, ["copies", "vouch", str(file)]).exit_code == 0
     off = tmp_path / "off.json5"
-    off.write_bytes(msgspec.json.encode(replace(made, copies=CopiesConfig())))
+    off.write_bytes(msgspec.json.encode(replace(made, copies=ReplicationConfig())))
     assert "copies are off" in run(main, ["copies", "show", str(off)]).output
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -7,7 +7,7 @@
 from hazelhold.audit.views import ViewBounds, Views
 from hazelhold.cli.main import main
 from hazelhold.config.day import Day, Trouble, check_day, read_day
-from hazelhold.protocol.record import Crossing
+from hazelhold.protocol.record import RecordedMessage
 from hazelhold.rehearse.troubles import plan
 from tests.test_day import EXAMPLES, bad_day
 
@@ -20,7 +20,7 @@
     """Four planners that know each other from second 1 on."""
 
     def __init__(self) -> None:
-        self.told: list[Crossing] = []
+        self.told: list[RecordedMessage] = []
         for name in NAMES:
             self.believes(0.1, name, name, "started")
             self.fact(0.2, "planner_up", name)
@@ -31,11 +31,13 @@
 
     def fact(self, at: float, way: str, name: str = "", pairs: list | None = None) -> None:
         self.told.append(
-            Crossing(round(at * S), "rehearsal", "rehearsal", name, way, pairs and {"pairs": pairs})
+            RecordedMessage(round(at * S), "rehearsal", "rehearsal", name, way, pairs and {"pairs": pairs})
         )
 
     def believes(self, at: float, by: str, of: str, what: str, life: int = 1) -> None:
-        self.told.append(Crossing(round(at * S), by, "planner", of, "member", {"what": what, "life": life}))
+        self.told.append(
+            RecordedMessage(round(at * S), by, "planner", of, "member", {"what": what, "life": life})
+        )
 
     def all_believe(self, at: float, of: str, what: str, life: int = 1, but: str = "") -> None:
         for by in NAMES:
