--- a/hazelhold/platform/discovery.py
+++ b/hazelhold/platform/discovery.py
@@ -108,7 +108,7 @@
     """One call, from its dial to its answer, which the bulletin may keep back for `wait` seconds where it has
     no news. `connection` may be given; else one is dialled."""
 
-    def __init__(self, follower: "Follower[T]", connection: Connection | None, wait: float) -> None:
+    def __init__(self, follower: "DiscoveryFollower[T]", connection: Connection | None, wait: float) -> None:
         self.follower, self.connection, self.wait = follower, connection, wait
         self.asked_at = self.began_at = trio.current_time()
         self.scope = trio.CancelScope()
@@ -147,7 +147,7 @@
         return self.connection.heard_at if self.connection is not None else self.began_at
 
 
-class Follower(Generic[T]):
+class DiscoveryFollower(Generic[T]):
     """Keeps to one address; `read(item)` makes an event of one item or raises DiscoveryError, `hear(events,
     age, whole)` gets new events in order, how many seconds ago the call was made that brought them, and
     whether it shows that none is missing; `fail()` hears of each failed call. `lease`: seconds for which an
@@ -167,7 +167,7 @@
         self.hear, self.fail = hear, fail
         self.unread = (0, 0)  # the number of an event that could not be read, and how often
         self.last = known.no
-        self.wished = trio.Event()
+        self.update_requested = trio.Event()
         self.scope = trio.CancelScope()
         self.failures = 0  # in a row
         self.confirmed = False  # the last answer showed that no event is missing, soon enough to be of use
@@ -176,8 +176,8 @@
         self.slow: list[Call[T]] = []  # emptied as they end
         self.log = structlog.get_logger()
 
-    def wish(self) -> None:
-        self.wished.set()
+    def request_update(self) -> None:
+        self.update_requested.set()
 
     def move(self, address: str) -> None:
         """Asks a new address from now on, at once. What the old one would still say is not waited for."""
@@ -186,7 +186,7 @@
         self.scope.cancel()
 
     async def run(self) -> None:
-        await self.wished.wait()
+        await self.update_requested.wait()
         while True:
             with trio.CancelScope() as self.scope:
                 async with trio.open_nursery() as nursery:
--- a/hazelhold/platform/logbook.py
+++ b/hazelhold/platform/event_log.py
@@ -22,7 +22,7 @@
 ENDED_BADLY = ("broken_off", "turned_back", "lost", "cut", "error", "overdue", "cut_off")
 
 
-class Logbook:
+class EventLog:
     """One planner's."""
 
     def __init__(self, log: structlog.stdlib.BoundLogger, engine: Engine) -> None:
--- a/hazelhold/platform/eviction.py
+++ b/hazelhold/platform/eviction.py
@@ -14,7 +14,7 @@
 STUCK = 0.5  # seconds in which an idle owner has read nothing
 
 
-class Standing(IntEnum):
+class EvictionRank(IntEnum):
     """How much is lost with an idle connection; the lowest is closed first."""
 
     SILENT = 0  # has said nothing of use in time, or reads nothing
@@ -46,14 +46,14 @@
     fresh = {peer: not peer.good and peer.came_at > now - FRESH for peer in idle}
     mostly_fresh = 2 * sum(fresh.values()) > len(peers)
 
-    def standing(peer: OwnerPeer) -> Standing:
+    def standing(peer: OwnerPeer) -> EvictionRank:
         if stuck[peer]:
-            return Standing.SILENT
+            return EvictionRank.SILENT
         if peer.handed_over:
-            return Standing.HANDED_OVER
+            return EvictionRank.HANDED_OVER
         if peer.good:
-            return Standing.SERVED if peer.proven else Standing.ASKED
-        return Standing.FRESH if fresh[peer] and not mostly_fresh else Standing.SILENT
+            return EvictionRank.SERVED if peer.proven else EvictionRank.ASKED
+        return EvictionRank.FRESH if fresh[peer] and not mostly_fresh else EvictionRank.SILENT
 
     return sorted(
         idle,
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -13,7 +13,7 @@
 
 from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
-from hazelhold.platform import words
+from hazelhold.platform import translation
 from hazelhold.platform.codec import CodecError, Line
 from hazelhold.platform.peer import MachinePeer
 from hazelhold.protocol import messages as m
@@ -198,7 +198,7 @@
     def _said(self, machine: str, line: Line) -> None:
         if self.log_frames:
             self.log.debug("machine_said", machine=machine, line=repr(line))
-        message = words.from_machine(line, not self.engine.out(line.call))
+        message = translation.from_machine(line, not self.engine.out(line.call))
         if message is None:
             return
         self.engine.machine_said(self.net.now(), machine, message)
--- a/hazelhold/platform/beliefs.py
+++ b/hazelhold/platform/machine_summary.py
@@ -3,7 +3,7 @@
 from hazelhold.engine.engine import Engine
 
 
-def machine_beliefs(engine: Engine, now: int) -> dict[str, str]:
+def machine_summaries(engine: Engine, now: int) -> dict[str, str]:
     """A line for each machine of the list. `now` in microseconds of the engine's clock."""
     found = {}
     for name, fellow in engine.roster.fellows.items():
--- a/hazelhold/platform/owner_door.py
+++ b/hazelhold/platform/owner_server.py
@@ -13,7 +13,7 @@
 
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.permission import close_denied
-from hazelhold.platform import words
+from hazelhold.platform import translation
 from hazelhold.platform.codec import END, HEARD, SET_UP, TEST, BinaryMessage, CodecError
 from hazelhold.platform.eviction import eviction_order, is_stuck
 from hazelhold.platform.peer import OwnerPeer
@@ -27,7 +27,7 @@
 LOOKS = 16  # idle connections that are asked for unread bytes before a new one is refused
 
 
-class OwnerDoor:
+class OwnerServer:
     """All connections of owners to one planner.
 
     `progress` carries out what the engine wants after it has heard something and wakes the ticker; `heard`
@@ -41,7 +41,7 @@
         self,
         net: Net,
         engine: Engine,
-        bounds: words.Bounds,
+        bounds: translation.Bounds,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
         progress: Callable[[], None],
@@ -182,7 +182,7 @@
 
     def tell(self, owner: str, message: m.Message) -> None:
         """Sends an answer on its connection, or the end of a task where it can be told."""
-        binary = words.to_owner(message)
+        binary = translation.to_owner(message)
         if binary is None:
             return
         if self.log_frames:
@@ -232,7 +232,7 @@
             self._taken_back(now, peer, binary.id)
         elif binary.type == TEST:
             peer.good = True
-            peer.send(words.tested(binary.id, self.engine.ready() and not self.leaving))
+            peer.send(translation.probe_answer(binary.id, self.engine.ready() and not self.leaving))
         elif binary.type != HEARD:
             self.counts["owner_passed_over"] += 1
         if peer.good:
@@ -262,8 +262,8 @@
     def _set_up(self, now: int, peer: OwnerPeer, binary: BinaryMessage) -> None:
         ended = self.early.pop(binary.id, 0.0) > trio.current_time()
         try:
-            submit, at = words.wanted(binary, self.bounds)
-        except (words.BadAskError, CodecError) as wrong:
+            submit, at = translation.parse_submission(binary, self.bounds)
+        except (translation.InvalidSubmissionError, CodecError) as wrong:
             self._unusable(peer, binary.id, wrong)
             return
         if ended:
@@ -271,7 +271,7 @@
         if at:
             self._handed_over(now, peer, at, submit, ended)
         elif ended:
-            peer.send(words.released(binary.id, words.FULL))
+            peer.send(translation.released(binary.id, translation.FULL))
         else:
             if binary.id not in self.engine.newest:
                 peer.open[binary.id] = None
@@ -285,14 +285,16 @@
         self.counts["requests_read_late"] += waited > READ_LATE
         return replace(submit, patience=max(0, submit.patience - round(waited * 1e6)))
 
-    def _unusable(self, peer: OwnerPeer, task: str, wrong: words.BadAskError | CodecError) -> None:
+    def _unusable(
+        self, peer: OwnerPeer, task: str, wrong: translation.InvalidSubmissionError | CodecError
+    ) -> None:
         """Answers a set-up that cannot be read."""
         self.counts["ask_" + wrong.code] += 1
         self.log.debug("ask_refused", owner=peer.name, reason=str(wrong)[:200])
         if self._came_on(peer, task):
             self._fault(peer, CodecError("open_already", "a second set-up under an open id"))
         else:
-            peer.send(words.released(task, words.ERROR))
+            peer.send(translation.released(task, translation.ERROR))
 
     def _handed_over(self, now: int, peer: OwnerPeer, at: str, submit: m.Submit, ended: bool) -> None:
         """A set-up that names the machine where its task runs already."""
@@ -301,7 +303,7 @@
             return
         if wrong := self.engine.guest_stands(now, peer.name, at, submit):
             self.counts["found_" + wrong] += 1
-            peer.send(words.released(submit.guest, words.RESET))
+            peer.send(translation.released(submit.guest, translation.RESET))
             return
         peer.good = peer.told = peer.handed_over = True
         if ended:  # its machine must not keep it
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -9,7 +9,7 @@
 import trio
 
 from hazelhold.platform.codec import BinaryMessage, BinaryReader, LineReader, encode_binary, encode_line
-from hazelhold.platform.words import to_machine
+from hazelhold.platform.translation import to_machine
 from hazelhold.protocol import messages as m
 from hazelhold.service.arrival import EmptySince
 from hazelhold.service.net import accept_delay
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -16,13 +16,13 @@
 from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Mode
-from hazelhold.platform import words
-from hazelhold.platform.beliefs import machine_beliefs
+from hazelhold.platform import translation
 from hazelhold.platform.configuration import Start, read_start
-from hazelhold.platform.discovery import DiscoveryError, Follower
-from hazelhold.platform.logbook import Logbook
+from hazelhold.platform.discovery import DiscoveryError, DiscoveryFollower
+from hazelhold.platform.event_log import EventLog
 from hazelhold.platform.machine_links import MachineLinks
-from hazelhold.platform.owner_door import OwnerDoor
+from hazelhold.platform.machine_summary import machine_summaries
+from hazelhold.platform.owner_server import OwnerServer
 from hazelhold.protocol import messages as m
 from hazelhold.service.arrival import beat
 from hazelhold.service.net import Net
@@ -55,7 +55,7 @@
         self.log = structlog.get_logger().bind(planner=start.name)
         self.engine = Engine(start.terms, start.seed, net.now())
         self.limits = start.terms.limits
-        bounds = words.Bounds(
+        bounds = translation.Bounds(
             start.most,
             dict(zip(start.terms.products, start.patience, strict=True)),
             frozenset(start.terms.customers),
@@ -63,12 +63,12 @@
         self.ticker = Ticker(net.now, self.engine.next_at, self._work, self.limits.batch_ms / 1000)
         self.counts: Counter[str] = Counter()
         self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.stir)
-        self.door = OwnerDoor(
+        self.owner_server = OwnerServer(
             net, self.engine, bounds, self.counts, self.log, self._progress, self.links.owner_heard
         )
-        self.links.is_unheard = self.door.is_unheard
+        self.links.is_unheard = self.owner_server.is_unheard
         self.zones = dict(start.zones)  # numbers by name; grows with zones that the list names
-        self.follower = Follower(
+        self.follower = DiscoveryFollower(
             net,
             start.bulletin,
             start.known,
@@ -77,7 +77,7 @@
             self._discovery_answered,
             self._discovery_failed,
         )
-        self.logbook = Logbook(self.log, self.engine)
+        self.event_log = EventLog(self.log, self.engine)
         self.reloads = 0  # signals to read the file again
         self.closing = False  # machines are not dialled any more
         self.stop_asked, self.ended = trio.Event(), trio.Event()
@@ -85,7 +85,7 @@
 
     def log_frames(self) -> None:
         """Logs each message of owners and machines from now on."""
-        self.door.log_frames = self.links.log_frames = True
+        self.owner_server.log_frames = self.links.log_frames = True
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
@@ -101,10 +101,11 @@
             # Half of what owners and machines leave over, less some eight that the process has anyway.
             spare = self.start.bounds.sockets - self.limits.connections - self.limits.links
             self.address = await self.net.listen(
-                self.start.listen, self.door.serve, nursery, max(4, (spare - 8) // 2)
+                self.start.listen, self.owner_server.serve, nursery, max(4, (spare - 8) // 2)
             )
             nursery.start_soon(self.ticker.run)
-            self.follower.wish()  # also where the module would ask only later: nothing is sent before
+            # Requested here since the scheduler may request the list only later; nothing is sent before it.
+            self.follower.request_update()
             nursery.start_soon(self.follower.run)
             nursery.start_soon(self._tend)
             self.log.info(
@@ -174,7 +175,7 @@
         longest = min(LONGEST_DEADLINE, max(self.start.patience) / 1e6)
         kill, part = trio.current_time() + COMING + longest, min(1.0, longest)
         self.log.info("stopping", unanswered=self.engine.unanswered(), until=round(kill, 2))
-        self.door.leaving = True
+        self.owner_server.leaving = True
         await trio.sleep_until(kill - ANSWER_WAITING * part)
         self.engine.stop(self.net.now())
         self._progress()
@@ -187,12 +188,12 @@
             self.links.by_machine
         ):  # first, so that no end is heard that could not be told any more
             self.links.hang_up(name)
-        for peer in self.door.peers.values():
+        for peer in self.owner_server.peers.values():
             peer.end()
         with trio.move_on_at(
             kill - LAST_BYTES * part
         ):  # an answer of which a part has left is still owed the rest
-            while any(peer.unsent() for peer in self.door.peers.values()):
+            while any(peer.unsent() for peer in self.owner_server.peers.values()):
                 await trio.sleep(0.01)
         await trio.sleep(0.02)
         self.log.info("stopped", unanswered=self.engine.unanswered(), **self.all_counts())
@@ -220,12 +221,12 @@
             actions, self.engine.actions = self.engine.actions, []
             for action in actions:
                 self._do(action)
-        self.logbook.write()
+        self.event_log.write()
 
     def _do(self, action: Action) -> None:
         if isinstance(action, Send):
             if action.role == "owner":
-                self.door.tell(action.peer, action.message)
+                self.owner_server.tell(action.peer, action.message)
             else:
                 self.links.tell(action.peer, action.message)
         elif isinstance(action, Dial) and not self.closing:
@@ -233,7 +234,7 @@
         elif isinstance(action, HangUp | Lost):
             self.links.hang_up(action.machine if isinstance(action, HangUp) else action.peer)
         elif isinstance(action, AskList):
-            self.follower.wish()
+            self.follower.request_update()
 
     # The bulletin.
 
@@ -242,7 +243,7 @@
         if "roster" not in item:
             return m.Listing(version=self.engine.list_version, whole=False, entries=[])
         try:
-            listing, faults = words.listing(item["roster"], self.zones, self.net.wall())
+            listing, faults = translation.listing(item["roster"], self.zones, self.net.wall())
         except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as wrong:
             self.counts["discovery_unreadable"] += 1
             raise DiscoveryError(f"an event that cannot be read: {wrong!r:.200}") from None
@@ -281,9 +282,9 @@
     async def _tend(self) -> None:
         while True:
             await trio.sleep(1.0)
-            self.door.releases.drop_overdue()
-            self.logbook.write_counts(self.all_counts())
-            self.logbook.write_clock_step(self.net.wall_stepped())
+            self.owner_server.releases.drop_overdue()
+            self.event_log.write_counts(self.all_counts())
+            self.event_log.write_clock_step(self.net.wall_stepped())
             if self.log.is_enabled_for(logging.DEBUG):
                 self._tell_beliefs()
 
@@ -295,10 +296,10 @@
             waiting=len(engine.brain.waiting),
             out=len(engine.brain.out),
             cases=len(engine.cases),
-            owners=len(self.door.peers),
+            owners=len(self.owner_server.peers),
             links=len(self.links.by_machine),
-            held=len(self.door.releases.waiting),
-            fleet=machine_beliefs(engine, self.net.now()),
+            held=len(self.owner_server.releases.waiting),
+            fleet=machine_summaries(engine, self.net.now()),
             cpu=round(time.process_time(), 2),
             counts=dict(self.counts),
             engine=dict(engine.counts),
--- a/hazelhold/platform/words.py
+++ b/hazelhold/platform/translation.py
@@ -37,7 +37,7 @@
 STATES = {"in_service": "ready", "terminating": "cordoned", "terminated": "gone"}
 
 
-class BadAskError(Exception):
+class InvalidSubmissionError(Exception):
     """A set-up that cannot be used, though its message can be read."""
 
     def __init__(self, code: str, text: str) -> None:
@@ -45,7 +45,7 @@
         self.code = code
 
 
-class Wanted(NamedTuple):
+class ParsedSubmission(NamedTuple):
     """A set-up of an owner; `at` is the machine that has the guest already, if one has."""
 
     submit: m.Submit
@@ -64,29 +64,29 @@
 # Owners.
 
 
-def wanted(binary: BinaryMessage, bounds: Bounds) -> Wanted:
+def parse_submission(binary: BinaryMessage, bounds: Bounds) -> ParsedSubmission:
     """BadAskError or CodecError if it cannot be used."""
     product, customer = binary.text(CLASS), binary.text(TENANT)
     if product not in bounds.patience:
-        raise BadAskError("unknown_product", f"no product is called {product[:60]!r}")
+        raise InvalidSubmissionError("unknown_product", f"no product is called {product[:60]!r}")
     if customer and customer not in bounds.customers:
-        raise BadAskError("unknown_customer", f"no customer is called {customer[:60]!r}")
+        raise InvalidSubmissionError("unknown_customer", f"no customer is called {customer[:60]!r}")
     figures = dict(part.partition(":")[::2] for part in binary.text(FIGURES).split(";") if part)
     cores = figure(figures.get("cores", ""), "cores")
     memory = figure(figures.get("memory", ""), "memory")
     if not (0 < cores <= bounds.most[0] and 0 < memory <= bounds.most[1]):
-        raise BadAskError("out_of_range", f"{cores:g} cores and {memory:g} of memory")
+        raise InvalidSubmissionError("out_of_range", f"{cores:g} cores and {memory:g} of memory")
     at, left = figures.get("at", ""), binary.text(LEFT)
     patience = figure(left, "the time") if left or not at else 0.0
     if not at and not 0 < patience * 1000 <= bounds.patience[product] + 1_000_000:
-        raise BadAskError("out_of_range", f"a patience of {patience:g} ms")
+        raise InvalidSubmissionError("out_of_range", f"a patience of {patience:g} ms")
     service, key = figures.get("service", ""), binary.text(NAME)
     if not key or len(key) > 200 or not service or len(service) > 200:
-        raise BadAskError("no_name", "task and service need a name of at most 200 letters")
+        raise InvalidSubmissionError("no_name", "task and service need a name of at most 200 letters")
     ticket = binary.text(TICKET)
     description = binary.parameters.get(DESCRIPTION, b"")
     binary.text(DESCRIPTION)  # it travels on as JSON text
-    return Wanted(
+    return ParsedSubmission(
         m.Submit(
             guest=binary.id,
             product=product,
@@ -109,7 +109,7 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise BadAskError("no_figure", f"{what}: {text[:40]!r} is no figure")
+        raise InvalidSubmissionError("no_figure", f"{what}: {text[:40]!r} is no figure")
     return value
 
 
@@ -133,11 +133,11 @@
     return BinaryMessage(END, guest, {**(more or {}), CAUSE: bytes((cause,))})
 
 
-def heard(guest: str) -> BinaryMessage:
+def acknowledged(guest: str) -> BinaryMessage:
     return BinaryMessage(HEARD, guest, {})
 
 
-def tested(guest: str, well: bool) -> BinaryMessage:
+def probe_answer(guest: str, well: bool) -> BinaryMessage:
     return BinaryMessage(TESTED, guest, {CAUSE: bytes((int(well),))})
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
         owner = await rig.owner()
         await owner.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
         await until(lambda: owner.heard)
-        (peer,) = rig.planner.door.peers.values()
+        (peer,) = rig.planner.owner_server.peers.values()
         peer.stream = tap = Tap(peer.stream)
         tap.stopped = True
         await owner.say(set_up(1), BinaryMessage(TEST, name(8), {17: b"\0"}))
@@ -36,7 +36,9 @@
         else:
             await owner.stream.aclose()
         await until(lambda: not rig.planner.engine.out(name(1)))
-        assert peer.sending and peer.name in rig.planner.door.peers  # the answer is still on its way out
+        assert (
+            peer.sending and peer.name in rig.planner.owner_server.peers
+        )  # the answer is still on its way out
         await until(
             lambda: (
                 [line["op"] for line in rig.machines["a"].heard if line["op"] != "test"] == ["offer", "end"]
@@ -54,7 +56,7 @@
             await owner.stream.send_all(encode_binary(set_up(1)) + rest)
         else:
             await other.say(end(1))  # it overtook its set-up, which comes on another connection
-            await until(lambda: rig.planner.door.early)
+            await until(lambda: rig.planner.owner_server.early)
             await owner.say(set_up(1))
             await until(lambda: owner.of(1))
             assert owner.of(1) == [(END, 34)]
@@ -69,7 +71,7 @@
     async def test(rig: SocketRig) -> None:
         owner, other = await rig.owner(), await rig.owner()
         await other.say(end(1))
-        await until(lambda: rig.planner.door.early)
+        await until(lambda: rig.planner.owner_server.early)
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a"))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
         assert not rig.planner.engine.stands(name(1)) and not owner.of(1)
--- a/tests/test_crossings_connections.py
+++ b/tests/test_crossings_connections.py
@@ -177,7 +177,7 @@
         await second.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
         await first.say(set_up(1))
         await until(lambda: first.of(1) == PLACED and second.heard)
-        peer = rig.planner.door.peers["c1"]
+        peer = rig.planner.owner_server.peers["c1"]
         peer.stream = tap = Tap(peer.stream)
         tap.stopped = True
         await rig.machines["a"].end(name(1), 16)
--- a/tests/test_crossings_planner.py
+++ b/tests/test_crossings_planner.py
@@ -76,7 +76,7 @@
         owner = await rig.owner()
         await owner.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
         await until(lambda: owner.heard)
-        (peer,) = rig.planner.door.peers.values()
+        (peer,) = rig.planner.owner_server.peers.values()
         peer.stream = tap = Tap(peer.stream)
         tap.stopped, tap.half = True, 7
         await owner.say(set_up(1, left="800"))
@@ -185,11 +185,11 @@
             await owner.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
         await until(lambda: all(owner.heard for owner in rude))
         taps = []
-        for peer in rig.planner.door.peers.values():
+        for peer in rig.planner.owner_server.peers.values():
             peer.stream = tap = Tap(peer.stream)
             tap.stopped = True
             taps.append(tap)
-        old = list(rig.planner.door.peers.values())
+        old = list(rig.planner.owner_server.peers.values())
         for owner in rude:
             await owner.say(BinaryMessage(TEST, name(8), {17: b"\0"}))
         await until(lambda: all(peer.sending for peer in old))
@@ -214,13 +214,13 @@
         for owner in idle:
             await owner.say(BinaryMessage(TEST, "00000000000000aa", {17: b"\0"}))
         await trio.sleep(0.6)
-        assert len(rig.planner.door.peers) == most
+        assert len(rig.planner.owner_server.peers) == most
         clients = [await rig.owner() for _ in range(6)]
         await trio.sleep(0.005)  # a request is some milliseconds behind the connection that it comes on
         for at, client in enumerate(clients):
             await client.say(set_up(at + 1))
         await trio.sleep(0.5)
         assert [client.of(at + 1) for at, client in enumerate(clients)] == [PLACED] * len(clients)
-        assert len(rig.planner.door.peers) <= most
+        assert len(rig.planner.owner_server.peers) <= most
 
     play(test)
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -20,7 +20,7 @@
 
 from hazelhold.engine.silence import Silence
 from hazelhold.platform.codec import encode_binary
-from hazelhold.platform.owner_door import FIRST_MESSAGE
+from hazelhold.platform.owner_server import FIRST_MESSAGE
 from hazelhold.platform.peer import OwnerPeer
 from tests.faults.clients import Habits
 from tests.platform_rig import PLACED, TELLING_USE, Owner, Rig, SocketRig, end, on_sockets, set_up
@@ -158,7 +158,7 @@
         for _ in range(full):
             await rig.owner()
         await trio.sleep(FIRST_MESSAGE - 0.1)
-        assert len(rig.planner.door.peers) == full
+        assert len(rig.planner.owner_server.peers) == full
         host, port = rig.planner.address.split(":")
         made = []
         for task in range(1, new + 1):
@@ -229,7 +229,7 @@
         for task, owner in enumerate(owners, 1):
             await owner.say(set_up(task), end(task))
         await trio.sleep(FIRST_MESSAGE - 0.1)
-        assert len(rig.planner.door.peers) == TRIES
+        assert len(rig.planner.owner_server.peers) == TRIES
         for task, owner in enumerate(owners, 101):
             owner.stream.socket._sock.send(encode_binary(set_up(task)))
         time.sleep(0.3)
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -13,7 +13,7 @@
 
 from hazelhold.cli.logs import Unfailing
 from hazelhold.config.load import ConfigError, read_text
-from hazelhold.platform.logbook import Logbook
+from hazelhold.platform.event_log import EventLog
 from hazelhold.platform.peer import OwnerPeer
 from hazelhold.service import net
 from hazelhold.service.arrival import LoopClock
@@ -205,7 +205,7 @@
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await trio.sleep(0.2)
-        (peer,) = rig.planner.door.peers.values()
+        (peer,) = rig.planner.owner_server.peers.values()
         peer.accept_delay = 1.5
         await owner.say(set_up(1, left="2000"))
         await trio.sleep(0.1)
@@ -292,7 +292,7 @@
     async def test(rig: Rig) -> None:
         written = []
         log = SimpleNamespace(warning=lambda event, **more: written.append((event, more)))
-        logbook = Logbook(log, rig.planner.engine)
+        logbook = EventLog(log, rig.planner.engine)
         logbook.write_clock_step(0.2)  # kept in step, not stepped
         for seconds in (3600.0, 3600.1, 0.0):
             logbook.write_clock_step(seconds)
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -469,7 +469,7 @@
         await trio.sleep(0.1)
         await rig.machines["a"].end(f"{1:016x}", 16)
         await trio.sleep(0.1)
-        assert len(rig.planner.door.releases.waiting) == 1
+        assert len(rig.planner.owner_server.releases.waiting) == 1
         second = await rig.owner()
         await second.say(stands)
         await trio.sleep(0.5)
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -11,7 +11,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.links import ENDINGS
 from hazelhold.interface import Ending, Remark
-from hazelhold.platform import words
+from hazelhold.platform import translation
 from hazelhold.platform.codec import (
     CAUSE,
     DESCRIPTION,
@@ -39,7 +39,9 @@
 
 IDS = st.integers(1, 2**64 - 1).map(lambda n: f"{n:016x}")
 VALUES = st.dictionaries(st.integers(1, 16), st.binary(max_size=60), max_size=5)
-BOUNDS = words.Bounds((104.0, 60.0), {"plain": 3_000_000, "once": 2_500_000}, frozenset({"acme", "beta"}))
+BOUNDS = translation.Bounds(
+    (104.0, 60.0), {"plain": 3_000_000, "once": 2_500_000}, frozenset({"acme", "beta"})
+)
 
 
 @given(
@@ -229,19 +231,19 @@
             "why": random.choice((16, 34, odd())),
         }
         with contextlib.suppress(CodecError):
-            words.from_machine(decode_line(json.dumps(line).encode()), random.random() < 0.5)
+            translation.from_machine(decode_line(json.dumps(line).encode()), random.random() < 0.5)
         entry = host("a")
         entry[random.choice(list(entry))] = odd()
         with contextlib.suppress(ValueError, TypeError, KeyError, AttributeError, OverflowError):  # as _event
-            words.listing(
+            translation.listing(
                 {"seq": odd(), "whole": odd(), "hosts": random.choice((odd(), [odd()], [entry]))},
                 {"z1": 0},
                 10**15,
             )
         code = random.choice((3, 4, 5, 7, 8, 16, 18))
-        with contextlib.suppress(words.BadAskError, CodecError):
+        with contextlib.suppress(translation.InvalidSubmissionError, CodecError):
             text = f"cores:{odd()};memory:{odd()};service:{odd()}".encode()
-            words.wanted(set_up(5, parameters={code: text}), BOUNDS)
+            translation.parse_submission(set_up(5, parameters={code: text}), BOUNDS)
     for _ in range(300):
         made = json.loads(file("ab"))
         part = random.choice(
@@ -276,12 +278,12 @@
         service="s",
         cores=1.0,
         memory=1.0,
-        ticket=words.wanted(marked, BOUNDS).submit.ticket,
+        ticket=translation.parse_submission(marked, BOUNDS).submit.ticket,
     )
-    assert words.to_machine(offer, 1_000_000).fields["idem"] == "24afb465d4b09c63"
+    assert translation.to_machine(offer, 1_000_000).fields["idem"] == "24afb465d4b09c63"
     assert (
         "idem"
-        not in words.to_machine(
+        not in translation.to_machine(
             m.Offer(guest=marked.id, product="plain", service="s", cores=1.0, memory=1.0), 1_000_000
         ).fields
     )
@@ -298,9 +300,9 @@
 def test_a_figure_past_all_bounds_is_none_and_ends_nothing(line: bytes) -> None:
     """Seen with a probe: the first was an OverflowError that ended the process, the others in the Brain's
     sums."""
-    assert words.from_machine(decode_line(line), True) is None
+    assert translation.from_machine(decode_line(line), True) is None
     report = decode_line(b'{"op":"end","call":"aa","why":34,"with":{"load":"x0:1;x1:-1e300"}}')
-    assert words.from_machine(report, False).load is None
+    assert translation.from_machine(report, False).load is None
     roster = {
         "hosts": [
             host("a") | {"room": [1e300, "nan"]},
@@ -308,13 +310,15 @@
             host("c", "terminating", dial="") | {"room": ["x"]},
         ]
     }
-    listing, faults = words.listing(roster, {"z1": 0}, 0)
+    listing, faults = translation.listing(roster, {"z1": 0}, 0)
     assert [(e.machine, e.cores_room, e.memory_room) for e in listing.entries] == [("a", 0, 0), ("c", 0, 0)]
     assert len(faults) == 1 and "nowhere" in faults[0]
 
 
 def test_a_set_up_becomes_an_ask_with_all_that_it_says() -> None:
-    submit, at = words.wanted(set_up(5, "once", "1500", "cores:0.5;memory:2;service:s7"), BOUNDS)
+    submit, at = translation.parse_submission(
+        set_up(5, "once", "1500", "cores:0.5;memory:2;service:s7"), BOUNDS
+    )
     assert at == "" and submit == m.Submit(
         guest=f"{5:016x}",
         product="once",
@@ -327,7 +331,7 @@
         description=b"ask 5\r\n\xc3\xbc",
     )
     figures = "cores:1;memory:1;service:s;at:m1"
-    assert words.wanted(set_up(5, left="4294967", figures=figures), BOUNDS).at == "m1"
+    assert translation.parse_submission(set_up(5, left="4294967", figures=figures), BOUNDS).at == "m1"
 
 
 @pytest.mark.parametrize(
@@ -355,8 +359,8 @@
     ],
 )
 def test_asks_that_cannot_be_used_are_refused(bad: dict) -> None:
-    with pytest.raises((words.BadAskError, CodecError)):
-        words.wanted(set_up(1, **bad), BOUNDS)
+    with pytest.raises((translation.InvalidSubmissionError, CodecError)):
+        translation.parse_submission(set_up(1, **bad), BOUNDS)
 
 
 @pytest.mark.parametrize(
@@ -393,7 +397,7 @@
     line: dict, placed: bool, ending: Ending, remark: Remark
 ) -> None:
     fields = {"note": line["note"]} if "note" in line else {}
-    message = words.from_machine(Line("end", "1", fields, line.get("why")), placed)
+    message = translation.from_machine(Line("end", "1", fields, line.get("why")), placed)
     if isinstance(message, m.OfferRefused):
         from hazelhold.engine.links import REMARKS
 
@@ -404,7 +408,7 @@
 
 def test_notes_reports_and_tests_mean_what_they_mean_on_the_simulator() -> None:
     def said(text: str) -> m.Message | None:
-        return words.from_machine(decode_line(text.encode()), True)
+        return translation.from_machine(decode_line(text.encode()), True)
 
     note = '{"op":"info","call":"1","with":{"note":"%s","value":%s}}'
     assert said(note % ("up", "0")) == m.Started(guest="1")
@@ -423,15 +427,15 @@
 
 def test_answers_to_owners_say_whether_another_try_is_harmless() -> None:
     guest = f"{1:016x}"
-    assert words.to_owner(m.GuestRefused(guest=guest, again_after=1_500_000)) == BinaryMessage(
+    assert translation.to_owner(m.GuestRefused(guest=guest, again_after=1_500_000)) == BinaryMessage(
         END, guest, {WAIT: b"1500", CAUSE: b"\x22"}
     )
-    assert words.to_owner(m.GuestRefused(guest=guest)).parameters == {CAUSE: b"\x22"}
+    assert translation.to_owner(m.GuestRefused(guest=guest)).parameters == {CAUSE: b"\x22"}
     harmless = {34, 42, 102}
-    assert words.to_owner(m.GuestFailed(guest=guest)).cause not in harmless
-    assert words.to_owner(m.Rejected(guest=guest, code="unknown_product")).cause not in harmless
-    assert words.to_owner(m.Acknowledged(guest=guest)) is None
-    assert words.to_owner(m.Placed(guest=guest, machine="a", description=b"\x00\xff")).parameters == {
+    assert translation.to_owner(m.GuestFailed(guest=guest)).cause not in harmless
+    assert translation.to_owner(m.Rejected(guest=guest, code="unknown_product")).cause not in harmless
+    assert translation.to_owner(m.Acknowledged(guest=guest)) is None
+    assert translation.to_owner(m.Placed(guest=guest, machine="a", description=b"\x00\xff")).parameters == {
         DESCRIPTION: b"\x00\xff"
     }
 
@@ -439,7 +443,7 @@
 def test_a_roster_is_read_with_its_starts_and_rooms() -> None:
     wall = 1_700_000_010_000_000
     roster = event(4, host("a", "terminating", 1_700_000_000_000), host("b", "asleep"), whole=True)["roster"]
-    listing, faults = words.listing(roster, {"z1": 0}, wall)
+    listing, faults = translation.listing(roster, {"z1": 0}, wall)
     (entry,) = listing.entries
     assert len(faults) == 1 and "not known" in faults[0] and not listing.whole
     assert (entry.machine, entry.mode, entry.up_for) == ("a", "cordoned", 10_000_000)
@@ -456,6 +460,6 @@
         try:
             for binary in reader.feed(bytes(raw)):
                 if binary.type == SET_UP:
-                    words.wanted(binary, BOUNDS)
-        except (CodecError, words.BadAskError):
+                    translation.parse_submission(binary, BOUNDS)
+        except (CodecError, translation.InvalidSubmissionError):
             pass
--- a/tests/test_platform_owners.py
+++ b/tests/test_platform_owners.py
@@ -162,7 +162,7 @@
         await late.say(set_up(2))
         await trio.sleep(0.5)
         assert late.of(2) == PLACED and usual.closed_at is None
-        assert len(rig.planner.door.peers) <= rig.planner.limits.connections == 25
+        assert len(rig.planner.owner_server.peers) <= rig.planner.limits.connections == 25
         await trio.sleep(2.5)
         assert all(owner.closed_at is not None for owner in silent) and usual.closed_at is None
         await trio.sleep(60)  # usual owners that are merely quiet stay
