--- a/hazelhold/platform/codec.py
+++ b/hazelhold/platform/codec.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct, field
 
-MOST = 16 * 1024  # bytes of one message, on either side
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, on either side
 TICKET, CAUSE, DESCRIPTION = 16, 17, 18
 CLASS, LEFT, TENANT, NAME, FIGURES, WAIT = 3, 4, 5, 7, 8, 9  # other parameters
 SET_UP, PROGRESS, ANSWER, END, HEARD, TEST, TESTED, NOTE, MOVE = 1, 6, 9, 12, 16, 52, 53, 44, 51
@@ -49,7 +49,7 @@
     body = bytearray((binary.type,)) + bytes.fromhex(binary.id)
     for code, value in binary.parameters.items():
         body += bytes((code,)) + len(value).to_bytes(2) + value
-    if len(body) + 2 > MOST or len(body) < 9:
+    if len(body) + 2 > MAX_MESSAGE_BYTES or len(body) < 9:
         raise ValueError(f"a message of {len(body)} bytes")
     return len(body).to_bytes(2) + bytes(body)
 
@@ -92,7 +92,7 @@
         try:
             while len(self.held) >= 2:
                 size = int.from_bytes(self.held[:2])
-                if size + 2 > MOST:
+                if size + 2 > MAX_MESSAGE_BYTES:
                     raise CodecError("too_long", f"a message of {size} bytes")
                 if size < 9:
                     raise CodecError("no_id", f"a message of {size} bytes has no task")
@@ -101,16 +101,16 @@
                 body = bytes(self.held[2 : size + 2])
                 del self.held[: size + 2]
                 found.append(decode_binary(body))
-        except CodecError as wrong:
+        except CodecError as error:
             if not found:
                 raise
-            self.fault = wrong
+            self.fault = error
         return found
 
     fault: CodecError | None = None  # found behind the messages that were given
 
     @property
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Part of a message is held."""
         return bool(self.held)
 
@@ -128,7 +128,7 @@
         return str(self.fields.get(name, ""))
 
 
-class Sent(Struct):
+class OutgoingLine(Struct):
     """A line to a machine; `with` always stands."""
 
     op: str
@@ -142,10 +142,10 @@
 DECODER = msgspec.json.Decoder(Line)
 
 
-def encode_line(line: Sent) -> bytes:
+def encode_line(line: OutgoingLine) -> bytes:
     """ValueError if it does not fit into a message."""
     data = ENCODER.encode(line) + b"\n"
-    if len(data) > MOST:
+    if len(data) > MAX_MESSAGE_BYTES:
         raise ValueError(f"a line of {len(data)} bytes")
     return data
 
@@ -153,8 +153,8 @@
 def decode_line(data: bytes) -> Line:
     try:
         return DECODER.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-        raise CodecError("unreadable", str(wrong)) from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise CodecError("unreadable", str(error)) from None
 
 
 class LineReader:
@@ -169,22 +169,22 @@
         found: list[Line] = []
         try:
             while (at := self.held.find(b"\n")) >= 0:
-                if at >= MOST:
+                if at >= MAX_MESSAGE_BYTES:
                     raise CodecError("too_long", f"a line of {at} bytes")
                 line = bytes(self.held[:at])
                 del self.held[: at + 1]
                 if line.strip():
                     found.append(decode_line(line))
-            if len(self.held) > MOST:
+            if len(self.held) > MAX_MESSAGE_BYTES:
                 raise CodecError("too_long", "a line without an end")
-        except CodecError as wrong:
+        except CodecError as error:
             if not found:
                 raise
-            self.fault = wrong
+            self.fault = error
         return found
 
     fault: CodecError | None = None
 
     @property
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         return bool(self.held)
--- a/hazelhold/platform/discovery.py
+++ b/hazelhold/platform/discovery.py
@@ -16,20 +16,22 @@
 import structlog
 import trio
 
-from hazelhold.platform.configuration import Known
+from hazelhold.platform.configuration import KnownEvents
 from hazelhold.service.net import Net
 
-AT_ONCE = 0.001  # seconds that a call asks the bulletin to wait while the lease is not held
+WAIT_WITHOUT_LEASE = 0.001  # seconds that a call asks the bulletin to wait while the lease is not held
 WAIT_PART = 0.25  # of the lease: how long a call asks to wait for news. Two calls and their ways fit into one
-REST_PART = 0.125  # of the lease: the least time from one call to the next, also where each brings news
-LATE = 0.25  # seconds past what it asks for after which an answer is late, for the log
-OVERDUE = 0.6  # seconds past what it asks for after which the next call is made beside this one
-MOST = 1 << 23  # bytes of an answer: news of some 40,000 machines at once
-TRIES = 3  # calls that end at the same event before it is passed over: it was not spoilt on its way
-PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between calls that fail one after another
+MIN_INTERVAL_PART = (
+    0.125  # of the lease: the least time from one call to the next, also where each brings news
+)
+LATE_AFTER = 0.25  # seconds past what it asks for after which an answer is late, for the log
+NEXT_POLL_AFTER = 0.6  # seconds past what it asks for after which the next call is made beside this one
+MAX_ANSWER_BYTES = 1 << 23  # bytes of an answer: news of some 40,000 machines at once
+MAX_EVENT_TRIES = 3  # calls that end at the same event before it is passed over: it was not spoilt on its way
+FAILURE_PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between calls that fail one after another
 SLOW_CALLS = 2  # late calls that go on beside the current one
-QUIET = 8.0  # seconds without a byte after which a late call is given up
-LONGEST_CALL = 30.0  # seconds after which a call is given up whatever it brings
+MAX_SILENCE = 8.0  # seconds without a byte after which a late call is given up
+MAX_POLL_DURATION = 30.0  # seconds after which a call is given up whatever it brings
 
 T = TypeVar("T")
 
@@ -66,7 +68,7 @@
         self.wire = h11.Connection(h11.CLIENT)
         self.heard_at = trio.current_time()  # when bytes came last
 
-    async def call(self, host: str, after: int, patience: float) -> bytes:
+    async def poll(self, host: str, after: int, patience: float) -> bytes:
         """The body of the answer to one call; any of FAILURES."""
         target = f"/bulletins?after={after}&patience={round(patience * 1000)}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
@@ -82,7 +84,7 @@
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST:
+                if len(body) > MAX_ANSWER_BYTES:
                     raise DiscoveryError("a body without end")
             elif isinstance(event, h11.EndOfMessage):
                 break
@@ -104,7 +106,7 @@
             await trio.aclose_forcefully(self.stream)
 
 
-class Call(Generic[T]):
+class Poll(Generic[T]):
     """One call, from its dial to its answer, which the bulletin may keep back for `wait` seconds where it has
     no news. `connection` may be given; else one is dialled."""
 
@@ -112,28 +114,28 @@
         self.follower, self.connection, self.wait = follower, connection, wait
         self.asked_at = self.began_at = trio.current_time()
         self.scope = trio.CancelScope()
-        self.over = trio.Event()
+        self.finished = trio.Event()
         self.body: bytes | None = None  # set if it was answered
-        self.wrong: BaseException | None = None  # set if it failed
+        self.error: BaseException | None = None  # set if it failed
 
     async def run(self) -> None:
         """Ends with `body` or `wrong` set, or with neither if it was cancelled."""
         try:
             with self.scope:
-                with trio.fail_after(LONGEST_CALL):
+                with trio.fail_after(MAX_POLL_DURATION):
                     if self.connection is None:
                         self.connection = Connection(await self.follower.net.dial(self.follower.address))
                     self.asked_at = trio.current_time()
-                    self.body = await self.connection.call(
+                    self.body = await self.connection.poll(
                         self.follower.address, self.follower.last, self.wait
                     )
-        except FAILURES as wrong:
-            self.wrong = wrong
+        except FAILURES as error:
+            self.error = error
         finally:
             if self.connection is not None and (self.body is None or not self.connection.renew()):
                 connection, self.connection = self.connection, None
                 await connection.close()
-            self.over.set()
+            self.finished.set()
 
     async def close(self) -> None:
         """Closes a connection that is not used for another call."""
@@ -157,23 +159,23 @@
         self,
         net: Net,
         address: str,
-        known: Known,
+        known: KnownEvents,
         lease: float,
         read: Callable[[dict], T],
-        hear: Callable[[list[T], float, bool], None],
-        fail: Callable[[], None],
+        on_events: Callable[[list[T], float, bool], None],
+        on_failure: Callable[[], None],
     ) -> None:
         self.net, self.address, self.lease, self.read = net, address, lease, read
-        self.hear, self.fail = hear, fail
-        self.unread = (0, 0)  # the number of an event that could not be read, and how often
+        self.on_events, self.on_failure = on_events, on_failure
+        self.unreadable = (0, 0)  # the number of an event that could not be read, and how often
         self.last = known.no
         self.update_requested = trio.Event()
         self.scope = trio.CancelScope()
         self.failures = 0  # in a row
         self.confirmed = False  # the last answer showed that no event is missing, soon enough to be of use
-        self.calls = 0
+        self.polls = 0
         self.answers_late = False  # as it was written to the log last
-        self.slow: list[Call[T]] = []  # emptied as they end
+        self.slow: list[Poll[T]] = []  # emptied as they end
         self.log = structlog.get_logger()
 
     def request_update(self) -> None:
@@ -196,72 +198,74 @@
     async def _follow(self, nursery: trio.Nursery) -> None:
         """Calls one after another, with what is left of late ones beside them."""
         connection: Connection | None = None
-        call: Call[T] | None = None
+        poll: Poll[T] | None = None
         try:
             while True:
-                wait = WAIT_PART * self.lease if self.confirmed else AT_ONCE
-                call, connection = Call(self, connection, wait), None
-                self.calls += 1
-                nursery.start_soon(call.run)
-                with trio.move_on_after(wait + OVERDUE):
-                    await call.over.wait()
-                if not call.over.is_set():
-                    self._set_aside(call, nursery)
-                    self._failed(f"no answer within {wait + OVERDUE:.3g} s")
+                wait = WAIT_PART * self.lease if self.confirmed else WAIT_WITHOUT_LEASE
+                poll, connection = Poll(self, connection, wait), None
+                self.polls += 1
+                nursery.start_soon(poll.run)
+                with trio.move_on_after(wait + NEXT_POLL_AFTER):
+                    await poll.finished.wait()
+                if not poll.finished.is_set():
+                    self._set_aside(poll, nursery)
+                    self._failed(f"no answer within {wait + NEXT_POLL_AFTER:.3g} s")
                     continue
-                if self._take(call):
-                    connection, call.connection = call.connection, None
-                    await trio.sleep(max(0.0, call.began_at + REST_PART * self.lease - trio.current_time()))
+                if self._process_answer(poll):
+                    connection, poll.connection = poll.connection, None
+                    await trio.sleep(
+                        max(0.0, poll.began_at + MIN_INTERVAL_PART * self.lease - trio.current_time())
+                    )
                     continue
-                await call.close()
-                await trio.sleep(PAUSES[min(self.failures, len(PAUSES)) - 1])
+                await poll.close()
+                await trio.sleep(FAILURE_PAUSES[min(self.failures, len(FAILURE_PAUSES)) - 1])
         finally:
             if connection is not None:
                 await connection.close()
-            if call is not None and call.over.is_set():
-                await call.close()
+            if poll is not None and poll.finished.is_set():
+                await poll.close()
 
-    def _set_aside(self, call: Call[T], nursery: trio.Nursery) -> None:
+    def _set_aside(self, poll: Poll[T], nursery: trio.Nursery) -> None:
         """Lets a late call go on beside the next ones, as long as it brings something now and then. Where
         there are enough of them it ends: those that wait longer are nearer to their answers."""
         if len(self.slow) >= SLOW_CALLS:
-            call.scope.cancel()
+            poll.scope.cancel()
             return
-        self.slow.append(call)
-        nursery.start_soon(self._take_late, call)
-
-    async def _take_late(self, call: Call[T]) -> None:
-        while not call.over.is_set():
-            with trio.move_on_at(call.heard_at + QUIET):
-                await call.over.wait()
-            if trio.current_time() >= call.heard_at + QUIET:
-                call.scope.cancel()
-        self.slow.remove(call)
-        if call.body is not None:
-            self._take(call)
-        await call.close()
-
-    def _take(self, call: Call[T]) -> bool:
+        self.slow.append(poll)
+        nursery.start_soon(self._process_late_answer, poll)
+
+    async def _process_late_answer(self, poll: Poll[T]) -> None:
+        while not poll.finished.is_set():
+            with trio.move_on_at(poll.heard_at + MAX_SILENCE):
+                await poll.finished.wait()
+            if trio.current_time() >= poll.heard_at + MAX_SILENCE:
+                poll.scope.cancel()
+        self.slow.remove(poll)
+        if poll.body is not None:
+            self._process_answer(poll)
+        await poll.close()
+
+    def _process_answer(self, poll: Poll[T]) -> bool:
         """Hears what a call brought; False if it failed."""
         try:
-            if call.body is None:
-                raise call.wrong or DiscoveryError("cancelled")
-            events, whole = self._news(call.body)
-        except FAILURES as wrong:
-            self._failed(repr(wrong)[:200])
+            if poll.body is None:
+                raise poll.error or DiscoveryError("cancelled")
+            events, whole = self._decode_answer(poll.body)
+        except FAILURES as error:
+            self._failed(repr(error)[:200])
             return False
         if self.failures:
             self.log.info("discovery_answers", address=self.address, failures=self.failures, no=self.last)
         self.failures = 0
-        took = trio.current_time() - call.asked_at
-        self._log_lateness(took - call.wait)
+        took = trio.current_time() - poll.asked_at
+        self._log_lateness(took - poll.wait)
         self.confirmed = whole and took < self.lease
-        self.hear(events, took, whole)
+        self.on_events(events, took, whole)
         return True
 
     def _log_lateness(self, seconds: float) -> None:
         """Writes a line when answers begin to come late, and when they come in time again."""
-        late = seconds > LATE
+        late = seconds > LATE_AFTER
         if late is not self.answers_late:
             self.answers_late = late
             change = "discovery_slow" if late else "discovery_in_time"
@@ -272,34 +276,34 @@
             self.log.info("discovery_failed", address=self.address, reason=reason, no=self.last)
         self.failures += 1
         self.confirmed = False
-        self.fail()
+        self.on_failure()
 
     # Events.
 
-    def _news(self, body: bytes) -> tuple[list[T], bool]:
+    def _decode_answer(self, body: bytes) -> tuple[list[T], bool]:
         """The events that are new, checked and in order, and whether these are all."""
         try:
             answer = msgspec.json.decode(body, type=Answer)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-            raise DiscoveryError(f"not an answer: {wrong}") from None
-        events = self.fresh(answer.items)
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+            raise DiscoveryError(f"not an answer: {error}") from None
+        events = self.new_events(answer.items)
         return events, self.last >= answer.no
 
-    def fresh(self, items: list[dict]) -> list[T]:
+    def new_events(self, items: list[dict]) -> list[T]:
         """Those of the events that come after the last one, up to the first that is out of order or cannot be
         read; marks them as heard. DiscoveryError if there is such a one and none before it: what came whole
         is not kept waiting by what did not."""
         new: list[T] = []
-        for item, no in self._numbered(items, new):
+        for item, no in self._numbered_events(items, new):
             if no != self.last + 1:
                 if new:
                     break
                 raise DiscoveryError(f"event {no} follows {self.last}")
             try:
-                made = self._made(no, item)
-            except DiscoveryError as wrong:
-                if wrong.part is not None:  # it comes again with the next call, and once more as a whole
-                    new.append(wrong.part)
+                made = self._read_event(no, item)
+            except DiscoveryError as error:
+                if error.part is not None:  # it comes again with the next call, and once more as a whole
+                    new.append(error.part)
                 if new:
                     break
                 raise
@@ -307,7 +311,7 @@
             new += made
         return new
 
-    def _numbered(self, items: list[dict], before: list[T]) -> Iterator[tuple[dict, int]]:
+    def _numbered_events(self, items: list[dict], before: list[T]) -> Iterator[tuple[dict, int]]:
         """The events that are not known yet, with their numbers. DiscoveryError at one without a number, if
         nothing came before it."""
         for item in items:
@@ -319,14 +323,14 @@
             if no > self.last:
                 yield item, no
 
-    def _made(self, no: int, item: dict) -> list[T]:
+    def _read_event(self, no: int, item: dict) -> list[T]:
         """The event as it is read; nothing for one that came so a few times, which is passed over."""
         try:
             return [self.read(item)]
-        except DiscoveryError as wrong:
-            times = self.unread[1] + 1 if self.unread[0] == no else 1
-            self.unread = no, times
-            if times < TRIES:
+        except DiscoveryError as error:
+            times = self.unreadable[1] + 1 if self.unreadable[0] == no else 1
+            self.unreadable = no, times
+            if times < MAX_EVENT_TRIES:
                 raise
-            self.log.warning("event_passed_over", no=no, reason=str(wrong)[:200])
-            return [] if wrong.part is None else [wrong.part]
+            self.log.warning("event_passed_over", no=no, reason=str(error)[:200])
+            return [] if error.part is None else [error.part]
--- a/hazelhold/platform/eviction.py
+++ b/hazelhold/platform/eviction.py
@@ -37,13 +37,13 @@
     nothing, and being fresh protects none. Of one standing go first those to which nothing is left to be
     written, then those that hold no part of a message, then the longest idle.
     """
-    served = (peer for peer in peers if (peer.proven or peer.handed_over) and not peer.closing)
+    served = (peer for peer in peers if (peer.had_placement or peer.handed_over) and not peer.closing)
     kept = max(served, key=lambda peer: peer.used_at, default=None)
     idle = [
         peer for peer in peers if not close_denied(len(peer.open)) and not peer.closing and peer is not kept
     ]
     stuck = {peer: is_stuck(peer, now) for peer in idle}
-    fresh = {peer: not peer.good and peer.came_at > now - FRESH for peer in idle}
+    fresh = {peer: not peer.sent_valid and peer.opened_at > now - FRESH for peer in idle}
     mostly_fresh = 2 * sum(fresh.values()) > len(peers)
 
     def standing(peer: OwnerPeer) -> EvictionRank:
@@ -51,11 +51,16 @@
             return EvictionRank.SILENT
         if peer.handed_over:
             return EvictionRank.HANDED_OVER
-        if peer.good:
-            return EvictionRank.SERVED if peer.proven else EvictionRank.ASKED
+        if peer.sent_valid:
+            return EvictionRank.SERVED if peer.had_placement else EvictionRank.ASKED
         return EvictionRank.FRESH if fresh[peer] and not mostly_fresh else EvictionRank.SILENT
 
     return sorted(
         idle,
-        key=lambda peer: (standing(peer), peer.unsent() and not stuck[peer], peer.reader.half, peer.used_at),
+        key=lambda peer: (
+            standing(peer),
+            peer.unsent() and not stuck[peer],
+            peer.reader.has_partial_message,
+            peer.used_at,
+        ),
     )
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -39,7 +39,7 @@
     """
 
     nursery: trio.Nursery
-    is_unheard: Callable[[str], bool]
+    has_unread_input: Callable[[str], bool]
     log_frames = False
 
     def __init__(
@@ -58,7 +58,7 @@
         # back or its connection leaves.
         self.fences: dict[str, MachinePeer] = {}
         # Tasks whose offers wait until their owner's connection is read, by owner; emptied by that.
-        self.behind_owners: dict[str, list[str]] = {}
+        self.waiting_for_owner: dict[str, list[str]] = {}
 
     def peer(self, machine: str) -> MachinePeer | None:
         """The connection to a machine that is up."""
@@ -80,11 +80,11 @@
         if scope is not None:
             scope.cancel()
 
-    def tell(self, machine: str, message: m.Message) -> None:
+    def send(self, machine: str, message: m.Message) -> None:
         """Sends a message; what is taken back before a byte of it left is told to the engine instead."""
         peer = self.peer(machine)
         taking_back = peer is not None and isinstance(message, m.Withdraw)
-        if taking_back and (offer := peer.taken_out(message)):
+        if taking_back and (offer := peer.remove_unsent(message)):
             self.engine.offer_held_back(self.net.now(), offer)
             return
         sent = peer is not None and peer.send(message)
@@ -105,14 +105,16 @@
                 if not self._is_current(name, scope):  # hung up just as it came up
                     await trio.aclose_forcefully(stream)
                     return
-                peer = MachinePeer(stream, self.engine.limits.send_bytes, self._time_left, self._over)
+                peer = MachinePeer(
+                    stream, self.engine.limits.send_bytes, self._time_left, self._offers_settled
+                )
                 await self._serve(name, scope, peer)
-            except (OSError, ValueError, trio.TooSlowError) as wrong:  # ValueError: an address that is none
-                refused = is_refused(wrong)
+            except (OSError, ValueError, trio.TooSlowError) as error:  # ValueError: an address that is none
+                refused = is_refused(error)
                 self.counts["dials_refused" if refused else "dials_failed"] += 1
-                self.log.debug("dial_failed", machine=name, address=dial.address, reason=repr(wrong)[:200])
+                self.log.debug("dial_failed", machine=name, address=dial.address, reason=repr(error)[:200])
         if not scope.cancelled_caught and self._is_current(name, scope):
-            self._ended(name, peer, refused)
+            self._connection_closed(name, peer, refused)
 
     def _is_current(self, machine: str, scope: trio.CancelScope) -> bool:
         return self.by_machine.get(machine, NO_LINK).scope is scope
@@ -126,25 +128,25 @@
                     self.by_machine[machine] = MachineLink(scope, peer)
                     self.engine.link_up(self.net.now(), machine)
                     self.progress()
-                    await self._hear(machine, peer)
+                    await self._receive(machine, peer)
                 peer.end()
                 peer.writing.cancel()
         finally:
-            self._over(peer, [task for task, at in self.fences.items() if at is peer])
+            self._offers_settled(peer, [task for task, at in self.fences.items() if at is peer])
 
-    def _ended(self, machine: str, peer: MachinePeer | None, refused: bool) -> None:
+    def _connection_closed(self, machine: str, peer: MachinePeer | None, refused: bool) -> None:
         """Tells the engine of a connection that ended by itself, or of a dial that failed."""
         del self.by_machine[machine]
         now = self.net.now()
         if peer is None:
             self.engine.link_failed(now, machine, refused)
         else:
-            for offer in peer.offers_kept():
+            for offer in peer.unsent_offers():
                 self.engine.offer_held_back(now, offer)
             self.engine.link_down(now, machine, peer.reset)
         self.progress()
 
-    def _over(self, peer: MachinePeer, tasks: list[str]) -> None:
+    def _offers_settled(self, peer: MachinePeer, tasks: list[str]) -> None:
         """What was open on a connection is surely over: what waited for that leaves."""
         for task in tasks:
             if self.fences.get(task) is not peer:
@@ -158,9 +160,9 @@
         if case and (peer := self.peer(case.machine)):
             peer.resume(task)
 
-    def owner_heard(self, owner: str) -> None:
+    def owner_read(self, owner: str) -> None:
         """An owner's connection was read: what waited for that may leave."""
-        for task in self.behind_owners.pop(owner, ()):
+        for task in self.waiting_for_owner.pop(owner, ()):
             self._resume(task)
 
     def _time_left(self, offer: m.Offer) -> int:
@@ -170,11 +172,11 @@
         if left and offer.guest in self.fences:
             self.counts["offers_behind"] += 1
             return -1
-        if left and self.is_unheard(offer.owner):
+        if left and self.has_unread_input(offer.owner):
             # The process did not run for a moment: the owner may have given up meanwhile, and what it said
             # is read in this turn of the loop or the next.
             self.counts["offers_behind_owner"] += 1
-            self.behind_owners.setdefault(offer.owner, []).append(offer.guest)
+            self.waiting_for_owner.setdefault(offer.owner, []).append(offer.guest)
             return -1
         if left:
             self.engine.offer_leaves(now, offer.guest)
@@ -184,18 +186,18 @@
             self.stir()
         return left
 
-    async def _hear(self, machine: str, peer: MachinePeer) -> None:
+    async def _receive(self, machine: str, peer: MachinePeer) -> None:
         try:
             async for batch in peer.batches():
                 for line in batch:
                     if line.op in ("accept", "end"):
-                        peer.heard_of(line.call)
-                    self._said(machine, line)
-        except CodecError as wrong:
-            self.counts["machine_" + wrong.code] += 1
-            self.log.info("machine_unreadable", machine=machine, code=wrong.code, reason=wrong.text[:200])
+                        peer.close_offer(line.call)
+                    self._message_received(machine, line)
+        except CodecError as error:
+            self.counts["machine_" + error.code] += 1
+            self.log.info("machine_unreadable", machine=machine, code=error.code, reason=error.text[:200])
 
-    def _said(self, machine: str, line: Line) -> None:
+    def _message_received(self, machine: str, line: Line) -> None:
         if self.log_frames:
             self.log.debug("machine_said", machine=machine, line=repr(line))
         message = translation.from_machine(line, not self.engine.out(line.call))
@@ -205,12 +207,12 @@
         self.progress()
 
 
-def is_refused(wrong: BaseException | None) -> bool:
+def is_refused(error: BaseException | None) -> bool:
     """Whether a dial failed because nobody listens there."""
-    while wrong is not None:
-        if isinstance(wrong, ConnectionRefusedError):
+    while error is not None:
+        if isinstance(error, ConnectionRefusedError):
             return True
-        if isinstance(wrong, BaseExceptionGroup):
-            return all(is_refused(each) for each in wrong.exceptions)
-        wrong = wrong.__cause__
+        if isinstance(error, BaseExceptionGroup):
+            return all(is_refused(each) for each in error.exceptions)
+        error = error.__cause__
     return False
--- a/hazelhold/platform/owner_server.py
+++ b/hazelhold/platform/owner_server.py
@@ -21,10 +21,12 @@
 from hazelhold.protocol import messages as m
 from hazelhold.service.net import Net
 
-FIRST_MESSAGE = 2.0  # seconds to a first message that can be used, and to the rest of one that has begun
+FIRST_MESSAGE_TIMEOUT = (
+    2.0  # seconds to a first message that can be used, and to the rest of one that has begun
+)
 EARLY_END, EARLY_ENDS = 2.0, 4096  # seconds for which an end waits for its set-up, and how many do
 READ_LATE = 0.1  # seconds that a request may have waited to be read before it is counted
-LOOKS = 16  # idle connections that are asked for unread bytes before a new one is refused
+MAX_UNREAD_CHECKS = 16  # idle connections that are asked for unread bytes before a new one is refused
 
 
 class OwnerServer:
@@ -41,7 +43,7 @@
         self,
         net: Net,
         engine: Engine,
-        bounds: translation.Bounds,
+        bounds: translation.SubmissionLimits,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
         progress: Callable[[], None],
@@ -52,13 +54,13 @@
         self.peers: dict[str, OwnerPeer] = {}  # by name; emptied as connections end
         self.accepted = 0  # connections so far
         self.releases = Releases(self.peers, counts)
-        self.early: OrderedDict[str, float] = OrderedDict()  # ends without a set-up; emptied by age
+        self.early_ends: OrderedDict[str, float] = OrderedDict()  # ends without a set-up; emptied by age
 
     # Connections.
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """One connection, from its start to its end. Whatever is wrong with it ends it alone."""
-        if len(self.peers) >= self.engine.limits.connections and not self._make_room():
+        if len(self.peers) >= self.engine.limits.connections and not self._free_connection():
             self.counts["connections_refused"] += 1
             await trio.aclose_forcefully(stream)
             return
@@ -74,41 +76,41 @@
             self.heard(peer.name)
             while peer.releases:  # they did not leave: told elsewhere
                 self.counts["releases_again"] += 1
-                self.releases.tell(None, peer.releases.popleft()[1])
+                self.releases.send(None, peer.releases.popleft()[1])
 
     async def _read_and_write(self, peer: OwnerPeer) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(peer.write)
             try:
                 with peer.scope:
-                    await self._hear(peer)
+                    await self._receive(peer)
                 if peer.timed_out and not peer.closing:
                     self.counts["connections_timed_out"] += 1
                     self._check_close(peer)
             finally:
                 peer.end()
-                self._gone(peer)  # at once: what is still to be written may take a second
+                self._connection_ended(peer)  # at once: what is still to be written may take a second
 
-    async def _hear(self, peer: OwnerPeer) -> None:
+    async def _receive(self, peer: OwnerPeer) -> None:
         try:
             async for batch in peer.batches():
                 if batch:
-                    peer.half_at = None  # what is held now is part of another message
+                    peer.partial_at = None  # what is held now is part of another message
                 for binary in batch:
                     if peer.scope.cancel_called:
                         break
                     if not peer.closing or binary.type == END:  # to one that cannot be told, nothing is begun
-                        self._said(peer, binary)
+                        self._message_received(peer, binary)
                 peer.accept_delay = 0.0
                 self._set_deadline(peer)
                 self.heard(peer.name)
-        except CodecError as wrong:
-            self._fault(peer, wrong)
+        except CodecError as error:
+            self._close_faulty(peer, error)
 
-    def is_unheard(self, owner: str) -> bool:
+    def has_unread_input(self, owner: str) -> bool:
         """Whether an owner may have given up without being heard yet: nothing leaves for it before that."""
         peer = self.peers.get(owner)
-        return peer is not None and peer.waits_to_be_heard()
+        return peer is not None and peer.has_overdue_input()
 
     def _check_close(self, peer: OwnerPeer) -> None:
         """Counts and logs a connection that this side closes though answers are owed on it."""
@@ -119,7 +121,7 @@
             "rule_violated", rule="closed with answers owed", owner=peer.name, tasks=list(peer.open)
         )
 
-    def _gone(self, peer: OwnerPeer) -> None:
+    def _connection_ended(self, peer: OwnerPeer) -> None:
         """Nothing more is heard on this connection: nobody waits for what is open on it."""
         now = self.net.now()
         for task in list(peer.open):
@@ -127,7 +129,7 @@
         peer.open.clear()
         self.progress()
 
-    def _make_room(self) -> bool:
+    def _free_connection(self) -> bool:
         """Closes an idle connection for a new one; False if there is none. One whose bytes wait to be read
         is not idle, they may be a request: it goes only if it has said nothing of use and others are no
         better."""
@@ -135,8 +137,15 @@
             return True  # those that are closing go within a second: nothing is lost for them
         now = trio.current_time()
         order = eviction_order(self.peers.values(), now)
-        victim = next((peer for peer in order[:LOOKS] if is_stuck(peer, now) or not peer.unheard()), None)
-        if victim is None and order and not order[0].good:
+        victim = next(
+            (
+                peer
+                for peer in order[:MAX_UNREAD_CHECKS]
+                if is_stuck(peer, now) or not peer.has_unread_input()
+            ),
+            None,
+        )
+        if victim is None and order and not order[0].sent_valid:
             victim = order[0]
         if victim is None:
             return False
@@ -159,28 +168,28 @@
         """When a connection ends if nothing comes: one that has sent nothing of use and was told nothing,
         and one that has sent only part of a message and awaits no answer."""
         now = trio.current_time()
-        if not peer.reader.half:
-            peer.half_at = None
-        elif peer.half_at is None:
-            peer.half_at = now
+        if not peer.reader.has_partial_message:
+            peer.partial_at = None
+        elif peer.partial_at is None:
+            peer.partial_at = now
         due = float("inf")
         owed = close_denied(len(peer.open)) is not None  # the answers to what is open come first
-        if peer.half_at is not None and not owed:
-            due = peer.half_at + FIRST_MESSAGE
-        if not owed and not peer.told and not peer.proven:
-            due = min(due, max(peer.came_at + FIRST_MESSAGE, now + 0.2))
+        if peer.partial_at is not None and not owed:
+            due = peer.partial_at + FIRST_MESSAGE_TIMEOUT
+        if not owed and not peer.was_sent_message and not peer.had_placement:
+            due = min(due, max(peer.opened_at + FIRST_MESSAGE_TIMEOUT, now + 0.2))
         peer.set_due(due)
 
-    def _fault(self, peer: OwnerPeer, wrong: CodecError) -> None:
+    def _close_faulty(self, peer: OwnerPeer, error: CodecError) -> None:
         """A peer whose bytes cannot be used: its connection ends, and what is open on it with it."""
-        self.counts["owner_" + wrong.code] += 1
-        self.log.debug("owner_closed", owner=peer.name, code=wrong.code, reason=wrong.text[:200])
+        self.counts["owner_" + error.code] += 1
+        self.log.debug("owner_closed", owner=peer.name, code=error.code, reason=error.text[:200])
         peer.end()
         peer.scope.cancel()
 
     # What the engine says.
 
-    def tell(self, owner: str, message: m.Message) -> None:
+    def send(self, owner: str, message: m.Message) -> None:
         """Sends an answer on its connection, or the end of a task where it can be told."""
         binary = translation.to_owner(message)
         if binary is None:
@@ -190,30 +199,30 @@
         peer = self.peers.get(owner)
         if isinstance(message, m.GuestEnded):
             if message.how != "stopped":
-                self.releases.tell(peer, binary)
+                self.releases.send(peer, binary)
             return
         if peer is None:
             self.counts["answers_without_owner"] += 1
             return
         if isinstance(message, m.Rejected) and message.code == "open_already":
-            self._second_under_id(peer, binary)
+            self._duplicate_id(peer, binary)
             return
         peer.open.pop(binary.id, None)
-        peer.proven = peer.proven or isinstance(message, m.Placed)
+        peer.had_placement = peer.had_placement or isinstance(message, m.Placed)
         if not peer.send(binary):
             self.counts["answers_unsent"] += 1
         self._set_deadline(peer)
 
-    def _second_under_id(self, peer: OwnerPeer, refusal: BinaryMessage) -> None:
+    def _duplicate_id(self, peer: OwnerPeer, refusal: BinaryMessage) -> None:
         """A set-up came under the id of a request in hand. It ends its connection, but for answers owed
         there: two connections may cross, and the one that is read second may be the request's owner's."""
-        if not self._came_on(peer, refusal.id):
+        if not self._opened_on(peer, refusal.id):
             peer.send(refusal)
             if peer.open:
                 return
-        self._fault(peer, CodecError("open_already", "a second set-up under an open id"))
+        self._close_faulty(peer, CodecError("open_already", "a second set-up under an open id"))
 
-    def _came_on(self, peer: OwnerPeer, task: str) -> bool:
+    def _opened_on(self, peer: OwnerPeer, task: str) -> bool:
         """Whether a request in hand came on this connection: a refusal of a second one under its id would be
         read there as its own answer or end. On any other connection the refusal is the second's alone."""
         case = self.engine.newest.get(task)
@@ -221,7 +230,7 @@
 
     # What owners say.
 
-    def _said(self, peer: OwnerPeer, binary: BinaryMessage) -> None:
+    def _message_received(self, peer: OwnerPeer, binary: BinaryMessage) -> None:
         now = self.net.now()
         peer.used_at = trio.current_time()
         if self.log_frames:
@@ -229,17 +238,17 @@
         if binary.type == SET_UP:
             self._set_up(now, peer, binary)
         elif binary.type == END:
-            self._taken_back(now, peer, binary.id)
+            self._end_received(now, peer, binary.id)
         elif binary.type == TEST:
-            peer.good = True
+            peer.sent_valid = True
             peer.send(translation.probe_answer(binary.id, self.engine.ready() and not self.leaving))
         elif binary.type != HEARD:
             self.counts["owner_passed_over"] += 1
-        if peer.good:
-            self.releases.tell_waiting(peer)
+        if peer.sent_valid:
+            self.releases.send_waiting(peer)
         self.progress()
 
-    def _taken_back(self, now: int, peer: OwnerPeer, task: str) -> None:
+    def _end_received(self, now: int, peer: OwnerPeer, task: str) -> None:
         """An owner gives up what is open, or ends what stands. What is open belongs to the connection that it
         came on, but its owner may have lost that one: named on another, nothing more is begun for it, and its
         own connection is answered. An end that comes before its set-up is kept for a while."""
@@ -249,33 +258,35 @@
             return
         peer.open.pop(task, None)
         if self.engine.owner_left(now, task):
-            peer.good = True
+            peer.sent_valid = True
             return
-        self._keep_early(task)
+        self._remember_early_end(task)
 
-    def _keep_early(self, task: str) -> None:
+    def _remember_early_end(self, task: str) -> None:
         at = trio.current_time()
-        while self.early and (len(self.early) >= EARLY_ENDS or next(iter(self.early.values())) <= at):
-            self.early.popitem(last=False)
-        self.early[task] = at + EARLY_END
+        while self.early_ends and (
+            len(self.early_ends) >= EARLY_ENDS or next(iter(self.early_ends.values())) <= at
+        ):
+            self.early_ends.popitem(last=False)
+        self.early_ends[task] = at + EARLY_END
 
     def _set_up(self, now: int, peer: OwnerPeer, binary: BinaryMessage) -> None:
-        ended = self.early.pop(binary.id, 0.0) > trio.current_time()
+        ended = self.early_ends.pop(binary.id, 0.0) > trio.current_time()
         try:
             submit, at = translation.parse_submission(binary, self.bounds)
-        except (translation.InvalidSubmissionError, CodecError) as wrong:
-            self._unusable(peer, binary.id, wrong)
+        except (translation.InvalidSubmissionError, CodecError) as error:
+            self._refuse_submission(peer, binary.id, error)
             return
         if ended:
             self.counts["ended_before"] += 1
         if at:
-            self._handed_over(now, peer, at, submit, ended)
+            self._handover(now, peer, at, submit, ended)
         elif ended:
             peer.send(translation.released(binary.id, translation.FULL))
         else:
             if binary.id not in self.engine.newest:
                 peer.open[binary.id] = None
-            peer.good = True
+            peer.sent_valid = True
             self.engine.owner_said(now, peer.name, self._since_sent(peer, submit))
 
     def _since_sent(self, peer: OwnerPeer, submit: m.Submit) -> m.Submit:
@@ -285,26 +296,26 @@
         self.counts["requests_read_late"] += waited > READ_LATE
         return replace(submit, patience=max(0, submit.patience - round(waited * 1e6)))
 
-    def _unusable(
-        self, peer: OwnerPeer, task: str, wrong: translation.InvalidSubmissionError | CodecError
+    def _refuse_submission(
+        self, peer: OwnerPeer, task: str, error: translation.InvalidSubmissionError | CodecError
     ) -> None:
         """Answers a set-up that cannot be read."""
-        self.counts["ask_" + wrong.code] += 1
-        self.log.debug("ask_refused", owner=peer.name, reason=str(wrong)[:200])
-        if self._came_on(peer, task):
-            self._fault(peer, CodecError("open_already", "a second set-up under an open id"))
+        self.counts["ask_" + error.code] += 1
+        self.log.debug("ask_refused", owner=peer.name, reason=str(error)[:200])
+        if self._opened_on(peer, task):
+            self._close_faulty(peer, CodecError("open_already", "a second set-up under an open id"))
         else:
             peer.send(translation.released(task, translation.ERROR))
 
-    def _handed_over(self, now: int, peer: OwnerPeer, at: str, submit: m.Submit, ended: bool) -> None:
+    def _handover(self, now: int, peer: OwnerPeer, at: str, submit: m.Submit, ended: bool) -> None:
         """A set-up that names the machine where its task runs already."""
-        if self.releases.tell_waiting_of(peer, submit.guest):
-            peer.good = peer.told = True
+        if self.releases.send_waiting_for(peer, submit.guest):
+            peer.sent_valid = peer.was_sent_message = True
             return
-        if wrong := self.engine.guest_stands(now, peer.name, at, submit):
-            self.counts["found_" + wrong] += 1
+        if error := self.engine.guest_stands(now, peer.name, at, submit):
+            self.counts["found_" + error] += 1
             peer.send(translation.released(submit.guest, translation.RESET))
             return
-        peer.good = peer.told = peer.handed_over = True
+        peer.sent_valid = peer.was_sent_message = peer.handed_over = True
         if ended:  # its machine must not keep it
             self.engine.owner_left(now, submit.guest)
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -28,7 +28,7 @@
 
     def __init__(self, stream: trio.abc.Stream, send_bytes: int) -> None:
         super().__init__(stream, send_bytes)
-        self.heard_out = trio.Event()  # nothing more is read
+        self.reading_done = trio.Event()  # nothing more is read
 
     async def batches(self) -> AsyncIterator[list]:
         """What each read brought, until either side ends. CodecError if the peer's bytes cannot be read."""
@@ -37,8 +37,8 @@
                 self.read_begins()
                 try:
                     data = await self.read()
-                except (trio.BrokenResourceError, trio.ClosedResourceError) as wrong:
-                    self.reset = self.reset or isinstance(wrong, trio.BrokenResourceError)
+                except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
+                    self.reset = self.reset or isinstance(error, trio.BrokenResourceError)
                     return
                 if not data:
                     return
@@ -47,7 +47,7 @@
                 if self.reader.fault is not None:
                     raise self.reader.fault
         finally:
-            self.heard_out.set()
+            self.reading_done.set()
 
     async def read(self) -> bytes:
         """The bytes that come next; none if the connection ends."""
@@ -87,7 +87,7 @@
     async def read_out(self) -> None:
         """A write that breaks takes nothing from what the peer said before: an answer may lie unread."""
         with trio.move_on_after(REST):
-            await self.heard_out.wait()
+            await self.reading_done.wait()
 
 
 class OwnerPeer(Reading):
@@ -96,15 +96,15 @@
     def __init__(self, name: str, stream: trio.abc.Stream, send_bytes: int, at: float) -> None:
         super().__init__(stream, send_bytes)
         self.reader = BinaryReader()
-        self.name, self.came_at, self.used_at = name, at, at
+        self.name, self.opened_at, self.used_at = name, at, at
         self.open: dict[str, None] = {}  # emptied by answers, give-ups and the connection's end
         self.arrival = EmptySince()
         self.accept_delay = accept_delay(stream)  # seconds, beside `arrival`; 0 from the second read on
-        self.good = False  # it sent something that can be used
-        self.told = False  # it was sent something
-        self.proven = False  # a task of it was placed
+        self.sent_valid = False  # it sent something that can be used
+        self.was_sent_message = False  # it was sent something
+        self.had_placement = False  # a task of it was placed
         self.handed_over = False  # it handed over tasks that stand: their ends are owed to it
-        self.half_at: float | None = None  # when the part of a message that is held began
+        self.partial_at: float | None = None  # when the part of a message that is held began
         self.due = float("inf")  # when the connection ends if nothing comes, in seconds of trio's clock
         self.timed_out = False  # it ended so
         self.awaiting = trio.CancelScope()  # the read that is on
@@ -136,11 +136,11 @@
         if size < READ and (self.arrival.waited() < READ_SOON or not self.unread()):
             self.arrival.emptied()
 
-    def unheard(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether bytes of its owner wait to be read, or were read and may not have been heard yet."""
         return self.unread() or self.arrival.has_just_begun()
 
-    def waits_to_be_heard(self) -> bool:
+    def has_overdue_input(self) -> bool:
         """Whether its owner may have said something, or have gone, that was not read in time."""
         return trio.current_time() - self.arrival.empty_at > HEARD_IN_TIME and self.readable()
 
@@ -151,7 +151,7 @@
             return False
         if not self.put(data):
             return False
-        self.told = True
+        self.was_sent_message = True
         self.bytes_put += len(data)
         return True
 
@@ -195,9 +195,11 @@
         self.messages: deque[m.Message] = deque()
         self.size = 0  # bytes of what waits, about
         self.offered = ""  # the guest whose offer is among the bytes that are leaving
-        self.aside: dict[str, m.Offer] = {}  # by guest; emptied by resume, taken_out and the connection's end
+        self.deferred: dict[
+            str, m.Offer
+        ] = {}  # by guest; emptied by resume, taken_out and the connection's end
         self.open: dict[str, None] = {}  # guests whose offers left and await a word; emptied as `aside`
-        self.taking_back: list[str] = []  # guests whose offers the bytes that are leaving take back
+        self.withdrawing: list[str] = []  # guests whose offers the bytes that are leaving take back
 
     def send(self, message: m.Message) -> bool:
         if self.closing:
@@ -219,8 +221,8 @@
 
     def left(self, data: bytes) -> None:
         self.offered = ""
-        if self.taking_back:
-            gone, self.taking_back = self.taking_back, []
+        if self.withdrawing:
+            gone, self.withdrawing = self.withdrawing, []
             for guest in gone:
                 self.open.pop(guest, None)
             self.over(self, gone)
@@ -229,17 +231,17 @@
 
     def resume(self, guest: str) -> None:
         """An offer that stood aside may leave."""
-        if offer := self.aside.pop(guest, None):
+        if offer := self.deferred.pop(guest, None):
             self.messages.append(offer)
             self.more.set()
 
-    def heard_of(self, guest: str) -> None:
+    def close_offer(self, guest: str) -> None:
         """The machine has spoken of a guest: its offer is not open any more."""
         self.open.pop(guest, None)
 
-    def taken_out(self, message: m.Withdraw) -> m.Offer | None:
+    def remove_unsent(self, message: m.Withdraw) -> m.Offer | None:
         """An offer of which no byte has left is taken out instead of taken back."""
-        if offer := self.aside.pop(message.guest, None):
+        if offer := self.deferred.pop(message.guest, None):
             return offer
         for each in self.messages:
             if isinstance(each, m.Offer) and each.guest == message.guest:
@@ -259,7 +261,7 @@
             offer = isinstance(message, m.Offer)
             if offer and (left := self.time_left(message)) <= 0:
                 if left < 0:
-                    self.aside[message.guest] = message
+                    self.deferred[message.guest] = message
                 continue
             line = to_machine(message, left)
             if line is None:
@@ -269,16 +271,16 @@
             except ValueError:
                 continue
             if isinstance(message, m.Withdraw):
-                self.taking_back.append(message.guest)
+                self.withdrawing.append(message.guest)
             if offer:
                 self.offered = message.guest
                 self.open[message.guest] = None
                 break
-        if self.taking_back:
+        if self.withdrawing:
             self._hurry()
         self.size = self.size if self.messages else 0
         return bytes(out)
 
-    def offers_kept(self) -> list[m.Offer]:
+    def unsent_offers(self) -> list[m.Offer]:
         """Offers of which no byte has left."""
-        return [*self.aside.values(), *(each for each in self.messages if isinstance(each, m.Offer))]
+        return [*self.deferred.values(), *(each for each in self.messages if isinstance(each, m.Offer))]
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -17,7 +17,7 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Mode
 from hazelhold.platform import translation
-from hazelhold.platform.configuration import Start, read_start
+from hazelhold.platform.configuration import StartSettings, read_start
 from hazelhold.platform.discovery import DiscoveryError, DiscoveryFollower
 from hazelhold.platform.event_log import EventLog
 from hazelhold.platform.machine_links import MachineLinks
@@ -31,42 +31,42 @@
 REREAD_PAUSES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 """Seconds between looks at a configuration file that was of no use at its signal."""
 
-TURN = 0.02
+MAX_BATCH_DURATION = 0.02
 """Seconds of decisions before peers are read again: gone owners must be heard within 0.1 s."""
 
-COMING = 0.7
+ACCEPTING_AFTER_STOP = 0.7
 """Seconds after SIGTERM in which set-ups may still come."""
 
-LONGEST_DEADLINE = 3.0
+MAX_DEADLINE = 3.0
 """A longest deadline past this, in seconds, counts as this for the moment of SIGKILL."""
 
 # Seconds before SIGKILL (of the longest deadline, where that is under a second) at which:
-ANSWER_WAITING = 0.8  # what waits is answered
-ANSWER_ALL = 0.6  # what is out at machines is answered
-CLOSE = 0.4  # the connections end
-LAST_BYTES = 0.1  # the process ends
+ANSWER_HELD_BEFORE = 0.8  # what waits is answered
+ANSWER_ALL_BEFORE = 0.6  # what is out at machines is answered
+CLOSE_BEFORE = 0.4  # the connections end
+EXIT_BEFORE = 0.1  # the process ends
 
 
 class PlatformPlanner:
     """One planner from its start to the end that was asked for."""
 
-    def __init__(self, start: Start, net: Net, config: Path | None = None) -> None:
+    def __init__(self, start: StartSettings, net: Net, config: Path | None = None) -> None:
         self.start, self.net, self.config = start, net, config
         self.log = structlog.get_logger().bind(planner=start.name)
-        self.engine = Engine(start.terms, start.seed, net.now())
-        self.limits = start.terms.limits
-        bounds = translation.Bounds(
-            start.most,
-            dict(zip(start.terms.products, start.patience, strict=True)),
-            frozenset(start.terms.customers),
+        self.engine = Engine(start.engine_settings, start.seed, net.now())
+        self.limits = start.engine_settings.limits
+        bounds = translation.SubmissionLimits(
+            start.max_resources,
+            dict(zip(start.engine_settings.products, start.max_time_left, strict=True)),
+            frozenset(start.engine_settings.customers),
         )
         self.ticker = Ticker(net.now, self.engine.next_at, self._work, self.limits.batch_ms / 1000)
         self.counts: Counter[str] = Counter()
         self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.stir)
         self.owner_server = OwnerServer(
-            net, self.engine, bounds, self.counts, self.log, self._progress, self.links.owner_heard
+            net, self.engine, bounds, self.counts, self.log, self._progress, self.links.owner_read
         )
-        self.links.is_unheard = self.owner_server.is_unheard
+        self.links.has_unread_input = self.owner_server.has_unread_input
         self.zones = dict(start.zones)  # numbers by name; grows with zones that the list names
         self.follower = DiscoveryFollower(
             net,
@@ -93,11 +93,11 @@
             nursery.start_soon(beat)
             for item in self.start.known.items:
                 try:
-                    self._hear_discovery([self._event(item)])
-                except DiscoveryError as wrong:
-                    self.log.warning("event_unreadable", no=item.get("no"), reason=str(wrong))
-                    if wrong.part is not None:
-                        self._hear_discovery([wrong.part])
+                    self._apply_listings([self._event(item)])
+                except DiscoveryError as error:
+                    self.log.warning("event_unreadable", no=item.get("no"), reason=str(error))
+                    if error.part is not None:
+                        self._apply_listings([error.part])
             # Half of what owners and machines leave over, less some eight that the process has anyway.
             spare = self.start.bounds.sockets - self.limits.connections - self.limits.links
             self.address = await self.net.listen(
@@ -107,7 +107,7 @@
             # Requested here since the scheduler may request the list only later; nothing is sent before it.
             self.follower.request_update()
             nursery.start_soon(self.follower.run)
-            nursery.start_soon(self._tend)
+            nursery.start_soon(self._run_periodic)
             self.log.info(
                 "up",
                 address=self.address,
@@ -134,37 +134,39 @@
         if self.config is None:
             return
         self.reloads += 1
-        if wrong := self._read_again():
+        if error := self._reload_once():
             self.counts["reloads_refused"] += 1
-            self.log.warning("configuration_refused", reason=wrong)
-            self.nursery.start_soon(self._look_again, self.reloads)
+            self.log.warning("configuration_refused", reason=error)
+            self.nursery.start_soon(self._retry_reload, self.reloads)
 
-    async def _look_again(self, signal: int) -> None:
+    async def _retry_reload(self, signal: int) -> None:
         for pause in REREAD_PAUSES:
             await trio.sleep(pause)
-            if self.reloads != signal or not self._read_again():
+            if self.reloads != signal or not self._reload_once():
                 return
 
-    def _read_again(self) -> str:
+    def _reload_once(self) -> str:
         """Takes the file if it can be used; returns what is wrong with it, or nothing."""
         try:
             fresh = read_start(self.config)
-        except ConfigError as wrong:
-            return str(wrong)
+        except ConfigError as error:
+            return str(error)
         self.counts["reloads"] += 1
-        told = fresh.terms.facts  # how many share the fleet's budgets; all else holds for a planner's life
+        told = (
+            fresh.engine_settings.facts
+        )  # how many share the fleet's budgets; all else holds for a planner's life
         self.engine.share(told.planners, told.slot)
         self.log.info(
             "configuration_read",
             bulletin=fresh.bulletin,
-            settings_same=fresh.terms.facts == self.start.terms.facts,
+            settings_same=fresh.engine_settings.facts == self.start.engine_settings.facts,
         )
         try:
-            items = self.follower.fresh(fresh.known.items)
+            items = self.follower.new_events(fresh.known.items)
         except DiscoveryError:
             items = []  # what is missing comes from the bulletin itself
         if items:  # the file alone does not show that the list is still heard
-            self._hear_discovery(items)
+            self._apply_listings(items)
         self.engine.list_moved(self.net.now())  # the old address tells nothing any more
         self.follower.move(fresh.bulletin)
         return ""
@@ -172,17 +174,17 @@
     async def _stop(self) -> None:
         """Serves on while set-ups come and answers all that was taken. Then it stays until just before
         SIGKILL may come: ends of what stands are told as long as somebody is there to tell them."""
-        longest = min(LONGEST_DEADLINE, max(self.start.patience) / 1e6)
-        kill, part = trio.current_time() + COMING + longest, min(1.0, longest)
+        longest = min(MAX_DEADLINE, max(self.start.max_time_left) / 1e6)
+        kill, part = trio.current_time() + ACCEPTING_AFTER_STOP + longest, min(1.0, longest)
         self.log.info("stopping", unanswered=self.engine.unanswered(), until=round(kill, 2))
         self.owner_server.leaving = True
-        await trio.sleep_until(kill - ANSWER_WAITING * part)
+        await trio.sleep_until(kill - ANSWER_HELD_BEFORE * part)
         self.engine.stop(self.net.now())
         self._progress()
-        await trio.sleep_until(kill - ANSWER_ALL * part)
+        await trio.sleep_until(kill - ANSWER_ALL_BEFORE * part)
         self.engine.stop_now(self.net.now())
         self._carry_out()
-        await trio.sleep_until(kill - CLOSE * part)
+        await trio.sleep_until(kill - CLOSE_BEFORE * part)
         self.closing = True
         for name in list(
             self.links.by_machine
@@ -191,7 +193,7 @@
         for peer in self.owner_server.peers.values():
             peer.end()
         with trio.move_on_at(
-            kill - LAST_BYTES * part
+            kill - EXIT_BEFORE * part
         ):  # an answer of which a part has left is still owed the rest
             while any(peer.unsent() for peer in self.owner_server.peers.values()):
                 await trio.sleep(0.01)
@@ -206,9 +208,11 @@
         """One pump, of as many decisions as fit into a turn by what the last ones took."""
         self.engine.pump(now)
         self._carry_out()
-        took, most = self.net.now() - now, self.limits.decisions_at_once
+        took, max_resources = self.net.now() - now, self.limits.decisions_at_once
         self.engine.at_once = (
-            max(1, self.engine.at_once // 2) if took > TURN * 1e6 else min(most, self.engine.at_once + 1)
+            max(1, self.engine.at_once // 2)
+            if took > MAX_BATCH_DURATION * 1e6
+            else min(max_resources, self.engine.at_once + 1)
         )
 
     def _progress(self) -> None:
@@ -226,9 +230,9 @@
     def _do(self, action: Action) -> None:
         if isinstance(action, Send):
             if action.role == "owner":
-                self.owner_server.tell(action.peer, action.message)
+                self.owner_server.send(action.peer, action.message)
             else:
-                self.links.tell(action.peer, action.message)
+                self.links.send(action.peer, action.message)
         elif isinstance(action, Dial) and not self.closing:
             self.links.dial(action)
         elif isinstance(action, HangUp | Lost):
@@ -244,9 +248,9 @@
             return m.Listing(version=self.engine.list_version, whole=False, entries=[])
         try:
             listing, faults = translation.listing(item["roster"], self.zones, self.net.wall())
-        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as wrong:
+        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
             self.counts["discovery_unreadable"] += 1
-            raise DiscoveryError(f"an event that cannot be read: {wrong!r:.200}") from None
+            raise DiscoveryError(f"an event that cannot be read: {error!r:.200}") from None
         if faults:
             self.counts["discovery_entries_unreadable"] += len(faults)
             raise DiscoveryError(
@@ -255,7 +259,7 @@
             )
         return listing
 
-    def _hear_discovery(self, listings: list[m.Listing]) -> None:
+    def _apply_listings(self, listings: list[m.Listing]) -> None:
         now = self.net.now()
         for listing in listings:
             self.engine.list_said(now, listing)
@@ -267,7 +271,7 @@
         self.counts["discovery_answers"] += 1
         now = self.net.now()
         if listings:
-            self._hear_discovery(listings)
+            self._apply_listings(listings)
         else:
             self.engine.list_unchanged(now)
         if whole and self.engine.list_confirmed(now, now - round(age * 1e6)):
@@ -279,16 +283,16 @@
 
     # Each second.
 
-    async def _tend(self) -> None:
+    async def _run_periodic(self) -> None:
         while True:
             await trio.sleep(1.0)
             self.owner_server.releases.drop_overdue()
             self.event_log.write_counts(self.all_counts())
             self.event_log.write_clock_step(self.net.wall_stepped())
             if self.log.is_enabled_for(logging.DEBUG):
-                self._tell_beliefs()
+                self._log_beliefs()
 
-    def _tell_beliefs(self) -> None:
+    def _log_beliefs(self) -> None:
         """What this planner believes, beside what it has sent and heard."""
         engine = self.engine
         self.log.debug(
--- a/hazelhold/platform/releases.py
+++ b/hazelhold/platform/releases.py
@@ -26,27 +26,27 @@
         self.peers, self.counts = peers, counts
         self.waiting: deque[WaitingRelease] = deque()  # emptied by age, and by the next connection of use
 
-    def tell(self, peer: OwnerPeer | None, binary: BinaryMessage) -> None:
+    def send(self, peer: OwnerPeer | None, binary: BinaryMessage) -> None:
         """Tells an end on its own connection, else on any that has shown itself an owner's, else keeps it for
         the next."""
         if peer is not None and peer.release(binary):
             return
         by_claim = sorted(
-            self.peers.values(), key=lambda p: (p.handed_over, p.proven, p.used_at), reverse=True
+            self.peers.values(), key=lambda p: (p.handed_over, p.had_placement, p.used_at), reverse=True
         )
         for other in by_claim:
-            if other.good and other.release(binary):
+            if other.sent_valid and other.release(binary):
                 self.counts["releases_elsewhere"] += 1
                 return
         self.counts["releases_held"] += 1
         self.waiting.append(WaitingRelease(trio.current_time() + LONGEST_WAIT, binary))
 
-    def tell_waiting(self, peer: OwnerPeer) -> None:
+    def send_waiting(self, peer: OwnerPeer) -> None:
         """Tells what waits on a connection that has shown itself an owner's."""
         while self.waiting and peer.release(self.waiting[0].binary):
             self.waiting.popleft()
 
-    def tell_waiting_of(self, peer: OwnerPeer, task: str) -> bool:
+    def send_waiting_for(self, peer: OwnerPeer, task: str) -> bool:
         """Tells the end of a task that waits, if one does: a task that is handed over once more is over."""
         for each in self.waiting:
             if each.binary.id == task and peer.release(each.binary):
--- a/hazelhold/platform/serve.py
+++ b/hazelhold/platform/serve.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.config.load import ConfigError
-from hazelhold.platform.configuration import Start, read_start
+from hazelhold.platform.configuration import StartSettings, read_start
 from hazelhold.platform.planner import PlatformPlanner
 from hazelhold.service.net import TcpNet
 from hazelhold.service.signals import early_signals
@@ -29,7 +29,7 @@
 KINDS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-async def run(start: Start, path: Path, frames: bool, early: list[int]) -> None:
+async def run(start: StartSettings, path: Path, frames: bool, early: list[int]) -> None:
     planner = PlatformPlanner(start, TcpNet(), path)
     if frames:
         planner.log_frames()
--- a/hazelhold/platform/translation.py
+++ b/hazelhold/platform/translation.py
@@ -25,7 +25,7 @@
     BinaryMessage,
     CodecError,
     Line,
-    Sent,
+    OutgoingLine,
 )
 from hazelhold.protocol import messages as m
 from hazelhold.simhost import read_load
@@ -52,34 +52,34 @@
     at: str
 
 
-class Bounds(NamedTuple):
+class SubmissionLimits(NamedTuple):
     """What a sound ask stays within: cores and memory of all that a machine takes, patience by product name
     in microseconds, and the names of customers."""
 
-    most: tuple[float, float]
-    patience: dict[str, int]
+    max_resources: tuple[float, float]
+    max_time_left: dict[str, int]
     customers: frozenset[str]
 
 
 # Owners.
 
 
-def parse_submission(binary: BinaryMessage, bounds: Bounds) -> ParsedSubmission:
+def parse_submission(binary: BinaryMessage, bounds: SubmissionLimits) -> ParsedSubmission:
     """BadAskError or CodecError if it cannot be used."""
     product, customer = binary.text(CLASS), binary.text(TENANT)
-    if product not in bounds.patience:
+    if product not in bounds.max_time_left:
         raise InvalidSubmissionError("unknown_product", f"no product is called {product[:60]!r}")
     if customer and customer not in bounds.customers:
         raise InvalidSubmissionError("unknown_customer", f"no customer is called {customer[:60]!r}")
     figures = dict(part.partition(":")[::2] for part in binary.text(FIGURES).split(";") if part)
     cores = figure(figures.get("cores", ""), "cores")
     memory = figure(figures.get("memory", ""), "memory")
-    if not (0 < cores <= bounds.most[0] and 0 < memory <= bounds.most[1]):
+    if not (0 < cores <= bounds.max_resources[0] and 0 < memory <= bounds.max_resources[1]):
         raise InvalidSubmissionError("out_of_range", f"{cores:g} cores and {memory:g} of memory")
     at, left = figures.get("at", ""), binary.text(LEFT)
-    patience = figure(left, "the time") if left or not at else 0.0
-    if not at and not 0 < patience * 1000 <= bounds.patience[product] + 1_000_000:
-        raise InvalidSubmissionError("out_of_range", f"a patience of {patience:g} ms")
+    time_left = figure(left, "the time") if left or not at else 0.0
+    if not at and not 0 < time_left * 1000 <= bounds.max_time_left[product] + 1_000_000:
+        raise InvalidSubmissionError("out_of_range", f"a patience of {time_left:g} ms")
     service, key = figures.get("service", ""), binary.text(NAME)
     if not key or len(key) > 200 or not service or len(service) > 200:
         raise InvalidSubmissionError("no_name", "task and service need a name of at most 200 letters")
@@ -93,7 +93,7 @@
             service=service,
             cores=cores,
             memory=memory,
-            patience=max(0, round(patience * 1000)),
+            patience=max(0, round(time_left * 1000)),
             customer=customer,
             key=key,
             description=description,
@@ -144,18 +144,18 @@
 # Machines.
 
 
-def to_machine(message: m.Message, left: int = 0) -> Sent | None:
+def to_machine(message: m.Message, left: int = 0) -> OutgoingLine | None:
     """`left` is how long the answer to an offer is waited for from now, in microseconds."""
     if isinstance(message, m.Offer):
         left = max(1, left // 1000)
         fields = {"class": message.product, "key": message.key, "left": str(left)}
         if message.ticket:
             fields["idem"] = message.ticket
-        return Sent("offer", message.guest, fields, desc=message.description.decode())
+        return OutgoingLine("offer", message.guest, fields, desc=message.description.decode())
     if isinstance(message, m.Withdraw | m.Stop):
-        return Sent("end", message.guest, {}, OK if isinstance(message, m.Withdraw) else CANCELLED)
+        return OutgoingLine("end", message.guest, {}, OK if isinstance(message, m.Withdraw) else CANCELLED)
     if isinstance(message, m.Probe):
-        return Sent("test", f"{message.number:016x}", {}, 1)
+        return OutgoingLine("test", f"{message.number:016x}", {}, 1)
     return None
 
 
@@ -250,8 +250,8 @@
     for each in roster.get("hosts", []):
         try:
             entries.append(entry(each, zones, wall))
-        except (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError) as wrong:
-            faults.append(f"{wrong!r:.120}")
+        except (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError) as error:
+            faults.append(f"{error!r:.120}")
     whole = bool(roster.get("whole")) and not faults  # what is missing may be what was left out
     return m.Listing(version=int(roster.get("seq", 0)), whole=whole, entries=entries), faults
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -56,7 +56,7 @@
             await owner.stream.send_all(encode_binary(set_up(1)) + rest)
         else:
             await other.say(end(1))  # it overtook its set-up, which comes on another connection
-            await until(lambda: rig.planner.owner_server.early)
+            await until(lambda: rig.planner.owner_server.early_ends)
             await owner.say(set_up(1))
             await until(lambda: owner.of(1))
             assert owner.of(1) == [(END, 34)]
@@ -71,7 +71,7 @@
     async def test(rig: SocketRig) -> None:
         owner, other = await rig.owner(), await rig.owner()
         await other.say(end(1))
-        await until(lambda: rig.planner.owner_server.early)
+        await until(lambda: rig.planner.owner_server.early_ends)
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a"))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
         assert not rig.planner.engine.stands(name(1)) and not owner.of(1)
@@ -197,7 +197,7 @@
             one.send(m.Probe(number=5))
         await until(lambda: len([each for each in "ab" if each in rig.offers(1)]) == 2)
         assert one.stream.socket.fileno() < 0 and rig.planner.counts["offers_behind"] == 1
-        assert not rig.planner.links.fences and not other.aside
+        assert not rig.planner.links.fences and not other.deferred
 
     on_sockets(test)
 
@@ -214,7 +214,7 @@
             if way == "ending":
                 engine.pump(engine.newest[name(1)].due_at + 1)
                 rig.planner._carry_out()
-            await until(lambda: other.aside or order)
+            await until(lambda: other.deferred or order)
             order.append("closed")
             await tap.stream.aclose()
 
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -13,7 +13,7 @@
 
 class Reader:
     def __init__(self, half: bool) -> None:
-        self.half = half
+        self.has_partial_message = half
 
 
 class Connection:
@@ -22,8 +22,10 @@
     def __init__(self, name: str, **facts: Any) -> None:  # noqa: ANN401
         self.name = name
         self.open: dict[str, None] = {}
-        self.closing = self.good = self.proven = self.handed_over = self.sending = self.waits = False
-        self.came_at = self.used_at = self.sending_from = NOW - 10
+        self.closing = self.sent_valid = self.had_placement = self.handed_over = self.sending = self.waits = (
+            False
+        )
+        self.opened_at = self.used_at = self.sending_from = NOW - 10
         self.reader = Reader(facts.pop("half", False))
         vars(self).update(facts)
 
@@ -41,12 +43,12 @@
 
 
 def test_what_loses_least_goes_first() -> None:
-    kept = Connection("kept", good=True, proven=True, used_at=NOW)
+    kept = Connection("kept", sent_valid=True, had_placement=True, used_at=NOW)
     assert order(
-        Connection("fresh", came_at=NOW - FRESH / 2),
-        Connection("handed over", good=True, handed_over=True),
-        Connection("served", good=True, proven=True),
-        Connection("asked", good=True),
+        Connection("fresh", opened_at=NOW - FRESH / 2),
+        Connection("handed over", sent_valid=True, handed_over=True),
+        Connection("served", sent_valid=True, had_placement=True),
+        Connection("asked", sent_valid=True),
         Connection("silent"),
         kept,
     ) == ["silent", "asked", "served", "handed over", "fresh"]
@@ -55,35 +57,35 @@
 def test_one_that_reads_nothing_counts_as_silent_whatever_it_was() -> None:
     stuck = {"sending": True, "sending_from": NOW - 2 * STUCK}
     assert order(
-        Connection("reads nothing", good=True, proven=True, used_at=NOW - 1, **stuck),
-        Connection("asked", good=True),
-        Connection("kept", good=True, proven=True, used_at=NOW),
+        Connection("reads nothing", sent_valid=True, had_placement=True, used_at=NOW - 1, **stuck),
+        Connection("asked", sent_valid=True),
+        Connection("kept", sent_valid=True, had_placement=True, used_at=NOW),
     ) == ["reads nothing", "asked"]
 
 
 def test_being_fresh_protects_none_where_most_connections_are() -> None:
-    crowd = [Connection(f"new {n}", came_at=NOW - FRESH / 2, used_at=NOW - 1 - n) for n in range(3)]
-    idle = Connection("idle", good=True)
+    crowd = [Connection(f"new {n}", opened_at=NOW - FRESH / 2, used_at=NOW - 1 - n) for n in range(3)]
+    idle = Connection("idle", sent_valid=True)
     assert order(*crowd, idle) == ["new 2", "new 1", "new 0", "idle"]
     assert order(*crowd[:1], idle) == ["idle", "new 0"]
 
 
 def test_requests_in_hand_closing_ones_and_the_last_of_an_owner_stay() -> None:
     assert order(
-        Connection("open", good=True, open={"task": None}),
+        Connection("open", sent_valid=True, open={"task": None}),
         Connection("closing", closing=True),
-        Connection("last", good=True, handed_over=True, used_at=NOW),
-        Connection("earlier", good=True, proven=True, used_at=NOW - 1),
+        Connection("last", sent_valid=True, handed_over=True, used_at=NOW),
+        Connection("earlier", sent_valid=True, had_placement=True, used_at=NOW - 1),
     ) == ["earlier"]
-    assert order(Connection("only", good=True, proven=True)) == []
+    assert order(Connection("only", sent_valid=True, had_placement=True)) == []
 
 
 def test_of_one_standing_goes_what_is_written_then_whole_then_longest_idle() -> None:
     assert order(
-        Connection("used last", good=True, used_at=NOW - 1),
-        Connection("used first", good=True, used_at=NOW - 9),
-        Connection("half a message", good=True, half=True, used_at=NOW - 20),
-        Connection("still written to", good=True, waits=True, used_at=NOW - 30),
+        Connection("used last", sent_valid=True, used_at=NOW - 1),
+        Connection("used first", sent_valid=True, used_at=NOW - 9),
+        Connection("half a message", sent_valid=True, half=True, used_at=NOW - 20),
+        Connection("still written to", sent_valid=True, waits=True, used_at=NOW - 30),
     ) == ["used first", "used last", "half a message", "still written to"]
 
 
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -20,7 +20,7 @@
 
 from hazelhold.engine.silence import Silence
 from hazelhold.platform.codec import encode_binary
-from hazelhold.platform.owner_server import FIRST_MESSAGE
+from hazelhold.platform.owner_server import FIRST_MESSAGE_TIMEOUT
 from hazelhold.platform.peer import OwnerPeer
 from tests.faults.clients import Habits
 from tests.platform_rig import PLACED, TELLING_USE, Owner, Rig, SocketRig, end, on_sockets, set_up
@@ -105,7 +105,7 @@
             owner = await rig.owner()
             await owner.say(set_up(task))
             while not any(
-                link.peer and link.peer.offers_kept() for link in rig.planner.links.by_machine.values()
+                link.peer and link.peer.unsent_offers() for link in rig.planner.links.by_machine.values()
             ):
                 if rig.offers(task):
                     break  # it has left within this turn: no try
@@ -142,7 +142,7 @@
 
 def test_without_the_look_at_the_client_s_connection_offers_leave(monkeypatch: pytest.MonkeyPatch) -> None:
     """The broken variant."""
-    monkeypatch.setattr(OwnerPeer, "waits_to_be_heard", lambda peer: False)
+    monkeypatch.setattr(OwnerPeer, "has_overdue_input", lambda peer: False)
     assert block_amid_an_offer(cancel) != []
 
 
@@ -157,7 +157,7 @@
         assert full >= new
         for _ in range(full):
             await rig.owner()
-        await trio.sleep(FIRST_MESSAGE - 0.1)
+        await trio.sleep(FIRST_MESSAGE_TIMEOUT - 0.1)
         assert len(rig.planner.owner_server.peers) == full
         host, port = rig.planner.address.split(":")
         made = []
@@ -228,7 +228,7 @@
         owners = [await rig.owner() for _ in range(TRIES)]
         for task, owner in enumerate(owners, 1):
             await owner.say(set_up(task), end(task))
-        await trio.sleep(FIRST_MESSAGE - 0.1)
+        await trio.sleep(FIRST_MESSAGE_TIMEOUT - 0.1)
         assert len(rig.planner.owner_server.peers) == TRIES
         for task, owner in enumerate(owners, 101):
             owner.stream.socket._sock.send(encode_binary(set_up(task)))
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -175,7 +175,7 @@
     names = [workers.name(number) for number in range(WORKERS)]
     hosts = [host(name, "terminating", dial=f"{name}.region-1:7070") for name in names]
     told = event(2, *hosts)
-    assert MAX_FRAME < len(msgspec.json.encode(told)) < discovery.MOST / 4
+    assert MAX_FRAME < len(msgspec.json.encode(told)) < discovery.MAX_ANSWER_BYTES / 4
 
     async def test(rig: Rig) -> None:
         rig.bulletin.events = [told]
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -57,7 +57,7 @@
 def test_the_lease_is_a_part_of_the_grace_for_drains(grace: float | None, lease: int) -> None:
     rules = DEPLOYMENT["rules"] | ({} if grace is None else {"drain-grace": grace})
     text = file(settings=DEPLOYMENT | {"rules": rules})
-    assert check_start(text, "test").terms.facts.list_lease == lease
+    assert check_start(text, "test").engine_settings.facts.list_lease == lease
 
 
 @pytest.mark.parametrize("grace", [-1, "soon", 1e12])
@@ -285,20 +285,20 @@
     async def test(rig: Rig) -> None:
         follower = rig.planner.follower
         await trio.sleep(1)
-        calls = follower.calls
+        calls = follower.polls
         await trio.sleep(5)
-        assert 15 * 5 <= follower.calls - calls <= 21 * 5  # without news
-        calls = follower.calls
+        assert 15 * 5 <= follower.polls - calls <= 21 * 5  # without news
+        calls = follower.polls
         for _ in range(1000):
             rig.bulletin.events.append(event(len(rig.bulletin.events) + 2, host("a")))
             await trio.sleep(0.005)
-        assert follower.calls - calls <= 41 * 5
+        assert follower.polls - calls <= 41 * 5
         follower.confirmed = False
-        calls = follower.calls
+        calls = follower.polls
         for _ in range(1000):
             follower.confirmed = False
             await trio.sleep(0.005)
-        assert follower.calls - calls <= 41 * 5
+        assert follower.polls - calls <= 41 * 5
 
     play(test)
 
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -18,7 +18,7 @@
     END,
     FIGURES,
     LEFT,
-    MOST,
+    MAX_MESSAGE_BYTES,
     SET_UP,
     TICKET,
     WAIT,
@@ -27,19 +27,19 @@
     CodecError,
     Line,
     LineReader,
-    Sent,
+    OutgoingLine,
     decode_line,
     encode_binary,
     encode_line,
 )
-from hazelhold.platform.configuration import check_start, flat
+from hazelhold.platform.configuration import check_start, flatten
 from hazelhold.protocol import messages as m
 from hazelhold.simhost import Pairs, read_deployment
 from tests.platform_rig import DEPLOYMENT, event, file, host, set_up
 
 IDS = st.integers(1, 2**64 - 1).map(lambda n: f"{n:016x}")
 VALUES = st.dictionaries(st.integers(1, 16), st.binary(max_size=60), max_size=5)
-BOUNDS = translation.Bounds(
+BOUNDS = translation.SubmissionLimits(
     (104.0, 60.0), {"plain": 3_000_000, "once": 2_500_000}, frozenset({"acme", "beta"})
 )
 
@@ -55,11 +55,11 @@
     reader, found = BinaryReader(), []
     for start, stop in zip([0, *at], [*at, len(raw)], strict=True):
         found += reader.feed(raw[start:stop])
-    assert found == binaries and not reader.half
+    assert found == binaries and not reader.has_partial_message
 
 
 def test_every_split_in_two_of_lines_gives_the_same_lines() -> None:
-    raw = encode_line(Sent("offer", "9b1f03aa5c7e2d41", {"class": "plain"}, desc="x\r\n\u00fc\n"))
+    raw = encode_line(OutgoingLine("offer", "9b1f03aa5c7e2d41", {"class": "plain"}, desc="x\r\n\u00fc\n"))
     raw += b'{"op":"end","call":"9b1f03aa5c7e2d41","with":{},"why":34}\n'
     whole = LineReader().feed(raw)
     assert [line.op for line in whole] == ["offer", "end"] and whole[0].desc == "x\r\n\u00fc\n"
@@ -75,7 +75,7 @@
             reader.feed(junk)
         except CodecError as wrong:
             assert wrong.code
-        assert len(reader.held) <= MOST
+        assert len(reader.held) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 
 def test_a_line_without_an_end_is_refused_once_it_is_too_long() -> None:
     reader = LineReader()
-    assert reader.feed(b"{" + b" " * (MOST - 10)) == []
+    assert reader.feed(b"{" + b" " * (MAX_MESSAGE_BYTES - 10)) == []
     with pytest.raises(CodecError, match="too_long"):
         reader.feed(b" " * 20)
 
@@ -147,10 +147,13 @@
         "rules.tip-after=2000.0"
     )
     start = check_start(file(), "test")
-    assert start.terms.facts == read_deployment(Pairs(wire.split(" ")))._replace(
+    assert start.engine_settings.facts == read_deployment(Pairs(wire.split(" ")))._replace(
         dispatches_named=False, ages_by_clock=True, list_lease=200_000
     )
-    assert flat(DEPLOYMENT)["kinds"] == "small_box,large-box" and start.terms.kinds[0] == "small box"
+    assert (
+        flatten(DEPLOYMENT)["kinds"] == "small_box,large-box"
+        and start.engine_settings.kinds[0] == "small box"
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_doors.py
+++ b/tests/test_platform_doors.py
@@ -42,14 +42,14 @@
 
     async def test(rig: SocketRig) -> None:
         longest_idle, next_idle, *_ = await idle_owners(rig)
-        real = rig.planner.owner_server._make_room
+        real = rig.planner.owner_server._free_connection
 
         def request_comes_first() -> bool:
             longest_idle.send_now(encode_binary(set_up(1)))
-            rig.planner.owner_server._make_room = real
+            rig.planner.owner_server._free_connection = real
             return real()
 
-        rig.planner.owner_server._make_room = request_comes_first
+        rig.planner.owner_server._free_connection = request_comes_first
         newcomer = await rig.owner()
         await newcomer.say(set_up(2))
         await until(lambda: newcomer.of(2) == PLACED)
@@ -65,9 +65,11 @@
         longest_idle, next_idle, *_ = await idle_owners(rig)
         request = encode_binary(set_up(1))
         await longest_idle.stream.send_all(request[:40])
-        await until(lambda: any(peer.reader.half for peer in rig.planner.owner_server.peers.values()))
+        await until(
+            lambda: any(peer.reader.has_partial_message for peer in rig.planner.owner_server.peers.values())
+        )
         for peer in rig.planner.owner_server.peers.values():
-            peer.used_at += not peer.reader.half  # also one that was used later goes first
+            peer.used_at += not peer.reader.has_partial_message  # also one that was used later goes first
         newcomer = await rig.owner()
         await newcomer.say(set_up(2))
         await until(lambda: newcomer.of(2) == PLACED)
@@ -123,7 +125,9 @@
         others = [await rig.owner() for _ in range(rig.planner.limits.connections - 2)]
         for number, other in enumerate(others, 3):
             await other.say(set_up(number, left="3000"))
-        await until(lambda: all(peer.open or peer.proven for peer in rig.planner.owner_server.peers.values()))
+        await until(
+            lambda: all(peer.open or peer.had_placement for peer in rig.planner.owner_server.peers.values())
+        )
         stranger = others[-1]
         assert (
             first.closed_at is None and len(rig.planner.owner_server.peers) == rig.planner.limits.connections
@@ -140,14 +144,14 @@
 def test_a_new_connection_is_refused_where_every_idle_one_has_something_to_say() -> None:
     async def test(rig: SocketRig) -> None:
         owners = await idle_owners(rig)
-        real = rig.planner.owner_server._make_room
+        real = rig.planner.owner_server._free_connection
 
         def all_speak() -> bool:
             for guest, owner in enumerate(owners, 1):
                 owner.send_now(encode_binary(set_up(guest)))
             return real()
 
-        rig.planner.owner_server._make_room = all_speak
+        rig.planner.owner_server._free_connection = all_speak
         newcomer = await rig.owner()
         await until(lambda: newcomer.closed_at is not None)
         for guest, owner in enumerate(owners, 1):
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -30,11 +30,12 @@
             b"junk\r\n\r\n",
             b"",
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b" " * (2 * discovery.MOST),
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
+            + b" " * (2 * discovery.MAX_ANSWER_BYTES),
         ]
         for answer in answers:
             bulletin.broken = answer
-            rig.planner.follower.unread = (0, 0)
+            rig.planner.follower.unreadable = (0, 0)
             failures = rig.planner.counts["discovery_failures"]
             await trio.sleep(0.6 if b"asleep" in answer else 2)  # before it is passed over
             assert rig.planner.counts["discovery_failures"] > failures, answer[:60]
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -321,8 +321,8 @@
     left["3"] = 0  # told to drain while the first was written: those behind it do not leave any more
     assert peer.leaving() == b"" and not peer.waits()
     peer.send(m.Offer(guest="1", product="plain", service="s", cores=1.0, memory=1.0))
-    assert peer.taken_out(m.Withdraw(guest="2")) is None
-    assert peer.taken_out(m.Withdraw(guest="1")).guest == "1"
+    assert peer.remove_unsent(m.Withdraw(guest="2")) is None
+    assert peer.remove_unsent(m.Withdraw(guest="1")).guest == "1"
     assert peer.leaving() == b""
 
 
