--- a/hazelhold/protocol/__init__.py
+++ b/hazelhold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The messages between owners, planners, machines and the list service, and their frames."""
+"""Messages between owners, planners, machines and the list service, their framing, and traffic records."""
--- a/hazelhold/protocol/frames.py
+++ b/hazelhold/protocol/frames.py
@@ -1,13 +1,17 @@
-"""Length-prefixed frames: four bytes, big-endian, then so many bytes of MessagePack. No I/O here."""
+"""Length-prefixed frames: a four-byte big-endian length, then that many bytes of MessagePack. No I/O."""
 
-MAX_FRAME = 1 << 20  # bytes of a frame from anybody but the list service
+MAX_FRAME = 1 << 20  # bytes; for every peer except the list service
 
-MAX_LIST_FRAME = 1 << 23  # bytes of one from the list service
-"""A whole list is one frame: 150 to 210 bytes a machine, so that some 40,000 machines fit."""
+MAX_LIST_FRAME = 1 << 23  # bytes; for frames from the list service
+"""A whole list is one frame. At 150 to 210 bytes per machine, some 40,000 machines fit."""
 
 
 class FrameError(Exception):
-    """A peer broke the protocol. `code` is one word for counters, the text is for people."""
+    """A peer broke the protocol.
+
+    `code` is one word for counters, `text` is for people. `again_after` is in microseconds: when the peer
+    should reconnect, or 0.
+    """
 
     def __init__(self, code: str, text: str, again_after: int = 0) -> None:
         super().__init__(f"{code}: {text}")
@@ -15,10 +19,10 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames, however it was split on the way.
+    """Splits a byte stream into frames, independent of how the bytes were chunked in transit.
 
-    A frame that announces more than `limit` bytes raises FrameError before any of it is kept, so that what is
-    held is never more than `limit` and one read.
+    A frame that announces more than `limit` bytes raises FrameError before its body is buffered, so the
+    buffer never holds more than `limit` bytes plus one read.
     """
 
     def __init__(self, limit: int = MAX_FRAME) -> None:
@@ -26,15 +30,15 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes as they came; returns the frames that they complete."""
+        """Adds received bytes and returns the bodies of the frames that they complete."""
         self.buffer += data
         frames, at = [], 0
         while len(self.buffer) - at >= 4:
             size = int.from_bytes(self.buffer[at : at + 4])
             if size > self.limit:
-                raise FrameError("frame_too_long", f"a frame of {size} bytes; the limit is {self.limit}")
+                raise FrameError("frame_too_long", f"frame of {size} bytes exceeds the limit of {self.limit}")
             if not size:
-                raise FrameError("frame_empty", "a frame of no bytes")
+                raise FrameError("frame_empty", "frame of zero bytes")
             if len(self.buffer) - at - 4 < size:
                 break
             frames.append(bytes(self.buffer[at + 4 : at + 4 + size]))
@@ -43,10 +47,11 @@
         return frames
 
     def close(self) -> None:
-        """Says that the stream ended; bytes that make no frame are an error."""
+        """Marks the end of the stream; raises FrameError if it ended within a frame."""
         if self.buffer:
-            raise FrameError("frame_cut", f"the stream ended {len(self.buffer)} bytes into a frame")
+            raise FrameError("frame_cut", f"stream ended {len(self.buffer)} bytes into a frame")
 
 
 def frame(body: bytes) -> bytes:
+    """Prefixes a message body with its length."""
     return len(body).to_bytes(4) + body
--- a/hazelhold/protocol/messages.py
+++ b/hazelhold/protocol/messages.py
@@ -1,8 +1,8 @@
-"""Every message of the protocol as a typed structure, and the codec for each direction.
+"""The messages of the protocol as typed structures, and the codec for each direction.
 
-Times are spans in whole microseconds, never moments: no two clocks need to agree. Cores and memory are in the
-units of the configuration. Fields that are not known are passed over; types that are not known are refused by
-name. docs/protocol.md tells who sends what, and when.
+Times are durations in whole microseconds, never points in time, so no two clocks need to agree. Cores and
+memory are in the units of the configuration. Unknown fields are ignored; unknown message types are rejected.
+docs/protocol.md describes who sends which message, and when.
 """
 
 from typing import Annotated, Any, Literal
@@ -14,43 +14,43 @@
 
 VERSION = 1
 Id = Annotated[str, Meta(min_length=1, max_length=200)]
-Span = Annotated[int, Meta(ge=0, le=1 << 53)]
+Duration = Annotated[int, Meta(ge=0, le=1 << 53)]
 Count = Annotated[int, Meta(ge=0, le=1 << 31)]
 Amount = Annotated[float, Meta(gt=0, le=1e9)]
-Room = Annotated[float, Meta(ge=-1e9, le=1e9)]
+FreeCapacity = Annotated[float, Meta(ge=-1e9, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1e3)]
 
 
 class Message(Struct, tag_field="t", omit_defaults=True, kw_only=True):
-    """What all messages have in common: their type stands in the field `t`."""
+    """Base of all messages. On the wire the message type is in the field `t`."""
 
 
 class GuestMessage(Message, kw_only=True):
-    """A message about one ask of one guest: `ask` counts the times that its owner has asked, from 0."""
+    """A message about one submission of a guest. `ask` numbers its owner's submissions of it from 0."""
 
     guest: Id
     ask: Count = 0
 
 
 class DispatchMessage(GuestMessage, kw_only=True):
-    """A message about one dispatch of a guest; `attempt` counts the dispatches of this ask, from 0."""
+    """A message about one dispatch of a guest. `attempt` numbers the dispatches of a submission from 0."""
 
     attempt: Count = 0
 
 
 class Load(Struct, omit_defaults=True):
-    """A machine's report; None where it does not say."""
+    """A machine's load; a field is None if the machine does not report it."""
 
-    cores_free: Room | None = None
-    memory_free: Room | None = None
+    cores_free: FreeCapacity | None = None
+    memory_free: FreeCapacity | None = None
     busy: Share | None = None
 
 
-# First words, last words.
+# Opening and closing a connection.
 
 
 class Hello(Message, tag="hello", kw_only=True):
-    """First on every connection, from the side that dials."""
+    """The first message of every connection, sent by the dialling side."""
 
     role: Literal["owner", "planner", "machine"]
     name: Id
@@ -58,116 +58,125 @@
 
 
 class Welcome(Message, tag="welcome", kw_only=True):
-    """Answers a Hello. A machine adds which of its lives this is and how long it has been up; a planner,
-    over how long its owners should spread their return if it goes without last words."""
+    """Answers a Hello.
+
+    A machine adds its incarnation and how long it has been up. A planner adds `spread`: the duration over
+    which its owners should spread their reconnects if it goes away without a Bye.
+    """
 
     name: Id
     version: int = VERSION
     incarnation: Count = 0
-    up_for: Span = 0
-    spread: Span = 0
+    up_for: Duration = 0
+    spread: Duration = 0
 
 
 class Fault(Message, tag="fault", kw_only=True):
-    """The last message before the sender closes a connection that broke the protocol or a limit."""
+    """The last message before the sender closes a connection that violated the protocol or a limit."""
 
     code: str
     text: str = ""
-    again_after: Span = 0  # of code busy: in how long to come back
+    again_after: Duration = 0  # with code "busy": how long to wait before reconnecting
 
 
 class Bye(Message, tag="bye", kw_only=True):
-    """The sender stops in good order; `spread` is over how long its peers should spread their return."""
+    """The sender shuts down cleanly. Its peers should spread their reconnects over `spread`."""
 
     reason: str = ""
-    spread: Span = 0
+    spread: Duration = 0
 
 
 # Owners and planners.
 
 
 class Submit(GuestMessage, tag="submit", kw_only=True):
-    """Asks for a guest to be placed within `patience`; `life` is how long it will still run."""
+    """Submits a guest that is to be placed within `patience`. `life` is how long it is expected to run."""
 
     product: Id
     service: Id
     cores: Amount
     memory: Amount
-    patience: Span
+    patience: Duration
     customer: str = ""
-    life: Span = 0
-    reason: str = ""  # of a repeat: turned_back, broken_off, lost, unanswered
-    key: str = ""  # the owner's name for the guest, the same each time it is asked for
-    description: bytes = b""  # opaque; goes to the machine as it is
-    ticket: str = ""  # the mark by which machines know a repeat of a ticketed guest
+    life: Duration = 0
+    reason: str = ""  # why the guest is submitted again: turned_back, broken_off, lost, unanswered
+    key: str = ""  # the owner's name for the guest, the same in every submission of it
+    description: bytes = b""  # opaque; passed to the machine unchanged
+    ticket: str = ""  # the idempotency key by which machines recognize a repeat of a deduplicated guest
 
 
 class Cancel(GuestMessage, tag="cancel", kw_only=True):
-    """The owner no longer wants the guest, wherever it is."""
+    """The owner cancels the guest, whatever its state."""
 
 
 class Query(GuestMessage, tag="query", kw_only=True):
-    """Asks how things stand with a guest. Who names a product whose guests may run twice spares the planners
-    a look at what is agreed."""
+    """Asks for the state of a guest.
+
+    If `product` names a guest class whose guests may run twice, the planners need not query the agreed
+    claims for the answer.
+    """
 
     product: str = ""
 
 
 class Acknowledged(GuestMessage, tag="held", kw_only=True):
-    """The planner has taken the ask."""
+    """The planner has accepted the submission and will answer it."""
 
 
 class Rejected(GuestMessage, tag="rejected", kw_only=True):
-    """The planner has not taken the ask: it is malformed, or the planner is full or stopping."""
+    """The planner has not accepted the submission: it is malformed, or the planner is full or stopping."""
 
     code: str
     text: str = ""
-    again_after: Span = 0
+    again_after: Duration = 0
 
 
 class Placed(GuestMessage, tag="placed", kw_only=True):
-    """Final answer: the guest was accepted by a machine, or runs there."""
+    """Final answer: a machine has accepted the guest, or runs it."""
 
     machine: Id
-    description: bytes = b""  # the machine's, as it is
-    planner: str = ""  # who has it, if another
+    description: bytes = b""  # the machine's, unchanged
+    planner: str = ""  # the planner that placed the guest, if it is another one
 
 
 class GuestRefused(GuestMessage, tag="turned_back", kw_only=True):
-    """Final answer: no, and trying again is harmless."""
+    """Final answer: the guest was not placed and never ran, so submitting it again is safe."""
 
     reason: str = ""
-    again_after: Span = 0
+    again_after: Duration = 0
 
 
 class GuestFailed(GuestMessage, tag="broken_off", kw_only=True):
-    """Final answer: failed, with no promise. `planner`: who has claimed it, and may know more."""
+    """Final answer: placing the guest failed, and it may have run.
+
+    `planner` is the planner that has claimed the guest and may know more.
+    """
 
     reason: str = ""
     planner: str = ""
 
 
 class GuestEnded(GuestMessage, tag="guest_ended", kw_only=True):
-    """A placed guest's end: done, error, evicted, pushed_out, sent_away, stopped or lost."""
+    """The end of a placed guest; `how` is done, error, evicted, pushed_out, sent_away, stopped or lost."""
 
     how: str
     machine: str = ""
 
 
 class State(GuestMessage, tag="state", kw_only=True):
-    """Answers a Query: held, out, running, turned_back, broken_off, ended or unknown."""
+    """Answers a Query; `state` is held, out, running, turned_back, broken_off, ended or unknown."""
 
     state: str
     machine: str = ""
-    planner: str = ""  # who has it, if another
-    reason: str = ""  # why no more is known
+    planner: str = ""  # the planner that has the guest, if it is another one
+    reason: str = ""  # why the state is not known
 
 
 # Planners and machines.
 
 
 class Offer(DispatchMessage, tag="offer", kw_only=True):
-    """Offers a guest to a machine, which answers Taken or Refused."""
+    """Offers a guest to a machine, which answers OfferAccepted or OfferRefused."""
 
     product: Id
     service: Id
@@ -175,14 +184,18 @@
     memory: Amount
     customer: str = ""
     owner: str = ""
-    life: Span = 0
+    life: Duration = 0
     key: str = ""
     description: bytes = b""
     ticket: str = ""
 
 
 class Withdraw(DispatchMessage, tag="withdraw", kw_only=True):
-    """Takes an offer back. Not yet accepted: handed back as Ended withdrawn. Accepted: it stands."""
+    """Withdraws an offer.
+
+    A guest that is not yet accepted is answered by Ended with `how` withdrawn. One that is accepted stays
+    placed.
+    """
 
 
 class Stop(DispatchMessage, tag="stop", kw_only=True):
@@ -190,62 +203,63 @@
 
 
 class Probe(Message, tag="probe", kw_only=True):
-    """Asks for a Report with the same number."""
+    """Requests a Report with the same number."""
 
     number: Count
 
 
 class InventoryRequest(Message, tag="roll", kw_only=True):
-    """Asks for all that the machine has of this planner; answered by Running."""
+    """Requests all guests that the machine has from this planner; answered by Inventory."""
 
 
 class OfferAccepted(DispatchMessage, tag="taken", kw_only=True):
-    """The machine accepted the guest, or it runs, as the deployment confirms."""
+    """The machine has accepted the guest, or runs it: the deployment defines which of them is confirmed."""
 
     load: Load | None = None
     description: bytes = b""
 
 
 class OfferRefused(DispatchMessage, tag="refused", kw_only=True):
-    """The machine does not take the guest; it never ran."""
+    """The machine refuses the guest, which never ran."""
 
     remark: str  # no_cores, no_memory, line_full, not_here
     load: Load | None = None
 
 
 class Started(DispatchMessage, tag="started", kw_only=True):
-    """The guest runs."""
+    """The guest has started to run."""
 
 
 class ResourceUse(DispatchMessage, tag="use", kw_only=True):
-    """What a running guest uses now; None where that is not told."""
+    """What a running guest uses now; a field is None if it is not reported."""
 
-    cores: Room | None = None
-    memory: Room | None = None
+    cores: FreeCapacity | None = None
+    memory: FreeCapacity | None = None
 
 
 class ServiceLevel(DispatchMessage, tag="served", kw_only=True):
-    """The share of full service that a guest gets."""
+    """The share of full service that a running guest gets, 1 being full service."""
 
     share: Share
 
 
 class MemoryPressure(Message, tag="pressed", kw_only=True):
-    """The share of the machine's memory in use."""
+    """The share of the machine's memory that is in use."""
 
     share: Share
 
 
 class Ended(DispatchMessage, tag="ended", kw_only=True):
-    """The end of a guest: done, error, evicted, pushed_out, sent_away, stopped; or withdrawn: it never ran.
+    """The end of a guest; `how` is done, error, evicted, pushed_out, sent_away, stopped or withdrawn.
 
-    `ran` and `served` are how long it ran, and how much full service that was worth.
+    A withdrawn guest never ran. `ran` is how long the guest ran; `served` is the duration of full service
+    that this is worth.
     """
 
     how: str
     load: Load | None = None
-    ran: Span = 0
-    served: Span = 0
+    ran: Duration = 0
+    served: Duration = 0
 
 
 class Report(Message, tag="report", kw_only=True):
@@ -257,7 +271,7 @@
 
 
 class InventoryItem(Struct, omit_defaults=True):
-    """One guest in a Running: line, accepted, runs, or ended with how."""
+    """One guest in an Inventory. State `line` means queued; `how` is set if the state is `ended`."""
 
     guest: Id
     ask: Count
@@ -273,8 +287,11 @@
 
 
 class Inventory(Message, tag="running", kw_only=True):
-    """All that a machine has of a planner, with the ends that it may have missed. `complete` is false if some
-    ends are forgotten; only a complete one proves that an offer never arrived."""
+    """All guests that a machine has from a planner, with the ends that the planner may have missed.
+
+    `complete` is false if the machine has forgotten some ends. Only a complete inventory proves that an
+    offer never arrived.
+    """
 
     guests: list[InventoryItem]
     complete: bool = True
@@ -284,28 +301,28 @@
 
 
 class Watch(Message, tag="watch", kw_only=True):
-    """Asks for the list from a version on, and for its changes."""
+    """Requests the list after version `since`, and its changes from then on."""
 
     since: Count = 0
 
 
 class Entry(Struct, omit_defaults=True):
-    """One machine as the list has it."""
+    """One machine of the list."""
 
     machine: Id
     address: str
     mode: Literal["ready", "cordoned", "gone"]
     kind: Id
     incarnation: Count = 0
-    up_for: Span | None = None
+    up_for: Duration | None = None
     zone: Count = 0
     cell: Count = 0
-    cores_room: Room = 0.0
-    memory_room: Room = 0.0
+    cores_room: FreeCapacity = 0.0
+    memory_room: FreeCapacity = 0.0
 
 
 class Listing(Message, tag="listing", kw_only=True):
-    """The whole list, or the entries that changed."""
+    """The whole list, or only the entries that changed."""
 
     version: Count
     whole: bool
@@ -313,14 +330,17 @@
 
 
 class RegisterMachines(Message, tag="enlist", kw_only=True):
-    """What machines, or whoever keeps them, tell the list service; with `rooms` only the rooms are news."""
+    """Reports machines to the list service, sent by them or by their operator.
+
+    With `rooms` set, only the free capacity of the entries has changed.
+    """
 
     entries: list[Entry]
     rooms: bool = False
 
 
 class ListRefused(Message, tag="list_refused", kw_only=True):
-    """The list service cannot answer now."""
+    """The list service cannot serve the list at the moment."""
 
     reason: str = ""
 
@@ -351,32 +371,33 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message as a frame, ready to send."""
+    """Encodes a message as a frame."""
     return frame(ENCODER.encode(message))
 
 
 class Codec:
-    """Reads the bodies of frames of one direction."""
+    """Decodes the frame bodies of one direction, given the union of its message types."""
 
     def __init__(self, union: Any) -> None:  # noqa: ANN401 - a union of Message types
         self.decoder = msgspec.msgpack.Decoder(union)
-        self.tags = {kind.__struct_config__.tag for kind in union.__args__}
+        self.tags = {message_type.__struct_config__.tag for message_type in union.__args__}
 
     def decode(self, body: bytes) -> Message:
-        """The message in a frame's body; FrameError names what is wrong with it."""
+        """Decodes the body of a frame; raises FrameError with the reason if it is invalid."""
         try:
             return self.decoder.decode(body)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-            raise self._named(body, wrong) from None
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+            raise self._frame_error(body, error) from None
 
-    def _named(self, body: bytes, wrong: Exception) -> FrameError:
+    def _frame_error(self, body: bytes, error: Exception) -> FrameError:
+        """Classifies a body that could not be decoded."""
         try:
             raw = msgspec.msgpack.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            return FrameError("not_msgpack", str(wrong))
+            return FrameError("not_msgpack", str(error))
         tag = raw.get("t") if isinstance(raw, dict) else None
         if not isinstance(tag, str):
-            return FrameError("no_type", "the message has no type")
+            return FrameError("no_type", "message without a type")
         if tag not in self.tags:
-            return FrameError("unknown_type", f"messages of type {tag[:60]!r} are not known here")
-        return FrameError("bad_message", f"{tag}: {wrong}")
+            return FrameError("unknown_type", f"message type {tag[:60]!r} is not known here")
+        return FrameError("bad_message", f"{tag}: {error}")
