--- a/hazelhold/config/__init__.py
+++ b/hazelhold/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration and day files: JSON5, checked whole at load."""
+"""Configuration files and rehearsal day files: JSON5, validated completely when they are loaded."""
--- a/hazelhold/config/day.py
+++ b/hazelhold/config/day.py
@@ -1,4 +1,4 @@
-"""A rehearsal's day: fleet, demand, owners and troubles, as a JSON5 file."""
+"""The day file of a rehearsal: fleet, demand, owners and injected faults, in JSON5."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -37,15 +37,15 @@
     "planner_loss",
     "planner_disk",
 )
-BETWEEN = ("planner_pause", "planner_cut", "planner_loss", "planner_disk")  # of planners among themselves
+BETWEEN = ("planner_pause", "planner_cut", "planner_loss", "planner_disk")  # faults between planners
 
 
 class GuestMix(Struct, frozen=True):
-    """How guests of one product come and behave, by the name of the product in the estate."""
+    """How guests of one guest class arrive and behave. `product` names the guest class in the estate."""
 
     product: Name
     share: Positive
-    shapes: Annotated[list[Range], Meta(min_length=1)]  # cores and memory that a service's guests ask
+    shapes: Annotated[list[Range], Meta(min_length=1)]  # requested cores and memory of a service's guests
     life_s: Range = (5.0, 20.0)
     cores_use: Range = (0.4, 0.65)
     memory_use: Range = (0.55, 0.8)
@@ -53,7 +53,7 @@
 
 
 class MachineStock(Struct, frozen=True):
-    """Machines of one kind; each range is drawn for each machine."""
+    """Machines of one kind. A value of each range is drawn for each machine."""
 
     kind: Name
     count: Few
@@ -66,7 +66,7 @@
 
 
 class ListServiceSettings(Struct, frozen=True):
-    """The list service: how late it is, and how."""
+    """The delays of the list service."""
 
     notice_s: Range = (0.5, 3.0)
     period_ms: Positive = 500.0
@@ -74,18 +74,18 @@
 
 
 class Demand(Struct, frozen=True):
-    """What owners want."""
+    """The demand of owners: how many guests they submit, cancel and submit again."""
 
     owners: Few = 3
-    rate: Positive = 8.0  # new guests a second, all owners together
+    rate: Positive = 8.0  # new guests per second, of all owners together
     services: Few = 24
     cancel_share: Part = 0.02
     again_ms: Range = (1000.0, 2500.0)
-    until_s: Seconds = 0.0  # no new guests from then on; 0: until the day's length
+    until_s: Seconds = 0.0  # no new guests after this time; 0: until the end of the day
 
 
 class Trouble(Struct, frozen=True):
-    """Something that goes wrong. `part` is of the machines, `size` depends on the kind."""
+    """An injected fault. `part` is the share of the machines it affects; `size` depends on the kind."""
 
     kind: Literal[TROUBLES]
     at_s: Seconds
@@ -95,13 +95,14 @@
     extra: Seconds = 3.0
     by: Literal["any", "kind", "cell", "zone"] = "any"
     which: Annotated[int, Meta(ge=0, le=10_000)] = 0
-    whom: list[Annotated[int, Meta(ge=0, le=2000)]] = []  # planners; empty: planner `which`, by zone its zone
-    others: list[Annotated[int, Meta(ge=0, le=2000)]] = []  # from whom they are cut; empty: from all others
-    way: Literal["both", "out", "in"] = "both"  # of a cut: neither, not what they send, not what they hear
+    # Affected planners; empty: planner `which`, or with `by` zone those of zone `which`.
+    whom: list[Annotated[int, Meta(ge=0, le=2000)]] = []
+    others: list[Annotated[int, Meta(ge=0, le=2000)]] = []  # partitioned from these; empty: from all others
+    way: Literal["both", "out", "in"] = "both"  # the direction a partition drops: both, sent or received
 
 
 class DayMembers(Struct, frozen=True):
-    """Membership among the day's planners, behind wires that troubles strike."""
+    """Membership among the day's planners, over connections that faults can affect."""
 
     on: bool = False
     probe_ms: Positive = 250.0
@@ -111,7 +112,7 @@
 
 
 class DayCopies(Struct, frozen=True):
-    """Claims agreed among the day's planners, by the wires that membership has."""
+    """Claims agreed among the day's planners, over the same connections as membership."""
 
     on: bool = False
     replicas: Annotated[int, Meta(ge=1, le=15)] = 3
@@ -119,7 +120,7 @@
 
 
 class ViewConfig(Struct, frozen=True):
-    """What the day allows its planners' views of each other."""
+    """How wrong and how late the planners' membership views may be on this day."""
 
     wrongly_gone: Annotated[int, Meta(ge=0, le=100_000)] = 0
     missed: Annotated[int, Meta(ge=0, le=100_000)] = 0
@@ -128,7 +129,7 @@
 
 
 class Day(Struct, frozen=True):
-    """A whole day."""
+    """A rehearsal's day."""
 
     name: Name
     length_s: Annotated[float, Meta(gt=0, le=86_400)]
@@ -151,33 +152,37 @@
 
 
 def check_day(day: Day) -> list[tuple[str, str]]:
+    """Checks a day as a whole; returns a (place, reason) for each error."""
     faults = check_estate(day.estate)
-    products = {p.name for p in day.estate.products}
+    guest_classes = {p.name for p in day.estate.products}
     kinds = {k.name for k in day.estate.kinds}
-    for at, wares in enumerate(day.wares):
-        if wares.product not in products:
-            faults.append((f"wares[{at}].product", f"no product is called {wares.product!r}"))
-        for each, shape in enumerate(wares.shapes):
+    for at, mix in enumerate(day.wares):
+        if mix.product not in guest_classes:
+            faults.append((f"wares[{at}].product", f"no guest class is called {mix.product!r}"))
+        for each, shape in enumerate(mix.shapes):
             if min(shape) <= 0:
-                faults.append((f"wares[{at}].shapes[{each}]", "cores and memory are more than 0"))
+                faults.append((f"wares[{at}].shapes[{each}]", "cores and memory have to be more than 0"))
     for at, stock in enumerate(day.stock):
         if stock.kind not in kinds:
             faults.append((f"stock[{at}].kind", f"no kind of machine is called {stock.kind!r}"))
     if day.copies.on and not day.membership.on:
-        faults.append(("copies.on", "goes by the wires between planners: membership.on has to be true"))
+        faults.append(("copies.on", "needs the connections between planners: membership.on has to be true"))
     if day.copies.on and (day.copies.replicas % 2 == 0 or day.copies.replicas > day.planners):
         faults.append(("copies.replicas", f"has to be odd, and no more than the {day.planners} planners"))
-    for at, trouble in enumerate(day.troubles):
-        if trouble.at_s >= day.length_s:
-            faults.append((f"troubles[{at}].at_s", "lies past the end of the day"))
-        if trouble.kind == "planner_disk" and trouble.extra > trouble.at_s:
-            faults.append((f"troubles[{at}].extra", "the disk that is put back is from before the day"))
-        if trouble.kind in ("planner_kill", "planner_stop", "planner_disk") and trouble.which >= day.planners:
+    for at, injected in enumerate(day.troubles):
+        if injected.at_s >= day.length_s:
+            faults.append((f"troubles[{at}].at_s", "is after the end of the day"))
+        if injected.kind == "planner_disk" and injected.extra > injected.at_s:
+            faults.append((f"troubles[{at}].extra", "exceeds at_s: the restored disk would predate the day"))
+        if (
+            injected.kind in ("planner_kill", "planner_stop", "planner_disk")
+            and injected.which >= day.planners
+        ):
             faults.append((f"troubles[{at}].which", f"planners are numbered 0 to {day.planners - 1}"))
-        if trouble.kind in BETWEEN:
-            faults += _check_between(day, trouble, f"troubles[{at}]")
-        if trouble.kind == "zone_cut" and day.zones < 2:
-            faults.append((f"troubles[{at}].kind", "a cut needs two zones or more"))
+        if injected.kind in BETWEEN:
+            faults += _check_between(day, injected, f"troubles[{at}]")
+        if injected.kind == "zone_cut" and day.zones < 2:
+            faults.append((f"troubles[{at}].kind", "needs at least two zones"))
     for where, pair in [
         (f"{name}[{at}].{key}", getattr(item, key))
         for name, items in (("wares", day.wares), ("stock", day.stock))
@@ -186,29 +191,30 @@
         if key != "shapes" and isinstance(getattr(item, key), tuple)
     ]:
         if pair[0] > pair[1]:
-            faults.append((where, f"the range runs backwards: {pair}"))
+            faults.append((where, f"the lower end of the range exceeds the upper: {pair}"))
     return faults
 
 
-def _check_between(day: Day, trouble: Trouble, place: str) -> list[tuple[str, str]]:
+def _check_between(day: Day, injected: Trouble, place: str) -> list[tuple[str, str]]:
+    """Checks a fault between planners."""
     faults = [
         (f"{place}.{key}", f"planners are numbered 0 to {day.planners - 1}")
         for key in ("whom", "others")
-        if any(n >= day.planners for n in getattr(trouble, key))
+        if any(n >= day.planners for n in getattr(injected, key))
     ]
-    if trouble.by not in ("any", "zone"):
-        faults.append((f"{place}.by", "planners have zones, and neither kind nor cell"))
-    if trouble.by == "any" and not trouble.whom and trouble.which >= day.planners:
+    if injected.by not in ("any", "zone"):
+        faults.append((f"{place}.by", "has to be any or zone: planners have neither kind nor cell"))
+    if injected.by == "any" and not injected.whom and injected.which >= day.planners:
         faults.append((f"{place}.which", f"planners are numbered 0 to {day.planners - 1}"))
-    if trouble.kind == "planner_disk" and not day.copies.on:
-        faults.append((f"{place}.kind", "strikes the votes of a planner: copies.on has to be true"))
-    if trouble.kind in ("planner_cut", "planner_loss") and not day.membership.on:
-        faults.append((f"{place}.kind", "there are no wires between planners unless membership.on is true"))
+    if injected.kind == "planner_disk" and not day.copies.on:
+        faults.append((f"{place}.kind", "affects a planner's votes: copies.on has to be true"))
+    if injected.kind in ("planner_cut", "planner_loss") and not day.membership.on:
+        faults.append((f"{place}.kind", "affects connections between planners: membership.on has to be true"))
     return faults
 
 
 def read_day(path: Path) -> Day:
-    """The checked day in a file; ConfigError names all that is wrong with it."""
+    """Reads and checks a day file; ConfigError lists all its errors."""
     day = build(Day, parse(read_text(path), str(path)), str(path))
     if faults := check_day(day):
         raise ConfigError(str(path), faults)
--- a/hazelhold/config/load.py
+++ b/hazelhold/config/load.py
@@ -1,4 +1,4 @@
-"""Reads JSON5 into typed structures and finds all that is wrong at once, each with file, place and reason."""
+"""Reads JSON5 into typed structures. All errors of a file are reported together, with place and reason."""
 
 import difflib
 import errno
@@ -14,7 +14,7 @@
 
 
 class ConfigError(Exception):
-    """All that is wrong with a file; `faults` holds a (place, reason) for each."""
+    """All errors of a file; `faults` holds a (place, reason) pair for each."""
 
     def __init__(self, file: str, faults: list[tuple[str, str]]) -> None:
         super().__init__("\n".join(f"{file}: {place}: {reason}" for place, reason in faults))
@@ -22,30 +22,32 @@
 
 
 def parse(text: str, file: str) -> object:
-    """JSON5 as plain values; a syntax error names line and column."""
+    """Parses JSON5 into plain values. ConfigError gives line and column of a syntax error."""
     try:
         return pyjson5.decode(text)
-    except pyjson5.Json5DecoderException as wrong:
-        said = str(wrong.args[0]) if wrong.args else str(wrong)
-        at = getattr(wrong, "character", None)
-        digits = "".join(c for c in said.rsplit("near", 1)[-1].split(",")[0] if c.isdigit())
+    except pyjson5.Json5DecoderException as error:
+        message = str(error.args[0]) if error.args else str(error)
+        character = getattr(error, "character", None)
+        digits = "".join(c for c in message.rsplit("near", 1)[-1].split(",")[0] if c.isdigit())
         place = "syntax"
         if digits:
             before = text[: max(0, int(digits) - 1)]
             place = f"line {before.count(chr(10)) + 1}, column {len(before) - before.rfind(chr(10))}"
-        raise ConfigError(file, [(place, f"not JSON5: {said}" + (f" ({at!r})" if at else ""))]) from None
+        raise ConfigError(
+            file, [(place, f"not JSON5: {message}" + (f" ({character!r})" if character else ""))]
+        ) from None
 
 
 def build(kind: type[T], value: object, file: str) -> T:
-    """Plain values as a structure of this kind; ConfigError names every place that does not fit."""
+    """Converts plain values to the structure type `kind`. ConfigError lists every value that does not fit."""
     faults: list[tuple[str, str]] = []
-    made = _walk(kind, value, "", faults)
+    converted = _convert(kind, value, "", faults)
     if faults:
         raise ConfigError(file, faults)
-    return made
+    return converted
 
 
-def _walk(kind: Any, value: object, place: str, faults: list[tuple[str, str]]) -> Any:  # noqa: ANN401
+def _convert(kind: Any, value: object, place: str, faults: list[tuple[str, str]]) -> Any:  # noqa: ANN401
     here = place or "top"
     if isinstance(kind, type) and issubclass(kind, Struct):
         if not isinstance(value, dict):
@@ -60,46 +62,51 @@
                     "no such key" + (f"; did you mean {near[0]!r}?" if near else ""),
                 )
             )
-        given = {}
+        arguments = {}
         for name, field in fields.items():
             if name in value:
-                given[field.name] = _walk(field.type, value[name], f"{place}.{name}".lstrip("."), faults)
+                arguments[field.name] = _convert(
+                    field.type, value[name], f"{place}.{name}".lstrip("."), faults
+                )
             elif field.required:
                 faults.append((f"{place}.{name}".lstrip("."), "is missing"))
-        return kind(**given) if not faults else None
+        return kind(**arguments) if not faults else None
     if get_origin(kind) is Annotated and get_origin(get_args(kind)[0]) is list and value:
-        kind = get_args(kind)[0]  # of what such a list may be, only its being empty is checked here
+        kind = get_args(kind)[0]  # of the constraints on a list, only the minimum length of 1 is checked here
     if get_origin(kind) is list and isinstance(value, list):
-        return [_walk(get_args(kind)[0], item, f"{place}[{at}]", faults) for at, item in enumerate(value)]
+        return [_convert(get_args(kind)[0], item, f"{place}[{at}]", faults) for at, item in enumerate(value)]
     try:
         return msgspec.convert(value, kind)
-    except msgspec.ValidationError as wrong:
-        faults.append((here, str(wrong)))
+    except msgspec.ValidationError as error:
+        faults.append((here, str(error)))
         return None
 
 
-PASSING = frozenset((errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EAGAIN, errno.EINTR))
-"""Errors of reading a file that may be gone a moment later."""
+TRANSIENT_ERRORS = frozenset((errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EAGAIN, errno.EINTR))
+"""Errors of reading a file that may not recur when the read is repeated."""
 
-READ_AGAIN = 0.1  # seconds between tries
+RETRY_PAUSE = 0.1  # seconds between tries
 
 
 def read_text(path: Path, tries: int = 1) -> str:
-    """The file's text. `tries`: how often a read that fails for want of something or in the device is made;
-    more than once only where nothing else waits meanwhile. ConfigError if it cannot be read."""
+    """Reads a file as UTF-8; ConfigError if it cannot be read.
+
+    `tries` is how often the read is tried if it fails with one of TRANSIENT_ERRORS. It blocks between the
+    tries, so more than one is only for callers that nothing else waits for.
+    """
     for left in reversed(range(tries)):
         try:
             return path.read_text(encoding="utf-8")
-        except (OSError, UnicodeDecodeError) as wrong:
-            if left and getattr(wrong, "errno", None) in PASSING:
-                time.sleep(READ_AGAIN)
+        except (OSError, UnicodeDecodeError) as error:
+            if left and getattr(error, "errno", None) in TRANSIENT_ERRORS:
+                time.sleep(RETRY_PAUSE)
                 continue
-            raise ConfigError(str(path), [("file", str(getattr(wrong, "strerror", None) or wrong))]) from None
-    raise AssertionError("no try left")
+            raise ConfigError(str(path), [("file", str(getattr(error, "strerror", None) or error))]) from None
+    raise AssertionError("tries has to be at least 1")
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """host:port; ValueError if it is not."""
+    """Splits host:port; brackets around an IPv6 address are removed. ValueError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is not host:port")
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -1,4 +1,7 @@
-"""What one planner is told at its start, and what is shared by all planners of a deployment."""
+"""The configuration file of a planner, with the settings that all planners of a deployment share.
+
+Keys that end in `_ms` or `_s` are durations in milliseconds or seconds.
+"""
 
 from ipaddress import ip_address
 from pathlib import Path
@@ -15,12 +18,12 @@
 NotNegative = Annotated[float, Meta(ge=0, le=1e9)]
 Millis = Annotated[float, Meta(gt=0, le=86_400_000)]
 Whole = Annotated[int, Meta(ge=0, le=1 << 31)]
-EFFECTS = {
+REPEAT_SEMANTICS = {
     "rerunnable": interface.Effect.RERUNNABLE,
     "ticketed": interface.Effect.TICKETED,
     "exclusive": interface.Effect.EXCLUSIVE,
 }
-PLACES = {
+SCOPES = {
     "nowhere": interface.Place.NOWHERE,
     "machine": interface.Place.MACHINE,
     "cell": interface.Place.CELL,
@@ -30,7 +33,7 @@
 
 
 class GuestClassConfig(Struct, frozen=True):
-    """One product: what a second run does, what is promised, how it bears crowded cores."""
+    """One guest class: what a repeated run does, its service targets, and how it tolerates busy cores."""
 
     name: Name
     effect: Literal["rerunnable", "ticketed", "exclusive"]
@@ -50,7 +53,7 @@
 
 
 class MachineKindConfig(Struct, frozen=True):
-    """One kind of machine."""
+    """One kind of machine, with its cores and memory."""
 
     name: Name
     cores: Positive
@@ -58,7 +61,7 @@
 
 
 class MachinesConfig(Struct, frozen=True):
-    """How the machines of this deployment take guests and what they tell."""
+    """How the machines of this deployment admit guests, and what they report."""
 
     cores_multiple: Annotated[float, Meta(ge=1, le=100)] = 1.0
     memory_multiple: Annotated[float, Meta(ge=1, le=100)] = 1.0
@@ -78,17 +81,17 @@
 
 
 class ListConfig(Struct, frozen=True):
-    """Where the list of machines comes from."""
+    """Where the list of machines comes from, and how it is read."""
 
     address: str
     asked: bool = True
     ask_within_ms: Millis = 10000.0
     has_room: bool = True
-    frame_bytes: Annotated[int, Meta(ge=1024, le=1 << 28)] = 1 << 23  # its longest frame: a whole list
+    frame_bytes: Annotated[int, Meta(ge=1024, le=1 << 28)] = 1 << 23  # a whole list is one frame
 
 
 class LimitsConfig(Struct, frozen=True):
-    """Bounds on peers and on time."""
+    """Limits on connections, messages and time."""
 
     frame_bytes: Annotated[int, Meta(ge=1024, le=1 << 28)] = 1 << 20
     hello_ms: Millis = 2000.0
@@ -96,11 +99,11 @@
     reconnect_ms: Millis = 2000.0
     probe_ms: Millis = 250.0
     idle_close_ms: Millis = 60000.0
-    silent_ms: Millis = 3500.0  # a machine that has guests and says nothing for so long is looked for
-    lost_ms: Millis = 6000.0  # one that says nothing for so long, asked on a new connection, has lost them
+    silent_ms: Millis = 3500.0  # a machine with guests that sends nothing for this time is checked
+    lost_ms: Millis = 6000.0  # one that stays silent for this time, also on a new connection, has lost them
     send_bytes: Annotated[int, Meta(ge=4096, le=1 << 30)] = 1 << 20
     connections: Annotated[int, Meta(ge=1, le=100_000)] = 4096
-    links: Annotated[int, Meta(ge=1, le=100_000)] = 100_000  # connections to machines at a time
+    links: Annotated[int, Meta(ge=1, le=100_000)] = 100_000  # concurrent connections to machines
     open_guests: Annotated[int, Meta(ge=1, le=10_000_000)] = 100_000
     patience_ms: Millis = 600_000.0
     keep_answers_ms: Millis = 30_000.0
@@ -108,81 +111,85 @@
     handshakes_a_second: Annotated[float, Meta(gt=0, le=1e6)] = 500.0
     handshake_burst: Annotated[int, Meta(ge=1, le=100_000)] = 200
     handshakes_at_once: Annotated[int, Meta(ge=1, le=100_000)] = 512
-    return_most_ms: Millis = 60_000.0  # the longest advised return of a connection
-    return_spread_ms: Millis = 2000.0  # over how long owners are asked to spread after a stop
-    again_least_ms: Millis = 100.0  # bounds of a turn-back's advised wait
+    return_most_ms: Millis = 60_000.0  # the longest delay that is advised for a reconnect
+    return_spread_ms: Millis = 2000.0  # after a stop, owners are advised to spread reconnects over this time
+    again_least_ms: Millis = 100.0  # bounds of the wait that a refused guest's owner is advised
     again_most_ms: Millis = 5000.0
     batch_ms: Annotated[float, Meta(ge=0, le=1000)] = 2.0
     decisions_at_once: Annotated[int, Meta(ge=1, le=1_000_000)] = 32  # before peers are read again
 
 
 class CaptureConfig(Struct, frozen=True):
-    """Where the planner's exchanges are captured, and how much disk that may take."""
+    """Where the planner's traffic is captured, and how much disk space that may take."""
 
-    file: str = ""  # empty: no capture; .pcapng for that format, else classic pcap
-    rotate_mb: Annotated[float, Meta(ge=0, le=1e6)] = 0.0  # 0: one file that grows
-    rotate_s: Annotated[float, Meta(ge=0, le=1e7)] = 0.0
-    total_mb: Annotated[float, Meta(ge=0, le=1e7)] = 0.0  # 0: no bound; the oldest files go
+    file: str = ""  # empty: no capture; a name in .pcapng selects that format, any other classic pcap
+    rotate_mb: Annotated[float, Meta(ge=0, le=1e6)] = 0.0  # 0: no rotation by size
+    rotate_s: Annotated[float, Meta(ge=0, le=1e7)] = 0.0  # 0: no rotation by time
+    total_mb: Annotated[float, Meta(ge=0, le=1e7)] = 0.0  # 0: unlimited; else the oldest files are deleted
     queue_mb: Annotated[float, Meta(gt=0, le=1024)] = 16.0
 
 
 class StateConfig(Struct, frozen=True):
-    """Where the planner keeps what must outlive its process."""
+    """Where the planner persists the state that must survive a restart."""
 
-    folder: str = ""  # empty: nothing is kept
-    slow_ms: Millis = 2000.0  # a commit that takes longer counts as a failed disk
-    learned_s: Annotated[float, Meta(gt=0, le=86_400)] = 5.0  # how often what was learned is kept
-    retry_ms: Millis = 1000.0  # how often a failed disk is tried again
+    folder: str = ""  # empty: no state is persisted
+    slow_ms: Millis = 2000.0  # a commit that takes longer counts as a disk failure
+    learned_s: Annotated[float, Meta(gt=0, le=86_400)] = 5.0  # interval at which learned state is persisted
+    retry_ms: Millis = 1000.0  # interval at which a failed disk is retried
 
 
 class MembershipConfig(Struct, frozen=True):
-    """Whom of the other planners this one knows to be there. A hint: nothing that a rule rests on follows
-    from it. Addresses are IP address and port."""
+    """Group membership among the planners.
+
+    It is only a hint: no rule depends on it. Addresses are IP address and port.
+    """
 
-    listen: str = ""  # where its datagrams come, UDP; empty: off
-    seeds: list[str] = []  # members to join by, any of them
-    deployment: Name = "hazelhold"  # planners of other deployments are strangers
+    listen: str = ""  # UDP address for its datagrams; empty: membership is off
+    seeds: list[str] = []  # members through any of which it can join
+    deployment: Name = "hazelhold"  # datagrams of other deployments are ignored
     zone: Annotated[str, Meta(max_length=60)] = ""
-    advertise: str = ""  # where others reach it, if that is not `listen`
-    reach: dict[str, str] = {}  # by name or by told address: where it is reached from here
+    advertise: str = ""  # the address at which others reach it, if that is not `listen`
+    reach: dict[str, str] = {}  # by name or advertised address: the address at which it is reached from here
     metrics: str = ""  # address for Prometheus; empty: none
-    probe_ms: Millis = 250.0  # how often another member is probed
-    answer_ms: Millis = 200.0  # a probe has failed after four of these
-    suspect_ms: Millis = 1500.0  # a suspicion that others confirm waits so long
-    suspect_most_ms: Millis = 6000.0  # one that nobody confirms
-    sync_ms: Millis = 10_000.0  # how often whole tables are compared
-    heal_ms: Millis = 2000.0  # how often somebody who is gone is tried
-    forget_s: Annotated[float, Meta(ge=1, le=1e7)] = 3600.0  # how long who is gone or left is kept
+    probe_ms: Millis = 250.0  # interval at which another member is probed
+    answer_ms: Millis = 200.0  # a probe fails after four times this
+    suspect_ms: Millis = 1500.0  # how long a suspicion lasts that other members confirm
+    suspect_most_ms: Millis = 6000.0  # how long one lasts that no other member confirms
+    sync_ms: Millis = 10_000.0  # interval at which whole tables are compared
+    heal_ms: Millis = 2000.0  # interval at which a member that is gone is contacted again
+    forget_s: Annotated[float, Meta(ge=1, le=1e7)] = 3600.0  # how long a member that is gone or left is kept
     most_members: Annotated[int, Meta(ge=2, le=100_000)] = 4096
 
 
 class ReplicaPlannerConfig(Struct, frozen=True):
-    """One planner of the agreed set."""
+    """One planner of the set that agrees on claims."""
 
     name: Name
-    address: str  # where its copies are reached, TCP: IP address and port
+    address: str  # TCP address of its replica: IP address and port
     zone: Annotated[str, Meta(max_length=60)] = ""
 
 
 class ReplicationConfig(Struct, frozen=True):
-    """What the planners agree on, and keep for each other. The set and its epoch are the same in the files of
-    all."""
+    """Replication of claims among the planners.
+
+    The set of planners and its epoch are the same in the files of all planners.
+    """
 
-    listen: str = ""  # where the others reach this one, TCP; empty: off
-    folder: str = ""  # for its votes: a folder of its own, made by `hazelhold copies found`
+    listen: str = ""  # TCP address for the other planners; empty: replication is off
+    folder: str = ""  # for its votes alone; created by `hazelhold copies found`
     epoch: Annotated[int, Meta(ge=1, le=1 << 31)] = 1
     planners: list[ReplicaPlannerConfig] = []
-    replicas: Annotated[int, Meta(ge=1, le=15)] = 3  # how many keep each value; odd
+    replicas: Annotated[int, Meta(ge=1, le=15)] = 3  # planners that store each value; odd
     deployment: Name = "hazelhold"
-    reach: dict[str, str] = {}  # by name: where it is reached from here, if not at its address
-    claim_ms: Millis = 500.0  # a claim that is not agreed within it is refused
+    reach: dict[str, str] = {}  # by name: the address at which it is reached from here, if it differs
+    claim_ms: Millis = 500.0  # a claim on which no agreement is reached in this time is refused
     keep_s: Annotated[float, Meta(ge=60, le=1e9)] = 86_400.0  # how long the claim of an ended guest is kept
-    slow_ms: Millis = 2000.0  # a commit of votes that takes longer counts as a failed disk
-    retry_ms: Millis = 1000.0  # how often a failed disk is tried again
+    slow_ms: Millis = 2000.0  # a commit of votes that takes longer counts as a disk failure
+    retry_ms: Millis = 1000.0  # interval at which a failed disk is retried
 
 
 class FleetSettings(Struct, frozen=True):
-    """What all planners and stand-ins of a deployment agree on."""
+    """Settings that are the same for all planners and stand-ins of a deployment."""
 
     products: Annotated[list[GuestClassConfig], Meta(min_length=1)]
     kinds: Annotated[list[MachineKindConfig], Meta(min_length=1)]
@@ -209,11 +216,12 @@
 
 
 def to_microseconds(millis: float) -> int:
+    """Converts milliseconds to whole microseconds."""
     return round(millis * 1000)
 
 
 def check_estate(estate: FleetSettings, place: str = "estate") -> list[tuple[str, str]]:
-    """What is wrong with an estate as a whole: names twice, times that contradict one another."""
+    """Checks fleet settings as a whole: duplicate names, times that contradict each other."""
     faults = []
     for field, names in (
         ("products", [p.name for p in estate.products]),
@@ -221,111 +229,115 @@
         ("customers", estate.customers),
     ):
         faults += [
-            (f"{place}.{field}[{at}]", f"the name {name!r} is there twice")
+            (f"{place}.{field}[{at}]", f"duplicate name {name!r}")
             for at, name in enumerate(names)
             if name in names[:at]
         ]
     kinds = {k.name for k in estate.kinds}
-    for at, product in enumerate(estate.products):
+    for at, guest_class in enumerate(estate.products):
         here = f"{place}.products[{at}]"
-        if product.goal_ms > product.patience_ms:
-            faults.append((f"{here}.goal_ms", "the goal time lies past the patience"))
-        if product.kind and product.kind not in kinds:
-            faults.append((f"{here}.kind", f"no kind of machine is called {product.kind!r}"))
+        if guest_class.goal_ms > guest_class.patience_ms:
+            faults.append((f"{here}.goal_ms", "exceeds patience_ms"))
+        if guest_class.kind and guest_class.kind not in kinds:
+            faults.append((f"{here}.kind", f"no kind of machine is called {guest_class.kind!r}"))
     return faults
 
 
-def check_addresses(part: str, given: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """What is wrong with a part's addresses, by place: each is IP address and port; `listen` may take any."""
+def check_addresses(part: str, addresses: list[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Checks a section's addresses, given by place: each is IP address and port; only `listen` may have port
+    0 (chosen by the system)."""
     faults = []
-    for place, text in given:
+    for place, text in addresses:
         try:
             host, port = split_address(text)
             ip_address(host)
             if not port and place != "listen":
                 faults.append((f"{part}.{place}", "needs a port"))
-        except ValueError as wrong:
-            faults.append((f"{part}.{place}", f"{wrong}"))
+        except ValueError as error:
+            faults.append((f"{part}.{place}", f"{error}"))
     return faults
 
 
 def check_membership(config: MembershipConfig) -> list[tuple[str, str]]:
-    """Only if it is on: a section that names no `listen` is off, and then nothing else may be set."""
+    """Checks the section `membership`. Without `listen` it is off, and no other key may be set."""
     if not config.listen:
-        wrong = "is missing: without it membership is off, but other keys are set"
-        return [("membership.listen", wrong)] if config != MembershipConfig() else []
-    given = [
+        reason = "is missing: without it membership is off, but other keys are set"
+        return [("membership.listen", reason)] if config != MembershipConfig() else []
+    addresses = [
         ("listen", config.listen),
         *((f"seeds[{at}]", seed) for at, seed in enumerate(config.seeds)),
-        *((f"reach[{name!r}]", to) for name, to in config.reach.items()),
+        *((f"reach[{name!r}]", address) for name, address in config.reach.items()),
         *((key, text) for key in ("advertise", "metrics") if (text := getattr(config, key))),
     ]
-    faults = check_addresses("membership", given)
-    told = config.advertise or config.listen
-    if not faults and split_address(told)[0] in ("0.0.0.0", "::"):
-        faults.append(("membership.advertise", "is needed: nobody is reached at 0.0.0.0"))
+    faults = check_addresses("membership", addresses)
+    advertised = config.advertise or config.listen
+    if not faults and split_address(advertised)[0] in ("0.0.0.0", "::"):
+        faults.append(("membership.advertise", "is needed: other planners cannot reach 0.0.0.0 or ::"))
     if config.suspect_most_ms < config.suspect_ms:
         faults.append(("membership.suspect_most_ms", "is less than suspect_ms"))
     return faults
 
 
 def check_copies(config: "PlannerConfig") -> list[tuple[str, str]]:
-    """Only if it is on, as with membership."""
+    """Checks the section `copies`. Without `listen` it is off, and no other key may be set."""
     copies = config.copies
     if not copies.listen:
-        wrong = "is missing: without it copies are off, but other keys are set"
-        return [("copies.listen", wrong)] if copies != ReplicationConfig() else []
+        reason = "is missing: without it copies are off, but other keys are set"
+        return [("copies.listen", reason)] if copies != ReplicationConfig() else []
     names = [p.name for p in copies.planners]
-    given = [
+    addresses = [
         ("listen", copies.listen),
-        *((f"reach[{name!r}]", to) for name, to in copies.reach.items()),
+        *((f"reach[{name!r}]", address) for name, address in copies.reach.items()),
         *((f"planners[{at}].address", p.address) for at, p in enumerate(copies.planners)),
     ]
-    faults = check_addresses("copies", given)
+    faults = check_addresses("copies", addresses)
     faults += [
-        (f"copies.planners[{at}].name", f"the name {name!r} is there twice")
+        (f"copies.planners[{at}].name", f"duplicate name {name!r}")
         for at, name in enumerate(names)
         if name in names[:at]
     ]
     faults += [
-        (f"copies.reach[{name!r}]", "is no planner of the set") for name in copies.reach if name not in names
+        (f"copies.reach[{name!r}]", "is not a planner of the set")
+        for name in copies.reach
+        if name not in names
     ]
     if config.name not in names:
-        faults.append(("copies.planners", f"this planner, {config.name!r}, is not among them"))
+        faults.append(("copies.planners", f"does not contain this planner, {config.name!r}"))
     if not copies.folder:
-        faults.append(("copies.folder", "is missing: votes have to outlive the process"))
+        faults.append(("copies.folder", "is missing: votes have to survive a restart"))
     elif copies.folder == config.state.folder:
-        faults.append(("copies.folder", "is that of the state: votes need one of their own"))
+        faults.append(("copies.folder", "is also the state folder: votes need their own folder"))
     if copies.replicas % 2 == 0:
-        faults.append(("copies.replicas", "is even: an odd number bears as many losses with one less"))
+        faults.append(("copies.replicas", "is even: one replica less tolerates as many failures"))
     if copies.replicas > len(names):
-        faults.append(("copies.replicas", f"is more than the {len(names)} planners of the set"))
+        faults.append(("copies.replicas", f"exceeds the number of planners in the set, {len(names)}"))
     if config.capture.file:
-        faults.append(("copies", "a capture cannot be replayed with claims in it yet: not both"))
+        faults.append(("copies", "cannot be combined with a capture: replay does not support claims yet"))
     return faults
 
 
 def check_planner(config: PlannerConfig) -> list[tuple[str, str]]:
+    """Checks a planner's configuration as a whole; returns a (place, reason) for each error."""
     faults = check_estate(config.estate)
     for place, text in (("listen", config.listen), ("list.address", config.list.address)):
         try:
             split_address(text)
-        except ValueError as wrong:
-            faults.append((place, str(wrong)))
+        except ValueError as error:
+            faults.append((place, str(error)))
     faults += check_membership(config.membership)
     faults += check_copies(config)
     faults += check_section(config.fleetconfig, config.name, config.state.folder, bool(config.capture.file))
     if config.slot >= config.planners:
-        faults.append(("slot", f"planner {config.slot} of {config.planners}: slots count from 0"))
+        faults.append(("slot", f"is {config.slot}: has to be less than planners, {config.planners}"))
     if config.capture.total_mb and not 0 < config.capture.rotate_mb <= config.capture.total_mb / 2:
-        faults.append(("capture.rotate_mb", "a bound on the total needs files of at most half of it"))
+        faults.append(("capture.rotate_mb", "has to be set, and at most half of total_mb"))
     if config.limits.stop_ms > 60_000:
-        faults.append(("limits.stop_ms", "a stop takes a minute at most"))
+        faults.append(("limits.stop_ms", "exceeds the maximum of 60000"))
     return faults
 
 
 def read_planner(path: Path) -> PlannerConfig:
-    """The checked configuration in a file; ConfigError names all that is wrong with it."""
+    """Reads and checks a planner's configuration file; ConfigError lists all its errors."""
     config = build(PlannerConfig, parse(read_text(path), str(path)), str(path))
     if faults := check_planner(config):
         raise ConfigError(str(path), faults)
@@ -333,13 +345,13 @@
 
 
 def deployment_settings(config: PlannerConfig) -> interface.Deployment:
-    """The start facts for the module."""
+    """The deployment's settings as the scheduler takes them."""
     estate, fleet = config.estate, config.estate.fleet
     kinds = [k.name for k in estate.kinds]
     products = tuple(
         interface.Product(
-            effect=EFFECTS[p.effect],
-            group=PLACES[p.group],
+            effect=REPEAT_SEMANTICS[p.effect],
+            group=SCOPES[p.group],
             window=to_microseconds(p.window_ms),
             goal_time=to_microseconds(p.goal_ms),
             payoff=p.payoff,
@@ -348,7 +360,7 @@
             easy_until=p.easy_until,
             lost_after=p.lost_after,
             kind=kinds.index(p.kind) if p.kind else -1,
-            spread=PLACES[p.spread],
+            spread=SCOPES[p.spread],
             spread_most=p.spread_most,
         )
         for p in estate.products
