--- a/hazelhold/config/fleetconfig.py
+++ b/hazelhold/config/fleetconfig.py
@@ -100,7 +100,7 @@
 
 def _duplicate_faults(place: str, names: list[str]) -> Faults:
     return [
-        (f"{place}[{at}].name", f"duplicate name {name!r}")
+        (f"{place}[{at}].name", f"the name {name!r} is not unique")
         for at, name in enumerate(names)
         if name in names[:at]
     ]
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -229,7 +229,7 @@
         ("customers", estate.customers),
     ):
         faults += [
-            (f"{place}.{field}[{at}]", f"duplicate name {name!r}")
+            (f"{place}.{field}[{at}]", f"the name {name!r} is not unique")
             for at, name in enumerate(names)
             if name in names[:at]
         ]
@@ -292,7 +292,7 @@
     ]
     faults = check_addresses("copies", addresses)
     faults += [
-        (f"copies.planners[{at}].name", f"duplicate name {name!r}")
+        (f"copies.planners[{at}].name", f"the name {name!r} is not unique")
         for at, name in enumerate(names)
         if name in names[:at]
     ]
