--- a/hazelhold/platform/__init__.py
+++ b/hazelhold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' platform: its protocol as one more entrance and exit of the planner."""
+"""The planner on the operators' platform, which has a protocol and a configuration file of its own."""
--- a/hazelhold/platform/event_log.py
+++ b/hazelhold/platform/event_log.py
@@ -1,7 +1,8 @@
-"""Writes what the engine tells of tasks, machines and the list to the log, and counters from time to time.
+"""Writes the engine's events on guests, machines and the list to the log, and its counters periodically.
 
-A change of the list's or a machine's state, a broken rule and a task that did not end well are written at
-level info, so that they are there when only that level was kept; every step of a task at level debug.
+State changes of the list or a machine, rule violations and guests that did not end well are logged at level
+info or above, so that they are present where only that level is stored. Every step of a guest is logged at
+level debug.
 """
 
 import logging
@@ -14,33 +15,33 @@
 from hazelhold.engine.events import Event, ListEvent, MachineEvent, RuleEvent, TaskEvent
 
 COUNTS_EVERY = 10.0  # seconds
-EVENTS_KEPT = 4096  # that wait to be written; the oldest fall out
-CLOCK_STEP = 0.5  # seconds by which the wall clock must differ for a line
-INFO_A_SECOND = 20  # lines on tasks; what is past that is counted and left to level debug
+MAX_PENDING_EVENTS = 4096  # events that wait to be written; the oldest are dropped
+CLOCK_STEP = 0.5  # seconds by which the wall clock must step to be logged
+INFO_LINES_PER_SECOND = 20  # lines on guests; more are counted and logged at level debug only
 
-# What became of a task, beside its answer, that an operator looks for.
-ENDED_BADLY = ("broken_off", "turned_back", "lost", "cut", "error", "overdue", "cut_off")
+# Outcomes, as the first word of an event's reason, that an operator looks for.
+BAD_OUTCOMES = ("broken_off", "turned_back", "lost", "cut", "error", "overdue", "cut_off")
 
 
 class EventLog:
-    """One planner's."""
+    """The event log of one planner. It replaces the engine's event queue by a bounded one."""
 
     def __init__(self, log: structlog.stdlib.BoundLogger, engine: Engine) -> None:
         self.log, self.engine = log, engine
-        engine.events = deque(maxlen=EVENTS_KEPT)
+        engine.events = deque(maxlen=MAX_PENDING_EVENTS)
         self.counted_at = trio.current_time()
-        self.clock_step = 0.0  # as it was written last
+        self.clock_step = 0.0  # seconds; the last one that was logged
         self.second, self.written, self.left_out = 0, 0, 0
 
     def write(self) -> None:
-        """Writes all events that wait."""
+        """Writes all pending events."""
         events = self.engine.events
         while events:
             self._write(events.popleft())
 
     def _write(self, event: Event) -> None:
         if isinstance(event, TaskEvent):
-            self._task(event)
+            self._write_guest_event(event)
         elif isinstance(event, MachineEvent):
             self.log.info("machine_" + event.change, machine=event.machine, reason=event.reason)
         elif isinstance(event, ListEvent):
@@ -49,9 +50,9 @@
         elif isinstance(event, RuleEvent):
             self.log.error("rule_violated", rule=event.rule, task=event.task, machine=event.machine)
 
-    def _task(self, event: TaskEvent) -> None:
-        badly = event.change == "held_back" or event.reason.partition(" ")[0] in ENDED_BADLY
-        write = self.log.info if badly and self._room() else self.log.debug
+    def _write_guest_event(self, event: TaskEvent) -> None:
+        is_bad = event.change == "held_back" or event.reason.partition(" ")[0] in BAD_OUTCOMES
+        write = self.log.info if is_bad and self._take_info_line() else self.log.debug
         if write == self.log.debug and not self.log.is_enabled_for(logging.DEBUG):
             return
         write(
@@ -62,22 +63,24 @@
             reason=event.reason.strip(),
         )
 
-    def _room(self) -> bool:
+    def _take_info_line(self) -> bool:
+        """Whether another line at level info is allowed in this second; counts it."""
         second = int(trio.current_time())
         if second != self.second:
             self.second, self.written = second, 0
         self.written += 1
-        self.left_out += self.written > INFO_A_SECOND
-        return self.written <= INFO_A_SECOND
+        self.left_out += self.written > INFO_LINES_PER_SECOND
+        return self.written <= INFO_LINES_PER_SECOND
 
     def write_clock_step(self, seconds: float) -> None:
-        """Writes a step of the wall clock: no moment here moves with it, but the lines' own times do."""
+        """Logs a step of the wall clock. The planner's own times do not depend on it, but the timestamps of
+        the log lines do."""
         if abs(seconds - self.clock_step) > CLOCK_STEP:
             self.clock_step = seconds
             self.log.warning("wall_clock_stepped", since_start_s=round(seconds, 1))
 
     def write_counts(self, counts: Counter[str]) -> None:
-        """Writes all counters every ten seconds, so that a process that is killed leaves them."""
+        """Logs all counters every COUNTS_EVERY seconds, so that they survive a process that is killed."""
         now = trio.current_time()
         if now - self.counted_at < COUNTS_EVERY:
             return
--- a/hazelhold/platform/machine_summary.py
+++ b/hazelhold/platform/machine_summary.py
@@ -1,21 +1,21 @@
-"""What a planner believes of its machines, for its debug log."""
+"""Summarizes a planner's view of its machines for its debug log."""
 
 from hazelhold.engine.engine import Engine
 
 
 def machine_summaries(engine: Engine, now: int) -> dict[str, str]:
-    """A line for each machine of the list. `now` in microseconds of the engine's clock."""
-    found = {}
-    for name, fellow in engine.roster.fellows.items():
+    """Returns one line per listed machine, by name. `now` is in microseconds of the engine's clock."""
+    summaries = {}
+    for name, listed in engine.roster.fellows.items():
         known, link = engine.brain.machines.get(name), engine.links.get(name)
         if known is None:
             continue
         cores, memory = known.room(engine.facts)
-        found[name] = (
-            f"{fellow.mode.name} room={cores:.1f}/{memory:.1f} used={known.used} "
+        summaries[name] = (
+            f"{listed.mode.name} room={cores:.1f}/{memory:.1f} used={known.used} "
             f"guests={len(known.guests)} strikes={known.strikes} mute={known.mute} "
             f"rests={max(0, known.avoid_until - now) // 1000} "
             f"link={link.state if link else '-'} "
             f"heard={(now - link.heard_at) // 1000 if link else '-'}"
         )
-    return found
+    return summaries
