--- a/hazelhold/platform/codec.py
+++ b/hazelhold/platform/codec.py
@@ -1,7 +1,7 @@
-"""The platform's two message forms: binary messages (owners) and JSON lines (machines). No I/O.
+"""The platform's two message formats: binary messages (owners) and JSON lines (machines). No I/O.
 
-A reader takes bytes in any split and gives whole messages; it holds at most one message that is not whole.
-CodecError says why a peer's bytes cannot be read: nothing after them can be trusted.
+A reader takes bytes in chunks of any size and returns complete messages; it buffers at most one incomplete
+message. CodecError says why a peer's bytes are invalid; nothing after them can be interpreted.
 """
 
 from typing import Literal, NamedTuple
@@ -9,15 +9,19 @@
 import msgspec
 from msgspec import Struct, field
 
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, on either side
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message, in either format
+
+# Parameter codes of binary messages.
 TICKET, CAUSE, DESCRIPTION = 16, 17, 18
-CLASS, LEFT, TENANT, NAME, FIGURES, WAIT = 3, 4, 5, 7, 8, 9  # other parameters
+CLASS, LEFT, TENANT, NAME, FIGURES, WAIT = 3, 4, 5, 7, 8, 9
+
+# Types of binary messages.
 SET_UP, PROGRESS, ANSWER, END, HEARD, TEST, TESTED, NOTE, MOVE = 1, 6, 9, 12, 16, 52, 53, 44, 51
 TYPES = frozenset((SET_UP, PROGRESS, ANSWER, END, HEARD, TEST, TESTED, NOTE, MOVE))
 
 
 class CodecError(Exception):
-    """`code` is a word for counting, the text tells more."""
+    """Invalid bytes from a peer. `code` is one word for counters, `text` is for people."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(f"{code}: {text}")
@@ -25,77 +29,81 @@
 
 
 class BinaryMessage(NamedTuple):
-    """A binary message: `id` is the task's 16 hex digits, `parameters` values by code."""
+    """A binary message: `id` is the guest's 16 hex digits, `parameters` holds raw values by code."""
 
     type: int
     id: str
     parameters: dict[int, bytes]
 
     def text(self, code: int) -> str:
-        """A parameter as text, empty if it is not there; CodecError if it is no text."""
+        """Returns a parameter as text, empty if it is absent; CodecError if it is not UTF-8."""
         try:
             return self.parameters.get(code, b"").decode()
         except UnicodeDecodeError:
-            raise CodecError("no_text", f"parameter {code} is no text") from None
+            raise CodecError("no_text", f"parameter {code} is not valid UTF-8") from None
 
     @property
     def cause(self) -> int | None:
+        """The cause code of the message, or None."""
         value = self.parameters.get(CAUSE)
         return value[0] if value else None
 
 
 def encode_binary(binary: BinaryMessage) -> bytes:
-    """ValueError if it does not fit into a message."""
+    """Encodes a message with its length prefix; ValueError if it exceeds MAX_MESSAGE_BYTES."""
     body = bytearray((binary.type,)) + bytes.fromhex(binary.id)
     for code, value in binary.parameters.items():
         body += bytes((code,)) + len(value).to_bytes(2) + value
     if len(body) + 2 > MAX_MESSAGE_BYTES or len(body) < 9:
-        raise ValueError(f"a message of {len(body)} bytes")
+        raise ValueError(f"message of {len(body)} bytes")
     return len(body).to_bytes(2) + bytes(body)
 
 
 def decode_binary(body: bytes) -> BinaryMessage:
-    """The message in `body`, which follows the length."""
+    """Decodes a message body, without its length prefix; CodecError if it is invalid."""
     if len(body) < 9:
-        raise CodecError("no_id", f"a message of {len(body)} bytes has no task")
+        raise CodecError("no_id", f"message of {len(body)} bytes has no guest id")
     if not any(body[1:9]):
-        raise CodecError("no_id", "a task without a number")
+        raise CodecError("no_id", "guest id is zero")
     if body[0] not in TYPES:
-        raise CodecError("unknown_type", f"type {body[0]}")
+        raise CodecError("unknown_type", f"message type {body[0]} is not known")
     parameters: dict[int, bytes] = {}
     at = 9
     while at < len(body):
         size = int.from_bytes(body[at + 1 : at + 3])
         end = at + 3 + size
         if at + 3 > len(body) or end > len(body):
-            raise CodecError("bad_length", "a parameter runs past its message")
+            raise CodecError("bad_length", "parameter extends beyond its message")
         if body[at] in parameters:
-            raise CodecError("twice", f"parameter {body[at]} is there twice")
+            raise CodecError("twice", f"parameter {body[at]} occurs twice")
         parameters[body[at]] = bytes(body[at + 3 : end])
         at = end
     if CAUSE in parameters and len(parameters[CAUSE]) != 1:
-        raise CodecError("bad_length", "a cause is one byte")
+        raise CodecError("bad_length", "cause has to be one byte")
     return BinaryMessage(body[0], bytes(body[1:9]).hex(), parameters)
 
 
 class BinaryReader:
-    """Binary messages from bytes in any split."""
+    """Reads binary messages from a byte stream."""
 
     def __init__(self) -> None:
         self.held = bytearray()
 
     def feed(self, data: bytes) -> list[BinaryMessage]:
-        """The messages that are whole now. What came whole before a fault is given first; the fault is
-        raised by the next call, or at once if nothing came before it."""
+        """Adds received bytes and returns the messages that are complete now.
+
+        Messages that precede an error are returned first, and the error is left in `fault`. An error that
+        none precedes is raised as CodecError.
+        """
         self.held += data
         found: list[BinaryMessage] = []
         try:
             while len(self.held) >= 2:
                 size = int.from_bytes(self.held[:2])
                 if size + 2 > MAX_MESSAGE_BYTES:
-                    raise CodecError("too_long", f"a message of {size} bytes")
+                    raise CodecError("too_long", f"message of {size} bytes")
                 if size < 9:
-                    raise CodecError("no_id", f"a message of {size} bytes has no task")
+                    raise CodecError("no_id", f"message of {size} bytes has no guest id")
                 if len(self.held) < size + 2:
                     break
                 body = bytes(self.held[2 : size + 2])
@@ -107,16 +115,16 @@
             self.fault = error
         return found
 
-    fault: CodecError | None = None  # found behind the messages that were given
+    fault: CodecError | None = None  # the error that follows the messages returned last
 
     @property
     def has_partial_message(self) -> bool:
-        """Part of a message is held."""
+        """Whether part of a message is buffered."""
         return bool(self.held)
 
 
 class Line(Struct, omit_defaults=True):
-    """One JSON line of a machine, or to one."""
+    """One JSON line, as a machine sends it."""
 
     op: Literal["offer", "ringing", "accept", "end", "ended", "test", "tested", "info", "redirect"]
     call: str
@@ -125,11 +133,12 @@
     desc: str | None = None
 
     def text(self, name: str) -> str:
+        """A field as text, empty if it is absent."""
         return str(self.fields.get(name, ""))
 
 
 class OutgoingLine(Struct):
-    """A line to a machine; `with` always stands."""
+    """A JSON line to a machine. Unlike in Line, `with` is always encoded, even if it is empty."""
 
     op: str
     call: str
@@ -143,14 +152,15 @@
 
 
 def encode_line(line: OutgoingLine) -> bytes:
-    """ValueError if it does not fit into a message."""
+    """Encodes a line with its line feed; ValueError if it exceeds MAX_MESSAGE_BYTES."""
     data = ENCODER.encode(line) + b"\n"
     if len(data) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a line of {len(data)} bytes")
+        raise ValueError(f"line of {len(data)} bytes")
     return data
 
 
 def decode_line(data: bytes) -> Line:
+    """Decodes a line; CodecError if it is invalid."""
     try:
         return DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -158,25 +168,25 @@
 
 
 class LineReader:
-    """JSON lines from bytes in any split."""
+    """Reads JSON lines from a byte stream. Empty lines are ignored."""
 
     def __init__(self) -> None:
         self.held = bytearray()
 
     def feed(self, data: bytes) -> list[Line]:
-        """As BinaryReader.feed."""
+        """Like BinaryReader.feed, for lines."""
         self.held += data
         found: list[Line] = []
         try:
             while (at := self.held.find(b"\n")) >= 0:
                 if at >= MAX_MESSAGE_BYTES:
-                    raise CodecError("too_long", f"a line of {at} bytes")
+                    raise CodecError("too_long", f"line of {at} bytes")
                 line = bytes(self.held[:at])
                 del self.held[: at + 1]
                 if line.strip():
                     found.append(decode_line(line))
             if len(self.held) > MAX_MESSAGE_BYTES:
-                raise CodecError("too_long", "a line without an end")
+                raise CodecError("too_long", "line without an end")
         except CodecError as error:
             if not found:
                 raise
@@ -187,4 +197,5 @@
 
     @property
     def has_partial_message(self) -> bool:
+        """Whether part of a line is buffered."""
         return bool(self.held)
--- a/hazelhold/platform/translation.py
+++ b/hazelhold/platform/translation.py
@@ -1,7 +1,6 @@
-"""Between the platform's messages and the engine's: what each says, no more. No I/O and no clock.
+"""Translates between the platform's messages and the engine's. No I/O and no clock.
 
-From machines, an `end` means what it means at that point of its guest's life, which the caller tells:
-before the answer or after it.
+The meaning of a machine's `end` depends on whether its guest is already placed, which the caller passes.
 """
 
 import math
@@ -33,12 +32,15 @@
 FULL, ERROR, MOOT, RESET, OK, CANCELLED = 34, 47, 102, 41, 16, 31  # causes of releases
 REMARKS = {"cpu_full": "no_cores", "mem_full": "no_memory", "busy": "line_full", "wrong_host": "not_here"}
 HOWS = {"oom": "evicted", "preempted": "pushed_out", "drained": "sent_away"}
-WIDEST = 1e9  # a machine's figure past this is none: sums and squares of what is believed stay finite
+MAX_VALUE = 1e9  # a machine's larger values are ignored, so that sums and squares of them stay finite
 STATES = {"in_service": "ready", "terminating": "cordoned", "terminated": "gone"}
 
 
 class InvalidSubmissionError(Exception):
-    """A set-up that cannot be used, though its message can be read."""
+    """A set-up whose message is readable but whose content is invalid.
+
+    `code` is one word for counters.
+    """
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(f"{code}: {text}")
@@ -46,15 +48,18 @@
 
 
 class ParsedSubmission(NamedTuple):
-    """A set-up of an owner; `at` is the machine that has the guest already, if one has."""
+    """A set-up of an owner; `at` is the machine that already has the guest, or empty."""
 
     submit: m.Submit
     at: str
 
 
 class SubmissionLimits(NamedTuple):
-    """What a sound ask stays within: cores and memory of all that a machine takes, patience by product name
-    in microseconds, and the names of customers."""
+    """The limits of a valid submission.
+
+    `max_resources` is the cores and memory of the largest machine, `max_time_left` the longest time left by
+    guest class in microseconds, and `customers` the known names.
+    """
 
     max_resources: tuple[float, float]
     max_time_left: dict[str, int]
@@ -64,32 +69,32 @@
 # Owners.
 
 
-def parse_submission(binary: BinaryMessage, bounds: SubmissionLimits) -> ParsedSubmission:
-    """BadAskError or CodecError if it cannot be used."""
-    product, customer = binary.text(CLASS), binary.text(TENANT)
-    if product not in bounds.max_time_left:
-        raise InvalidSubmissionError("unknown_product", f"no product is called {product[:60]!r}")
-    if customer and customer not in bounds.customers:
+def parse_submission(binary: BinaryMessage, limits: SubmissionLimits) -> ParsedSubmission:
+    """Parses a set-up; InvalidSubmissionError or CodecError if it is invalid."""
+    guest_class, customer = binary.text(CLASS), binary.text(TENANT)
+    if guest_class not in limits.max_time_left:
+        raise InvalidSubmissionError("unknown_product", f"no guest class is called {guest_class[:60]!r}")
+    if customer and customer not in limits.customers:
         raise InvalidSubmissionError("unknown_customer", f"no customer is called {customer[:60]!r}")
     figures = dict(part.partition(":")[::2] for part in binary.text(FIGURES).split(";") if part)
-    cores = figure(figures.get("cores", ""), "cores")
-    memory = figure(figures.get("memory", ""), "memory")
-    if not (0 < cores <= bounds.max_resources[0] and 0 < memory <= bounds.max_resources[1]):
+    cores = parse_number(figures.get("cores", ""), "cores")
+    memory = parse_number(figures.get("memory", ""), "memory")
+    if not (0 < cores <= limits.max_resources[0] and 0 < memory <= limits.max_resources[1]):
         raise InvalidSubmissionError("out_of_range", f"{cores:g} cores and {memory:g} of memory")
     at, left = figures.get("at", ""), binary.text(LEFT)
-    time_left = figure(left, "the time") if left or not at else 0.0
-    if not at and not 0 < time_left * 1000 <= bounds.max_time_left[product] + 1_000_000:
-        raise InvalidSubmissionError("out_of_range", f"a patience of {time_left:g} ms")
+    time_left = parse_number(left, "time left") if left or not at else 0.0
+    if not at and not 0 < time_left * 1000 <= limits.max_time_left[guest_class] + 1_000_000:
+        raise InvalidSubmissionError("out_of_range", f"a time left of {time_left:g} ms")
     service, key = figures.get("service", ""), binary.text(NAME)
     if not key or len(key) > 200 or not service or len(service) > 200:
-        raise InvalidSubmissionError("no_name", "task and service need a name of at most 200 letters")
-    ticket = binary.text(TICKET)
+        raise InvalidSubmissionError("no_name", "guest and service need a name of at most 200 characters")
+    idempotency_key = binary.text(TICKET)
     description = binary.parameters.get(DESCRIPTION, b"")
-    binary.text(DESCRIPTION)  # it travels on as JSON text
+    binary.text(DESCRIPTION)  # checked here, since it is forwarded as JSON text
     return ParsedSubmission(
         m.Submit(
             guest=binary.id,
-            product=product,
+            product=guest_class,
             service=service,
             cores=cores,
             memory=memory,
@@ -97,24 +102,25 @@
             customer=customer,
             key=key,
             description=description,
-            ticket=ticket,
+            ticket=idempotency_key,
         ),
         at,
     )
 
 
-def figure(text: str, what: str) -> float:
+def parse_number(text: str, what: str) -> float:
+    """Parses a finite number; InvalidSubmissionError if it is not one. `what` names it in the error."""
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise InvalidSubmissionError("no_figure", f"{what}: {text[:40]!r} is no figure")
+        raise InvalidSubmissionError("no_figure", f"{what}: {text[:40]!r} is not a finite number")
     return value
 
 
 def to_owner(message: m.Message) -> BinaryMessage | None:
-    """What an owner is told; None for what this protocol has no word for."""
+    """Translates a message to an owner; None if the platform's protocol has no equivalent."""
     if isinstance(message, m.Placed):
         return BinaryMessage(ANSWER, message.guest, {DESCRIPTION: message.description})
     if isinstance(message, m.GuestRefused):
@@ -130,14 +136,17 @@
 
 
 def released(guest: str, cause: int, more: dict[int, bytes] | None = None) -> BinaryMessage:
+    """The release of a guest with a cause code; `more` holds further parameters by code."""
     return BinaryMessage(END, guest, {**(more or {}), CAUSE: bytes((cause,))})
 
 
 def acknowledged(guest: str) -> BinaryMessage:
+    """The acknowledgement of a message about a guest."""
     return BinaryMessage(HEARD, guest, {})
 
 
 def probe_answer(guest: str, well: bool) -> BinaryMessage:
+    """The answer to an owner's probe; `well` tells whether this planner is ready."""
     return BinaryMessage(TESTED, guest, {CAUSE: bytes((int(well),))})
 
 
@@ -145,7 +154,10 @@
 
 
 def to_machine(message: m.Message, left: int = 0) -> OutgoingLine | None:
-    """`left` is how long the answer to an offer is waited for from now, in microseconds."""
+    """Translates a message to a machine; None if the platform's protocol has no equivalent.
+
+    `left` is how long the answer to an offer is still waited for, in microseconds.
+    """
     if isinstance(message, m.Offer):
         left = max(1, left // 1000)
         fields = {"class": message.product, "key": message.key, "left": str(left)}
@@ -160,61 +172,64 @@
 
 
 def from_machine(line: Line, placed: bool) -> m.Message | None:
-    """What a machine's line means; `placed` tells whether its guest stands. CodecError if it says nothing
-    that can be meant."""
+    """Translates a machine's line; None if it has no equivalent. `placed` tells whether its guest is placed.
+    CodecError if the line is invalid."""
     if line.op == "accept":
         if line.desc is None:
-            raise CodecError("no_description", "an answer without a description")
-        return m.OfferAccepted(guest=line.call, load=load(line), description=line.desc.encode())
+            raise CodecError("no_description", "accept without a description")
+        return m.OfferAccepted(guest=line.call, load=parse_load(line), description=line.desc.encode())
     if line.op == "end":
-        return ended(line, placed)
+        return translate_end(line, placed)
     if line.op == "tested":
-        return m.Report(number=number(line.call), load=load(line), well=line.why == 1)
+        return m.Report(number=probe_number(line.call), load=parse_load(line), well=line.why == 1)
     if line.op == "info":
-        return note(line)
+        return translate_info(line)
     return None
 
 
-def ended(line: Line, placed: bool) -> m.Message:
-    told = line.text("note")
+def translate_end(line: Line, placed: bool) -> m.Message:
+    """Translates an `end`: before its guest is placed it may be a refusal, afterwards it is the guest's
+    end."""
+    note = line.text("note")
     if not placed:
         if line.why == FULL:
-            return m.OfferRefused(guest=line.call, remark=REMARKS.get(told, ""), load=load(line))
-        # A machine can end in these words only what it had accepted: its answer is still on its way.
-        accepted = "done" if line.why == OK else HOWS.get(told, "cut") if line.why == RESET else "cut"
+            return m.OfferRefused(guest=line.call, remark=REMARKS.get(note, ""), load=parse_load(line))
+        # With these causes a machine ends only a guest that it had accepted: its accept is still in transit.
+        accepted = "done" if line.why == OK else HOWS.get(note, "cut") if line.why == RESET else "cut"
         how = {ERROR: "error", MOOT: "not_sent"}.get(line.why, accepted)
     elif line.why == OK:
         how = "done"
     elif line.why == CANCELLED:
         how = "stopped"
     else:
-        how = "error" if line.why == ERROR else HOWS.get(told, "cut")
-    return m.Ended(guest=line.call, how=how, load=load(line))
+        how = "error" if line.why == ERROR else HOWS.get(note, "cut")
+    return m.Ended(guest=line.call, how=how, load=parse_load(line))
 
 
-def note(line: Line) -> m.Message | None:
-    told = line.text("note")
-    if told == "up":
+def translate_info(line: Line) -> m.Message | None:
+    """Translates an `info`; None if its note is unknown or its value is not a number in range."""
+    note = line.text("note")
+    if note == "up":
         return m.Started(guest=line.call)
     try:
         value = float(line.fields.get("value", ""))
     except (ValueError, OverflowError):
         return None
-    if not sound(value):
+    if not is_in_range(value):
         return None
-    if told == "cpu":
+    if note == "cpu":
         return m.ResourceUse(guest=line.call, cores=value)
-    if told == "mem":
+    if note == "mem":
         return m.ResourceUse(guest=line.call, memory=value)
-    if told == "share":
+    if note == "share":
         return m.ServiceLevel(guest=line.call, share=value)
-    if told == "tight":
+    if note == "tight":
         return m.MemoryPressure(share=value)
     return None
 
 
-def load(line: Line) -> m.Load | None:
-    """A report that came with a line; one that cannot be read is none."""
+def parse_load(line: Line) -> m.Load | None:
+    """The load report of a line; None if there is none or it is invalid."""
     text = line.text("load")
     if not text:
         return None
@@ -222,17 +237,18 @@
         report = read_load(text.replace(";", ","))
     except ValueError:
         return None
-    if report is None or not all(sound(v) for v in report if v is not None):
+    if report is None or not all(is_in_range(v) for v in report if v is not None):
         return None
     return m.Load(report.cores_free, report.memory_free, report.busy)
 
 
-def sound(value: float) -> bool:
-    return abs(value) <= WIDEST  # false for what is no number, too
+def is_in_range(value: float) -> bool:
+    """Whether a value is within MAX_VALUE; False for NaN."""
+    return abs(value) <= MAX_VALUE
 
 
-def number(call: str) -> int:
-    """The number of the probe that an id stands for; -1 if it stands for none."""
+def probe_number(call: str) -> int:
+    """Decodes the number of a probe from its id; -1 if the id is not hexadecimal."""
     try:
         return int(call, 16)
     except ValueError:
@@ -243,33 +259,39 @@
 
 
 def listing(roster: dict, zones: dict[str, int], wall: int) -> tuple[m.Listing, list[str]]:
-    """A roster as a Listing, and what is wrong with the entries that are left out; `wall` is the Unix time in
-    microseconds. A zone that is not in `zones` gets the next number there. ValueError if nothing of it can be
-    read."""
+    """Translates a roster to a Listing, with the reasons for which entries were left out.
+
+    `wall` is the Unix time in microseconds. A zone that is not in `zones` is added there with the next
+    number. ValueError if the roster as a whole is invalid.
+    """
     entries, faults = [], []
     for each in roster.get("hosts", []):
         try:
             entries.append(entry(each, zones, wall))
         except (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError) as error:
             faults.append(f"{error!r:.120}")
-    whole = bool(roster.get("whole")) and not faults  # what is missing may be what was left out
+    # With entries left out it is not whole: the machines that seem to be missing may be those.
+    whole = bool(roster.get("whole")) and not faults
     return m.Listing(version=int(roster.get("seq", 0)), whole=whole, entries=entries), faults
 
 
 def entry(each: dict, zones: dict[str, int], wall: int) -> m.Entry:
-    """One machine of a roster, as in `listing`; any of the errors passed over there if it cannot be read."""
+    """Translates a machine of a roster; raises one of the errors that `listing` catches if it is invalid."""
     born = float(each.get("born_ms") or 0)
     state = each["health"]
     try:
-        room = [value if sound(value) else 0.0 for value in map(float, [*(each.get("room") or []), 0.0, 0.0])]
+        free = [
+            value if is_in_range(value) else 0.0
+            for value in map(float, [*(each.get("room") or []), 0.0, 0.0])
+        ]
     except (ValueError, TypeError):
-        if state == "in_service":  # one that leaves is told of whatever else cannot be read
+        if state == "in_service":  # a machine that leaves is listed even if its other values are invalid
             raise
-        room = [0.0, 0.0]
+        free = [0.0, 0.0]
     if state not in STATES:
         raise ValueError(f"the state {state!r} is not known")
     if not isinstance(each["host"], str) or not isinstance(each["dial"], str):
-        raise ValueError("a machine without a name or an address")
+        raise ValueError("machine without a name or an address")
     if state == "in_service":
         split_address(each["dial"])
     return m.Entry(
@@ -281,6 +303,6 @@
         up_for=max(0, wall - round(born * 1000)) if born else None,
         zone=zones.setdefault(str(each.get("site", "")), len(zones)),
         cell=int(each.get("block") or 0),
-        cores_room=room[0],
-        memory_room=room[1],
+        cores_room=free[0],
+        memory_room=free[1],
     )
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -1,4 +1,4 @@
-"""The platform's messages, configuration and meanings: no peers needed."""
+"""The platform's codecs, configuration file and message translation, without peers."""
 
 import contextlib
 import json
@@ -48,8 +48,8 @@
     st.lists(st.tuples(st.sampled_from((1, 6, 9, 12, 16, 44, 51, 52, 53)), IDS, VALUES), max_size=5),
     st.data(),
 )
-def test_binary_messages_come_back_from_every_split(given_: list[tuple], data: st.DataObject) -> None:
-    binaries = [BinaryMessage(*each) for each in given_]
+def test_binary_messages_are_decoded_from_any_chunks(parameters: list[tuple], data: st.DataObject) -> None:
+    binaries = [BinaryMessage(*each) for each in parameters]
     raw = b"".join(encode_binary(binary) for binary in binaries)
     at = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=6)))
     reader, found = BinaryReader(), []
@@ -58,7 +58,7 @@
     assert found == binaries and not reader.has_partial_message
 
 
-def test_every_split_in_two_of_lines_gives_the_same_lines() -> None:
+def test_lines_are_decoded_from_any_two_chunks() -> None:
     raw = encode_line(OutgoingLine("offer", "9b1f03aa5c7e2d41", {"class": "plain"}, desc="x\r\n\u00fc\n"))
     raw += b'{"op":"end","call":"9b1f03aa5c7e2d41","with":{},"why":34}\n'
     whole = LineReader().feed(raw)
@@ -69,12 +69,12 @@
 
 
 @given(st.binary(max_size=400))
-def test_junk_is_read_or_refused_and_never_held_without_bound(junk: bytes) -> None:
+def test_random_bytes_are_decoded_or_rejected_within_the_buffer_limit(junk: bytes) -> None:
     for reader in (BinaryReader(), LineReader()):
         try:
             reader.feed(junk)
-        except CodecError as wrong:
-            assert wrong.code
+        except CodecError as error:
+            assert error.code
         assert len(reader.held) <= MAX_MESSAGE_BYTES
 
 
@@ -91,13 +91,13 @@
         (b"\x00\x0c\x0c" + b"\x01" * 8 + b"\x11\x00\x00", "bad_length"),
     ],
 )
-def test_what_cannot_be_read_is_refused_by_name(raw: bytes, code: str) -> None:
-    with pytest.raises(CodecError) as wrong:
+def test_invalid_binary_messages_are_rejected_with_their_code(raw: bytes, code: str) -> None:
+    with pytest.raises(CodecError) as error:
         BinaryReader().feed(raw)
-    assert wrong.value.code == code
+    assert error.value.code == code
 
 
-def test_what_came_whole_before_a_fault_is_given_first() -> None:
+def test_messages_before_an_error_are_returned_first() -> None:
     reader = BinaryReader()
     assert reader.feed(encode_binary(set_up(1)) + b"\x00\x00") == [set_up(1)]
     assert reader.fault is not None and reader.fault.code == "no_id"
@@ -116,12 +116,12 @@
         b"[" * 5000 + b"\n",
     ],
 )
-def test_unreadable_lines_are_refused(raw: bytes) -> None:
+def test_invalid_lines_are_rejected(raw: bytes) -> None:
     with pytest.raises(CodecError):
         LineReader().feed(raw)
 
 
-def test_a_line_without_an_end_is_refused_once_it_is_too_long() -> None:
+def test_a_line_without_an_end_is_rejected_at_the_size_limit() -> None:
     reader = LineReader()
     assert reader.feed(b"{" + b" " * (MAX_MESSAGE_BYTES - 10)) == []
     with pytest.raises(CodecError, match="too_long"):
@@ -132,7 +132,8 @@
 
 
 def test_both_forms_of_one_set_of_settings_give_the_same_deployment() -> None:
-    """Nested in the file, and as path=value pairs on the simulator's wire, written out by hand."""
+    """The settings are nested in the file, and path=value pairs in the simulator's first message, which is
+    written out by hand here."""
     wire = (
         "balancers=1 slot-no=0 discovery=push classes.count=2 classes.0.dedup-window=5000.0 "
         "classes.0.group=all classes.0.idempotency=retryable classes.0.on-time=400.0 classes.0.points=1.0 "
@@ -167,10 +168,10 @@
         ({"limits": {"sockets": 4}, "listen": "x", "seed": "-"}, ["listen", "seed", "limits.sockets"]),
     ],
 )
-def test_all_that_is_wrong_with_a_file_is_named(changes: dict, places: list[str]) -> None:
-    with pytest.raises(ConfigError) as wrong:
+def test_all_errors_of_a_file_are_reported(changes: dict, places: list[str]) -> None:
+    with pytest.raises(ConfigError) as error:
         check_start(file(**changes), "test")
-    assert [place for place, _ in wrong.value.faults] == places
+    assert [place for place, _ in error.value.faults] == places
 
 
 @pytest.mark.parametrize(
@@ -189,14 +190,14 @@
         ("", "classes", []),
     ],
 )
-def test_settings_that_can_be_read_and_not_be_meant_are_refused(place: str, key: str, value: object) -> None:
-    """At a new configuration an infinite figure was an OverflowError that ended the planner, and no planners
-    were divided by at the next offer to a cold machine."""
-    made = json.loads(file("ab"))
-    part = made["settings"][place] if place else made["settings"]
+def test_readable_but_invalid_settings_are_rejected(place: str, key: str, value: object) -> None:
+    """On a reload, an infinite value raised an OverflowError that ended the planner, and zero planners caused
+    a division by zero at the next offer to a cold machine."""
+    configuration = json.loads(file("ab"))
+    part = configuration["settings"][place] if place else configuration["settings"]
     part[key] = value
     with pytest.raises(ConfigError, match="settings"):
-        check_start(json.dumps(made), "test")
+        check_start(json.dumps(configuration), "test")
 
 
 ODD = (
@@ -221,7 +222,7 @@
 )
 
 
-def test_odd_values_anywhere_are_refused_by_name_and_never_escape() -> None:
+def test_odd_values_anywhere_raise_only_the_documented_errors() -> None:
     random = Random(3)
     odd = lambda: random.choice(ODD)  # noqa: E731
     for _ in range(4000):
@@ -248,32 +249,33 @@
             text = f"cores:{odd()};memory:{odd()};service:{odd()}".encode()
             translation.parse_submission(set_up(5, parameters={code: text}), BOUNDS)
     for _ in range(300):
-        made = json.loads(file("ab"))
+        configuration = json.loads(file("ab"))
         part = random.choice(
             (
-                made,
-                made["settings"],
-                made["settings"]["rules"],
-                made["settings"]["limits"],
-                made["settings"]["family-info"],
+                configuration,
+                configuration["settings"],
+                configuration["settings"]["rules"],
+                configuration["settings"]["limits"],
+                configuration["settings"]["family-info"],
             )
         )
         part[random.choice(list(part))] = odd()
         with contextlib.suppress(ConfigError):
-            check_start(json.dumps(made), "test")
+            check_start(json.dumps(configuration), "test")
 
 
-def test_a_file_that_is_no_object_is_refused() -> None:
+def test_a_file_that_is_not_an_object_is_rejected() -> None:
     for text in ("", "[]", "{", "\x00"):
         with pytest.raises(ConfigError):
             check_start(text, "test")
 
 
-# Meanings.
+# Translation.
 
 
-def test_the_mark_of_a_ticketed_guest_goes_on_unchanged() -> None:
-    """Seen on a site with such a product: offers were not as their owners had sent them, the day was void."""
+def test_an_idempotency_key_is_passed_on_unchanged() -> None:
+    """On a site with a deduplicated guest class, offers that differed from what their owners had sent made the
+    whole day invalid."""
     marked = set_up(6, parameters={TICKET: b"24afb465d4b09c63"})
     offer = m.Offer(
         guest=marked.id,
@@ -300,8 +302,8 @@
         b'{"op":"info","call":"aa","with":{"note":"tight","value":"-1e200"}}',
     ],
 )
-def test_a_figure_past_all_bounds_is_none_and_ends_nothing(line: bytes) -> None:
-    """Seen with a probe: the first was an OverflowError that ended the process, the others in the Brain's
+def test_values_out_of_range_are_ignored(line: bytes) -> None:
+    """The first line raised an OverflowError that ended the process, the others overflowed in the scheduler's
     sums."""
     assert translation.from_machine(decode_line(line), True) is None
     report = decode_line(b'{"op":"end","call":"aa","why":34,"with":{"load":"x0:1;x1:-1e300"}}')
@@ -318,7 +320,7 @@
     assert len(faults) == 1 and "nowhere" in faults[0]
 
 
-def test_a_set_up_becomes_an_ask_with_all_that_it_says() -> None:
+def test_a_set_up_is_parsed_to_a_submission_with_all_fields() -> None:
     submit, at = translation.parse_submission(
         set_up(5, "once", "1500", "cores:0.5;memory:2;service:s7"), BOUNDS
     )
@@ -361,13 +363,13 @@
         {"parameters": {7: b""}},
     ],
 )
-def test_asks_that_cannot_be_used_are_refused(bad: dict) -> None:
+def test_invalid_submissions_are_rejected(bad: dict) -> None:
     with pytest.raises((translation.InvalidSubmissionError, CodecError)):
         translation.parse_submission(set_up(1, **bad), BOUNDS)
 
 
 @pytest.mark.parametrize(
-    ("line", "placed", "ending", "remark"),
+    ("line", "placed", "outcome", "reason"),
     [
         ({"why": 34, "note": "mem_full"}, False, Ending.TURNED_BACK, Remark.NO_MEMORY),
         ({"why": 34, "note": "cpu_full"}, False, Ending.TURNED_BACK, Remark.NO_CORES),
@@ -383,7 +385,7 @@
         ({"why": 41, "note": "busy"}, False, Ending.CUT_OFF, Remark.NONE),
         ({"why": 47, "note": "oom"}, False, Ending.ERROR, Remark.NONE),
         ({"why": 34, "note": "oom"}, False, Ending.TURNED_BACK, Remark.NONE),
-        ({"why": 16}, False, Ending.DONE, Remark.NONE),  # its answer is late: it was accepted, and ran
+        ({"why": 16}, False, Ending.DONE, Remark.NONE),  # it was accepted and ran; its accept is late
         ({"why": 31}, False, Ending.CUT_OFF, Remark.NONE),
         ({"why": 99}, False, Ending.CUT_OFF, Remark.NONE),
         ({}, False, Ending.CUT_OFF, Remark.NONE),
@@ -396,39 +398,39 @@
         ({"why": 34}, True, Ending.CUT_OFF, Remark.NONE),
     ],
 )
-def test_every_ending_means_what_it_means_on_the_simulator(
-    line: dict, placed: bool, ending: Ending, remark: Remark
+def test_every_end_is_translated_as_on_the_simulator(
+    line: dict, placed: bool, outcome: Ending, reason: Remark
 ) -> None:
     fields = {"note": line["note"]} if "note" in line else {}
     message = translation.from_machine(Line("end", "1", fields, line.get("why")), placed)
     if isinstance(message, m.OfferRefused):
         from hazelhold.engine.links import REMARKS
 
-        assert (ending, remark) == (Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+        assert (outcome, reason) == (Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
     else:
-        assert ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE)) == (ending, remark)
+        assert ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE)) == (outcome, reason)
 
 
-def test_notes_reports_and_tests_mean_what_they_mean_on_the_simulator() -> None:
-    def said(text: str) -> m.Message | None:
+def test_notes_reports_and_probe_answers_are_translated_as_on_the_simulator() -> None:
+    def translated(text: str) -> m.Message | None:
         return translation.from_machine(decode_line(text.encode()), True)
 
     note = '{"op":"info","call":"1","with":{"note":"%s","value":%s}}'
-    assert said(note % ("up", "0")) == m.Started(guest="1")
-    assert said(note % ("cpu", "0.5")) == m.ResourceUse(guest="1", cores=0.5)
-    assert said(note % ("mem", '"1.5"')) == m.ResourceUse(guest="1", memory=1.5)
-    assert said(note % ("share", "0.25")) == m.ServiceLevel(guest="1", share=0.25)
-    assert said(note % ("tight", "0.9")) == m.MemoryPressure(share=0.9)
-    assert said(note % ("cpu", '"nan"')) is None and said(note % ("cpu", '"x"')) is None
-    assert said('{"op":"tested","call":"0a","why":1,"with":{"load":"x0:12;x1:40;queue:3"}}') == m.Report(
-        number=10, load=m.Load(12.0, 40.0), well=True
-    )
-    assert said('{"op":"tested","call":"0a","why":0}') == m.Report(number=10, well=False)
+    assert translated(note % ("up", "0")) == m.Started(guest="1")
+    assert translated(note % ("cpu", "0.5")) == m.ResourceUse(guest="1", cores=0.5)
+    assert translated(note % ("mem", '"1.5"')) == m.ResourceUse(guest="1", memory=1.5)
+    assert translated(note % ("share", "0.25")) == m.ServiceLevel(guest="1", share=0.25)
+    assert translated(note % ("tight", "0.9")) == m.MemoryPressure(share=0.9)
+    assert translated(note % ("cpu", '"nan"')) is None and translated(note % ("cpu", '"x"')) is None
+    assert translated(
+        '{"op":"tested","call":"0a","why":1,"with":{"load":"x0:12;x1:40;queue:3"}}'
+    ) == m.Report(number=10, load=m.Load(12.0, 40.0), well=True)
+    assert translated('{"op":"tested","call":"0a","why":0}') == m.Report(number=10, well=False)
     with pytest.raises(CodecError):
-        said('{"op":"accept","call":"1","with":{}}')
+        translated('{"op":"accept","call":"1","with":{}}')
 
 
-def test_answers_to_owners_say_whether_another_try_is_harmless() -> None:
+def test_answers_to_owners_show_whether_a_retry_is_safe() -> None:
     guest = f"{1:016x}"
     assert translation.to_owner(m.GuestRefused(guest=guest, again_after=1_500_000)) == BinaryMessage(
         END, guest, {WAIT: b"1500", CAUSE: b"\x22"}
@@ -443,7 +445,7 @@
     }
 
 
-def test_a_roster_is_read_with_its_starts_and_rooms() -> None:
+def test_a_roster_is_translated_with_start_times_and_free_capacity() -> None:
     wall = 1_700_000_010_000_000
     roster = event(4, host("a", "terminating", 1_700_000_000_000), host("b", "asleep"), whole=True)["roster"]
     listing, faults = translation.listing(roster, {"z1": 0}, wall)
@@ -453,7 +455,7 @@
     assert (entry.cores_room, entry.memory_room, entry.kind) == (26.0, 41.0, "small box")
 
 
-def test_generated_messages_with_a_byte_changed_never_escape_their_reader() -> None:
+def test_messages_with_changed_bytes_raise_only_the_documented_errors() -> None:
     random = Random(5)
     for _ in range(2000):
         raw = bytearray(encode_binary(set_up(random.getrandbits(63) + 1)))
