--- a/hazelhold/config/fleetconfig.py
+++ b/hazelhold/config/fleetconfig.py
@@ -151,7 +151,7 @@
     if votes.replicas % 2 == 0:
         faults.append(("votes.replicas", "is even: one replica less tolerates as many failures"))
     if votes.replicas > len(names):
-        faults.append(("votes.replicas", f"exceeds the number of control machines, {len(names)}"))
+        faults.append(("votes.replicas", f"exceeds the {len(names)} control machines"))
     for place, folder in (("folder", file.folder), ("votes.folder", votes.folder)):
         if not folder:
             faults.append((place, "is empty: revisions and votes have to survive a restart"))
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -310,7 +310,7 @@
     if copies.replicas % 2 == 0:
         faults.append(("copies.replicas", "is even: one replica less tolerates as many failures"))
     if copies.replicas > len(names):
-        faults.append(("copies.replicas", f"exceeds the number of planners in the set, {len(names)}"))
+        faults.append(("copies.replicas", f"exceeds the {len(names)} planners of the set"))
     if config.capture.file:
         faults.append(("copies", "cannot be combined with a capture: replay does not support claims yet"))
     return faults
--- a/hazelhold/platform/codec.py
+++ b/hazelhold/platform/codec.py
@@ -66,7 +66,7 @@
     if not any(body[1:9]):
         raise CodecError("no_id", "guest id is zero")
     if body[0] not in TYPES:
-        raise CodecError("unknown_type", f"message type {body[0]} is not known")
+        raise CodecError("unknown_type", f"unknown message type {body[0]}")
     parameters: dict[int, bytes] = {}
     at = 9
     while at < len(body):
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The platform's configuration file, checked whole.
+"""Reads and checks the platform's configuration file.
 
-The settings are nested; they are flattened to the paths that the simulator's wire uses, and one reader turns
-both forms into the facts of the module.
+Its settings are nested. They are flattened to the paths that the simulator's protocol uses, so that one
+reader converts both forms to the scheduler's deployment settings.
 """
 
 import math
@@ -25,19 +25,20 @@
     advised=False,
     list_confirms=True,
 )
-DECISIONS_AT_ONCE = (
-    8  # decisions before peers are read again: of up to some 10 ms each, within a drain's 250 ms grace
-)
-MAX_SETTING = 1e12  # a setting past this is none
-LEASE_PART = 0.8  # of the grace for drains: the rest is for an offer's way to its machine
-MIN_LEASE = 20_000  # microseconds; the protocol makes each limit 50 ms longer
-DRAIN_GRACE = 250_000  # microseconds, where the settings name none
-MAX_GRACE = 86_400_000_000  # microseconds; more is none
-LOST_AFTER_MS = 3500.0  # a machine out of reach so long has lost what stood there; owners must hear in 8 s
+# Decisions between reads of peers. One takes up to some 10 ms, and a drain has to be read within its grace of
+# 250 ms.
+DECISIONS_AT_ONCE = 8
+MAX_SETTING = 1e12  # larger numbers in the settings are rejected
+LEASE_PART = 0.8  # of the drain grace; the rest is for an offer's transit to its machine
+MIN_LEASE = 20_000  # microseconds; the protocol extends each limit by 50 ms
+DRAIN_GRACE = 250_000  # microseconds; the default
+MAX_GRACE = 86_400_000_000  # microseconds; larger values are rejected
+# A machine that is unreachable for this time has lost its guests; owners must be told within 8 s.
+LOST_AFTER_MS = 3500.0
 
 
 class ResourceLimits(Struct, frozen=True):
-    """What the planner's processes may use."""
+    """Resource limits of the planner's process."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -45,14 +46,14 @@
 
 
 class KnownEvents(Struct, frozen=True):
-    """The events of the bulletin up to number `no`."""
+    """The discovery events up to number `no` that the configuration file contains."""
 
     no: int
     items: list[dict[str, Any]]
 
 
 class ConfigurationFile(Struct, frozen=True):
-    """The file as it stands; keys that are not known are passed over."""
+    """The configuration file; unknown keys are ignored."""
 
     name: str
     listen: str
@@ -64,7 +65,7 @@
 
 
 class StartSettings(NamedTuple):
-    """A checked configuration."""
+    """A checked configuration, in the form in which the planner uses it."""
 
     name: str
     listen: str
@@ -73,17 +74,20 @@
     bulletin: str
     known: KnownEvents
     engine_settings: Terms
-    zones: dict[str, int]
-    max_resources: tuple[float, float]  # cores and memory that the largest machine may be asked for in all
-    max_time_left: tuple[int, ...]  # by product: the longest, in microseconds
+    zones: dict[str, int]  # zone numbers by name
+    max_resources: tuple[float, float]  # total cores and memory that the largest machine can have requested
+    max_time_left: tuple[int, ...]  # the longest time left by guest class, in microseconds
 
 
 def flatten(settings: dict[str, Any]) -> dict[str, str]:
-    """Path and text of each setting, as the simulator's first message has them: lists of plain values joined
-    by commas, lists of objects by number with a count, spaces and commas inside values as underlines."""
-    found: dict[str, str] = {}
+    """Flattens settings to texts by path, as in the simulator's first message.
+
+    Lists of plain values are joined by commas, lists of objects become numbered paths with a count, and
+    spaces and commas inside values become underscores.
+    """
+    flat: dict[str, str] = {}
 
-    def plain(value: object) -> str:
+    def to_text(value: object) -> str:
         if isinstance(value, bool):
             return "true" if value else "false"
         return str(value).replace(" ", "_").replace(",", "_")
@@ -93,33 +97,34 @@
             for key, each in value.items():
                 walk(f"{path}.{key}" if path else str(key), each)
         elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
-            found[f"{path}.count"] = str(len(value))
+            flat[f"{path}.count"] = str(len(value))
             for at, each in enumerate(value):
                 walk(f"{path}.{at}", each)
         elif isinstance(value, list):
-            found[path] = ",".join(plain(each) for each in value)
+            flat[path] = ",".join(to_text(each) for each in value)
         elif value is not None:
-            found[path] = plain(value)
+            flat[path] = to_text(value)
 
     walk("", settings)
-    return found
+    return flat
 
 
 def item_names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    """The names in a list of objects, or of plain names; as they come, for they are compared with
+    """Returns the names in a list of objects or of plain names, unchanged: they are compared with
     messages."""
-    listed = settings.get(key) or []
-    if not isinstance(listed, list):
+    items = settings.get(key) or []
+    if not isinstance(items, list):
         return ()
-    return tuple(str(each.get("name", "")) if isinstance(each, dict) else str(each) for each in listed)
+    return tuple(str(each.get("name", "")) if isinstance(each, dict) else str(each) for each in items)
 
 
 def read_start(path: Path, tries: int = 1) -> StartSettings:
-    """ConfigError names all that is wrong with the file. `tries` as of `read_text`."""
+    """Reads and checks a configuration file; ConfigError lists all its errors. `tries` as in `read_text`."""
     return check_start(read_text(path, tries), str(path))
 
 
 def check_start(text: str, file: str) -> StartSettings:
+    """Checks the text of a configuration file; ConfigError lists all its errors under the name `file`."""
     try:
         raw = msgspec.json.decode(text)
     except msgspec.MsgspecError as error:
@@ -148,7 +153,7 @@
         try:
             seed = int(given["seed"], 16)
         except ValueError:
-            faults.append(("seed", f"{given['seed']!r} are no hex digits"))
+            faults.append(("seed", f"{given['seed']!r} is not hexadecimal"))
     bounds = given.get("limits", ResourceLimits())
     if bounds.sockets < 32:
         faults.append(("limits.sockets", f"{bounds.sockets}: at least 32 are needed"))
@@ -199,35 +204,35 @@
 
 
 def list_lease(pairs: Pairs) -> int:
-    """For how long a confirmation of the list holds, in microseconds; WireError if the grace is none."""
+    """How long a confirmation of the list is valid, in microseconds; WireError if the grace is invalid."""
     grace = pairs.span("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
     if not 0 <= grace <= MAX_GRACE:
-        raise WireError(f"setting rules.drain-grace: {grace} microseconds are no grace")
+        raise WireError(f"setting rules.drain-grace: {grace} microseconds are out of range")
     return max(MIN_LEASE, round(LEASE_PART * grace))
 
 
 def check_deployment(deployment: Deployment) -> list[tuple[str, str]]:
-    """Figures that can be read and cannot be meant: the module reckons with all of them."""
-    found = [
-        (f"settings: {name}", f"{value} is no figure")
+    """Finds values that are readable but invalid, since the scheduler calculates with all of them."""
+    faults = [
+        (f"settings: {name}", f"{value} is out of range")
         for name, value in deployment._asdict().items()
         if isinstance(value, float) and not abs(value) <= MAX_SETTING
     ]
     for place, figures in (("kinds", deployment.kinds), ("classes", deployment.products)):
-        found += [
-            (f"settings: {place}.{at}", f"{value} is no figure")
+        faults += [
+            (f"settings: {place}.{at}", f"{value} is out of range")
             for at, each in enumerate(figures)
             for value in each
             if isinstance(value, float) and not abs(value) <= MAX_SETTING
         ]
     if not deployment.kinds or not deployment.products:
-        found.append(("settings", "at least one class and one kind are needed"))
-    found += [
-        ("settings: kinds", f"a machine of {kind.cores:g} cores and {kind.memory:g} of memory")
+        faults.append(("settings", "at least one class and one kind are needed"))
+    faults += [
+        ("settings: kinds", f"a machine with {kind.cores:g} cores and {kind.memory:g} of memory")
         for kind in deployment.kinds
         if not (kind.cores > 0 and kind.memory > 0)
     ]
-    found += [
+    faults += [
         (f"settings: {name}", f"{value}: at least 1 is needed")
         for name, value in (
             ("balancers", deployment.planners),
@@ -235,11 +240,12 @@
         )
         if value < 1
     ]
-    return found
+    return faults
 
 
 def _limits(pairs: Pairs, bounds: ResourceLimits, faults: list[tuple[str, str]]) -> LimitsConfig:
-    """Bounds on peers from the settings: how long a connection may take to come up, and to stay idle."""
+    """The limits on connections, from the settings and the process's descriptors (`bounds`). Adds errors
+    to `faults`."""
     durations = {"connect": 250.0, "idle": 15_000.0}
     for key, path in (("connect", "limits.connect-timeout"), ("idle", "limits.idle-close")):
         text = pairs.values.get(path, "")
@@ -248,13 +254,14 @@
         except ValueError:
             value = math.nan
         if not 0 < value <= 86_400_000:
-            faults.append((f"settings.{path}", f"{text!r} is no span"))
+            faults.append((f"settings.{path}", f"{text!r} is not a duration"))
         else:
             durations[key] = value
-    # Owners hold a third of the descriptors, bad ones may come on top; some are for the listener, the
-    # bulletin and connections that are being closed; machines get the rest.
+    # Owners get two fifths of the descriptors: a third for regular use and some for misbehaving ones. Some
+    # are reserved for the listener, discovery and closing connections; machines get the rest.
     owners = max(8, bounds.sockets * 2 // 5)
-    # Ours closes first: four fifths of the time after which a machine closes.
+    # Idle connections are closed after four fifths of the machines' own idle timeout: this side closes
+    # first.
     return LimitsConfig(
         connect_ms=durations["connect"],
         idle_close_ms=0.8 * durations["idle"],
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -1,4 +1,4 @@
-"""One connection on the platform: reads whole messages, writes from a bounded queue."""
+"""Connections on the platform: each reads complete messages and writes from a bounded queue."""
 
 import fcntl
 import select
@@ -16,22 +16,25 @@
 from hazelhold.service.wire import SendQueue
 
 READ = 1 << 14
-HEARD_IN_TIME = 0.05  # seconds; half of what an attempt may begin after its owner has left
-READ_SOON = 0.02  # seconds; what may have waited so long is looked at more closely
-REST = 0.2  # seconds for what a peer still said before its connection broke, and for half an offer to leave
+# Seconds; half of the time for which a dispatch may still start after its owner has closed the connection.
+MAX_INPUT_DELAY = 0.05
+READ_SOON = 0.02  # seconds; input that may have waited longer is checked for more
+# Seconds to read what a peer sent before its connection broke, and to write the rest of a partly sent offer.
+DRAIN_TIMEOUT = 0.2
 
 
-class Reading(SendQueue):
-    """A connection whose peer's bytes go through a reader."""
+class ReadingPeer(SendQueue):
+    """A connection whose received bytes are decoded by a reader."""
 
     reader: BinaryReader | LineReader
 
     def __init__(self, stream: trio.abc.Stream, send_bytes: int) -> None:
         super().__init__(stream, send_bytes)
-        self.reading_done = trio.Event()  # nothing more is read
+        self.reading_done = trio.Event()  # set when nothing more will be read
 
     async def batches(self) -> AsyncIterator[list]:
-        """What each read brought, until either side ends. CodecError if the peer's bytes cannot be read."""
+        """Yields the messages of each read until either side closes. CodecError if received bytes are
+        invalid."""
         try:
             while True:
                 self.read_begins()
@@ -50,17 +53,17 @@
             self.reading_done.set()
 
     async def read(self) -> bytes:
-        """The bytes that come next; none if the connection ends."""
+        """Reads the next bytes; returns none at the end of the connection."""
         return await self.stream.receive_some(READ)
 
     def read_begins(self) -> None:
-        """Bytes of the peer are waited for from now on."""
+        """Called before each wait for input."""
 
     def was_read(self, size: int) -> None:
-        """So many bytes came."""
+        """Called after each read, with the number of bytes."""
 
     def unread(self) -> bool:
-        """Whether bytes of the peer wait to be read; False where the stream is no socket."""
+        """Whether received bytes wait to be read; False if the stream is not a socket."""
         held = getattr(self.stream, "socket", None)
         if held is None or held.fileno() < 0:
             return False
@@ -71,12 +74,13 @@
         return any(waiting)
 
     def readable(self) -> bool:
-        """Whether bytes of the peer, or its end, wait to be read; False where the stream is no socket."""
+        """Whether received bytes or the end of input wait to be read; False if the stream is not a socket."""
         held = getattr(self.stream, "socket", None)
         return held is not None and held.fileno() >= 0 and held.is_readable()
 
     def ended_by_peer(self) -> bool:
-        """Whether the peer has ended its side, read or not; False where the stream is no socket."""
+        """Whether the peer has closed its side, even if that is not read yet; False if the stream is not a
+        socket."""
         held = getattr(self.stream, "socket", None)
         if held is None or held.fileno() < 0:
             return False
@@ -85,36 +89,37 @@
         return bool(poll.poll(0))
 
     async def read_out(self) -> None:
-        """A write that breaks takes nothing from what the peer said before: an answer may lie unread."""
-        with trio.move_on_after(REST):
+        """After a failed write, waits until the input is read: it may hold an answer."""
+        with trio.move_on_after(DRAIN_TIMEOUT):
             await self.reading_done.wait()
 
 
-class OwnerPeer(Reading):
-    """An owner's connection. `open` holds the set-ups that came on it and await their answer."""
+class OwnerPeer(ReadingPeer):
+    """An owner's connection. `open` holds the guests submitted on it that await their answer."""
 
     def __init__(self, name: str, stream: trio.abc.Stream, send_bytes: int, at: float) -> None:
         super().__init__(stream, send_bytes)
         self.reader = BinaryReader()
         self.name, self.opened_at, self.used_at = name, at, at
-        self.open: dict[str, None] = {}  # emptied by answers, give-ups and the connection's end
+        self.open: dict[str, None] = {}  # emptied by answers, cancellations and the connection's end
         self.arrival = EmptySince()
         self.accept_delay = accept_delay(stream)  # seconds, beside `arrival`; 0 from the second read on
-        self.sent_valid = False  # it sent something that can be used
-        self.was_sent_message = False  # it was sent something
-        self.had_placement = False  # a task of it was placed
-        self.handed_over = False  # it handed over tasks that stand: their ends are owed to it
-        self.partial_at: float | None = None  # when the part of a message that is held began
-        self.due = float("inf")  # when the connection ends if nothing comes, in seconds of trio's clock
-        self.timed_out = False  # it ended so
-        self.awaiting = trio.CancelScope()  # the read that is on
+        self.sent_valid = False  # the owner has sent a valid message
+        self.was_sent_message = False  # the owner was sent a message
+        self.had_placement = False  # a guest submitted on it was placed
+        self.handed_over = False  # placed guests were handed over on it: their ends are owed to it
+        self.partial_at: float | None = None  # when the buffered partial message began
+        self.due = float("inf")  # when the connection is closed without input, in seconds of trio's clock
+        self.timed_out = False  # it was closed at `due`
+        self.awaiting = trio.CancelScope()  # of the current read
         self.bytes_put = self.bytes_left = 0
-        # Ends of what stands that have not left, with the byte at which each ends; emptied as bytes leave.
+        # Ends of placed guests that are not written yet, with the stream offset of each one's last byte;
+        # emptied as bytes are written.
         self.releases: deque[tuple[int, BinaryMessage]] = deque()
-        self.read_by_nobody = False  # the bytes that are leaving
+        self.peer_closed = False  # before the bytes that are being written
 
     def set_due(self, due: float) -> None:
-        """Sets when the connection ends if nothing comes."""
+        """Sets when the connection is closed if no input comes, in seconds of trio's clock."""
         self.due = self.awaiting.deadline = due
 
     async def read(self) -> bytes:
@@ -125,26 +130,27 @@
             if not self.unread():
                 self.timed_out = True
                 return b""
-            self.due = float("inf")  # the process may have been stopped when it came in time
+            self.due = float("inf")  # input came in time, but the process may have been suspended then
 
     def read_begins(self) -> None:
         self.arrival.begin()
 
     def was_read(self, size: int) -> None:
-        """Notes since when what was read may have waited. What a short read has left came no later."""
+        """Records since when the input may have waited. A short read left nothing that had come before it."""
         self.arrival.came()
         if size < READ and (self.arrival.waited() < READ_SOON or not self.unread()):
             self.arrival.emptied()
 
     def has_unread_input(self) -> bool:
-        """Whether bytes of its owner wait to be read, or were read and may not have been heard yet."""
+        """Whether input of the owner waits to be read, or was read and may not be processed yet."""
         return self.unread() or self.arrival.has_just_begun()
 
     def has_overdue_input(self) -> bool:
-        """Whether its owner may have said something, or have gone, that was not read in time."""
-        return trio.current_time() - self.arrival.empty_at > HEARD_IN_TIME and self.readable()
+        """Whether input of the owner, or its closing, has waited for longer than MAX_INPUT_DELAY."""
+        return trio.current_time() - self.arrival.empty_at > MAX_INPUT_DELAY and self.readable()
 
     def send(self, binary: BinaryMessage) -> bool:
+        """Queues a message; False if it is too long or the connection is closing."""
         try:
             data = encode_binary(binary)
         except ValueError:
@@ -156,30 +162,34 @@
         return True
 
     def release(self, binary: BinaryMessage) -> bool:
-        """As `send`, for the end of what stands: it is owed though this connection may end under it."""
+        """Like `send`, for the end of a placed guest, which is sent elsewhere if this connection closes
+        first."""
         if not self.send(binary):
             return False
         self.releases.append((self.bytes_put, binary))
         return True
 
     def leaving(self) -> bytes:
-        # The process may have been stopped while its owner closed: a release that leaves now would be read by
-        # nobody, and stays among those that are told elsewhere once the end is read.
-        self.read_by_nobody = bool(self.releases) and self.ended_by_peer()
+        # The owner may have closed the connection while the process was suspended. A release that is written
+        # now would be lost, so it stays among those that are sent elsewhere once the close is read.
+        self.peer_closed = bool(self.releases) and self.ended_by_peer()
         return super().leaving()
 
     def left(self, data: bytes) -> None:
         self.bytes_left += len(data)
-        if self.read_by_nobody:
+        if self.peer_closed:
             return
         while self.releases and self.releases[0][0] <= self.bytes_left:
             self.releases.popleft()
 
 
-class MachinePeer(Reading):
-    """A connection to a machine. Messages take their form when they leave: an offer tells the time that is
-    left then, one that is not wanted any more stays here, and one whose guest's last offer elsewhere is not
-    surely over stands aside until it is."""
+class MachinePeer(ReadingPeer):
+    """A connection to a machine.
+
+    Messages are encoded when they are written: an offer then carries the time that is left, an obsolete one
+    is not written, and one whose guest's previous offer elsewhere may still be open is deferred until that
+    is settled.
+    """
 
     def __init__(
         self,
@@ -190,18 +200,20 @@
     ) -> None:
         super().__init__(stream, send_bytes)
         self.reader = LineReader()
-        self.time_left = time_left  # in microseconds; 0: it is not to leave, below 0: not yet
-        self.over = over  # told of guests whose offers here were taken back by bytes that left
+        self.time_left = time_left  # in microseconds; 0: the offer is obsolete, below 0: it is deferred
+        self.over = over  # called with the guests whose offers here were withdrawn by written bytes
         self.messages: deque[m.Message] = deque()
-        self.size = 0  # bytes of what waits, about
-        self.offered = ""  # the guest whose offer is among the bytes that are leaving
-        self.deferred: dict[
-            str, m.Offer
-        ] = {}  # by guest; emptied by resume, taken_out and the connection's end
-        self.open: dict[str, None] = {}  # guests whose offers left and await a word; emptied as `aside`
-        self.withdrawing: list[str] = []  # guests whose offers the bytes that are leaving take back
+        self.size = 0  # approximate bytes of the waiting messages
+        self.offered = ""  # the guest whose offer is among the bytes being written
+        # By guest; emptied by resume, remove_unsent and the connection's end.
+        self.deferred: dict[str, m.Offer] = {}
+        # Guests whose offers were written and await an answer; emptied by answers, withdrawals and the
+        # connection's end.
+        self.open: dict[str, None] = {}
+        self.withdrawing: list[str] = []  # guests whose offers the bytes being written withdraw
 
     def send(self, message: m.Message) -> bool:
+        """Queues a message; False if the connection is closing, or is closed since its queue is full."""
         if self.closing:
             return False
         if isinstance(message, m.Withdraw) and self.sending:
@@ -215,32 +227,33 @@
         return True
 
     def _hurry(self) -> None:
-        """The socket may be full. Half an offer must not be followed late by its rest, and no other may leave
-        for its guest before the word that takes it back or the end of the connection."""
-        self.writing.deadline = min(self.writing.deadline, trio.current_time() + REST)
+        """Bounds the time for writing, since the socket may be full: the rest of a partly written offer must
+        not follow late, and no other offer of its guest may be sent before this one is withdrawn or the
+        connection is closed."""
+        self.writing.deadline = min(self.writing.deadline, trio.current_time() + DRAIN_TIMEOUT)
 
     def left(self, data: bytes) -> None:
         self.offered = ""
         if self.withdrawing:
-            gone, self.withdrawing = self.withdrawing, []
-            for guest in gone:
+            withdrawn, self.withdrawing = self.withdrawing, []
+            for guest in withdrawn:
                 self.open.pop(guest, None)
-            self.over(self, gone)
+            self.over(self, withdrawn)
         if not self.closing and not any(isinstance(each, m.Withdraw) for each in self.messages):
             self.writing.deadline = float("inf")
 
     def resume(self, guest: str) -> None:
-        """An offer that stood aside may leave."""
+        """Queues a deferred offer again."""
         if offer := self.deferred.pop(guest, None):
             self.messages.append(offer)
             self.more.set()
 
     def close_offer(self, guest: str) -> None:
-        """The machine has spoken of a guest: its offer is not open any more."""
+        """Marks a guest's offer as answered by the machine."""
         self.open.pop(guest, None)
 
     def remove_unsent(self, message: m.Withdraw) -> m.Offer | None:
-        """An offer of which no byte has left is taken out instead of taken back."""
+        """Removes an offer of which no byte is written, which needs no withdrawal; None if there is none."""
         if offer := self.deferred.pop(message.guest, None):
             return offer
         for each in self.messages:
@@ -250,11 +263,13 @@
         return None
 
     def waits(self) -> bool:
+        """Whether messages wait to be written."""
         return bool(self.messages)
 
     def leaving(self) -> bytes:
-        """What is written next: up to the first offer, so that each is asked for at the moment at which it
-        leaves. One run of many would keep those behind a full socket past a drain that was told meanwhile."""
+        """Encodes what is written next, up to the first offer, so that each offer is checked just before it
+        is written. In a batch, offers behind a full socket would be sent even if their machine began to drain
+        meanwhile."""
         out = bytearray()
         while self.messages:
             message, left = self.messages.popleft(), 0
@@ -282,5 +297,5 @@
         return bytes(out)
 
     def unsent_offers(self) -> list[m.Offer]:
-        """Offers of which no byte has left."""
+        """Offers of which no byte is written."""
         return [*self.deferred.values(), *(each for each in self.messages if isinstance(each, m.Offer))]
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -274,8 +274,8 @@
 
 
 def test_an_idempotency_key_is_passed_on_unchanged() -> None:
-    """On a site with a deduplicated guest class, offers that differed from what their owners had sent made the
-    whole day invalid."""
+    """On a site with a deduplicated guest class, offers differed from what their owners had sent, which
+    made the whole day invalid."""
     marked = set_up(6, parameters={TICKET: b"24afb465d4b09c63"})
     offer = m.Offer(
         guest=marked.id,
