--- a/hazelhold/platform/discovery.py
+++ b/hazelhold/platform/discovery.py
@@ -1,12 +1,12 @@
-"""Follows the bulletin: long polls over HTTP/1.1 for as long as the module wishes.
+"""Follows the discovery service by long polls over HTTP/1.1.
 
-What the bulletin tells counts as told whether or not this planner hears it, so two things are kept apart:
-which events came, in their order, and as of when the list is known to be current. The second is the moment
-at which the call was made that showed no event to be missing: its answer may have been on its way for any
-time. Calls follow one another so soon that each renews the planner's lease on the list (`engine.list_lease`)
-before the last one's is over. A call that takes long is not given up: the next is made beside it on a new
-connection, so that a bulletin whose answers take seconds is heard all the same.
-"""
+An event of the service is in force whether or not this planner has received it. Therefore two things are
+tracked separately: which events have been received, in order, and the time as of which the list is known to
+be current. The latter is when the poll was sent whose answer showed that no event is missing, since the
+answer may have been in transit for any time. Polls follow each other soon enough that each renews the
+planner's lease on the list (`engine.list_lease`) before the previous one ends. A slow poll is not abandoned:
+the next one is sent beside it on a new connection, so that a service whose answers take seconds is still
+followed."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, Generic, TypeVar
@@ -19,25 +19,23 @@
 from hazelhold.platform.configuration import KnownEvents
 from hazelhold.service.net import Net
 
-WAIT_WITHOUT_LEASE = 0.001  # seconds that a call asks the bulletin to wait while the lease is not held
-WAIT_PART = 0.25  # of the lease: how long a call asks to wait for news. Two calls and their ways fit into one
-MIN_INTERVAL_PART = (
-    0.125  # of the lease: the least time from one call to the next, also where each brings news
-)
-LATE_AFTER = 0.25  # seconds past what it asks for after which an answer is late, for the log
-NEXT_POLL_AFTER = 0.6  # seconds past what it asks for after which the next call is made beside this one
-MAX_ANSWER_BYTES = 1 << 23  # bytes of an answer: news of some 40,000 machines at once
-MAX_EVENT_TRIES = 3  # calls that end at the same event before it is passed over: it was not spoilt on its way
-FAILURE_PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between calls that fail one after another
-SLOW_CALLS = 2  # late calls that go on beside the current one
-MAX_SILENCE = 8.0  # seconds without a byte after which a late call is given up
-MAX_POLL_DURATION = 30.0  # seconds after which a call is given up whatever it brings
+WAIT_WITHOUT_LEASE = 0.001  # seconds that the service may delay its answer while the lease is not held
+WAIT_PART = 0.25  # of the lease, for which the service may delay its answer: two polls fit into a lease
+MIN_INTERVAL_PART = 0.125  # of the lease: the minimum time between polls, also if each brings events
+LATE_AFTER = 0.25  # seconds past the requested wait after which an answer is logged as late
+NEXT_POLL_AFTER = 0.6  # seconds past the requested wait after which the next poll is sent beside this one
+MAX_ANSWER_BYTES = 1 << 23  # events of some 40,000 machines at once
+MAX_EVENT_TRIES = 3  # polls that fail at the same event before it is skipped: it is not damaged in transit
+FAILURE_PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between consecutive failed polls
+SLOW_CALLS = 2  # maximum of slow polls beside the current one
+MAX_SILENCE = 8.0  # seconds without a byte after which a slow poll is cancelled
+MAX_POLL_DURATION = 30.0  # seconds after which any poll is cancelled
 
 T = TypeVar("T")
 
 
 class DiscoveryError(Exception):
-    """A call that brought nothing that can be used, or an event of which only `part` can be read."""
+    """A poll without a usable answer, or an invalid event. `part` is the valid part of the event, if any."""
 
     def __init__(self, text: str, part: object = None) -> None:
         super().__init__(text)
@@ -56,21 +54,26 @@
 
 
 class Answer(msgspec.Struct):
+    """The answer to a poll: events, and the number of the service's last event."""
+
     no: int
     items: list[dict[str, Any]]
 
 
 class Connection:
-    """One connection to the bulletin; carries one call after another."""
+    """One connection to the discovery service; carries one poll after another."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
         self.wire = h11.Connection(h11.CLIENT)
-        self.heard_at = trio.current_time()  # when bytes came last
+        self.heard_at = trio.current_time()  # when bytes were received last
 
-    async def poll(self, host: str, after: int, patience: float) -> bytes:
-        """The body of the answer to one call; any of FAILURES."""
-        target = f"/bulletins?after={after}&patience={round(patience * 1000)}"
+    async def poll(self, host: str, after: int, wait: float) -> bytes:
+        """Sends a poll and returns the body of its answer; raises any of FAILURES.
+
+        `after` is the number of the last event received. The service may delay its answer by `wait` seconds.
+        """
+        target = f"/bulletins?after={after}&patience={round(wait * 1000)}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         await self.stream.send_all(self.wire.send(request) + self.wire.send(h11.EndOfMessage()))
         body = bytearray()
@@ -85,7 +88,7 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_ANSWER_BYTES:
-                    raise DiscoveryError("a body without end")
+                    raise DiscoveryError("the answer is too long")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
@@ -95,20 +98,21 @@
         return bytes(body)
 
     def renew(self) -> bool:
-        """Makes it ready for another call; False if it is of no more use."""
+        """Prepares the connection for another poll; False if it cannot be reused."""
         if self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
             self.wire.start_next_cycle()
             return True
         return False
 
     async def close(self) -> None:
+        """Closes the connection at once."""
         with trio.CancelScope(shield=True, deadline=trio.current_time() + 0.2):
             await trio.aclose_forcefully(self.stream)
 
 
 class Poll(Generic[T]):
-    """One call, from its dial to its answer, which the bulletin may keep back for `wait` seconds where it has
-    no news. `connection` may be given; else one is dialled."""
+    """One poll, from its dial to its answer, which the service may delay by `wait` seconds if it has no
+    events. `connection` is reused; if it is None, a new one is dialled."""
 
     def __init__(self, follower: "DiscoveryFollower[T]", connection: Connection | None, wait: float) -> None:
         self.follower, self.connection, self.wait = follower, connection, wait
@@ -119,7 +123,7 @@
         self.error: BaseException | None = None  # set if it failed
 
     async def run(self) -> None:
-        """Ends with `body` or `wrong` set, or with neither if it was cancelled."""
+        """Runs the poll. Then `body` or `error` is set, or neither if it was cancelled."""
         try:
             with self.scope:
                 with trio.fail_after(MAX_POLL_DURATION):
@@ -138,22 +142,24 @@
             self.finished.set()
 
     async def close(self) -> None:
-        """Closes a connection that is not used for another call."""
+        """Closes the connection, if the poll still has one."""
         connection, self.connection = self.connection, None
         if connection is not None:
             await connection.close()
 
     @property
     def heard_at(self) -> float:
-        """When it brought something last."""
+        """When bytes were received last, in seconds of trio's clock."""
         return self.connection.heard_at if self.connection is not None else self.began_at
 
 
 class DiscoveryFollower(Generic[T]):
-    """Keeps to one address; `read(item)` makes an event of one item or raises DiscoveryError, `hear(events,
-    age, whole)` gets new events in order, how many seconds ago the call was made that brought them, and
-    whether it shows that none is missing; `fail()` hears of each failed call. `lease`: seconds for which an
-    answer is of use, counted from its call."""
+    """Polls the discovery service at one address.
+
+    `read(item)` converts an item to an event or raises DiscoveryError. `on_events(events, age, whole)` gets
+    the new events in order, how many seconds ago their poll was sent, and whether its answer shows that no
+    event is missing. `on_failure()` is called for each failed poll. `lease` is how long an answer is valid,
+    in seconds from its poll."""
 
     def __init__(
         self,
@@ -167,27 +173,29 @@
     ) -> None:
         self.net, self.address, self.lease, self.read = net, address, lease, read
         self.on_events, self.on_failure = on_events, on_failure
-        self.unreadable = (0, 0)  # the number of an event that could not be read, and how often
+        self.unreadable = (0, 0)  # the number of the invalid event, and how often it came
         self.last = known.no
         self.update_requested = trio.Event()
         self.scope = trio.CancelScope()
-        self.failures = 0  # in a row
-        self.confirmed = False  # the last answer showed that no event is missing, soon enough to be of use
+        self.failures = 0  # consecutive
+        self.confirmed = False  # the last answer showed within the lease that no event is missing
         self.polls = 0
-        self.answers_late = False  # as it was written to the log last
-        self.slow: list[Poll[T]] = []  # emptied as they end
+        self.answers_late = False  # as logged last
+        self.slow: list[Poll[T]] = []  # emptied as they finish
         self.log = structlog.get_logger()
 
     def request_update(self) -> None:
+        """Starts polling; after the first call it has no effect."""
         self.update_requested.set()
 
     def move(self, address: str) -> None:
-        """Asks a new address from now on, at once. What the old one would still say is not waited for."""
+        """Polls a new address from now on, starting at once. Answers of the old one are not awaited."""
         self.address = address
         self.failures, self.confirmed = 0, False
         self.scope.cancel()
 
     async def run(self) -> None:
+        """Polls until cancelled, from the first request_update on."""
         await self.update_requested.wait()
         while True:
             with trio.CancelScope() as self.scope:
@@ -196,7 +204,7 @@
             self.slow.clear()
 
     async def _follow(self, nursery: trio.Nursery) -> None:
-        """Calls one after another, with what is left of late ones beside them."""
+        """Sends one poll after another, while slow ones finish in `nursery`."""
         connection: Connection | None = None
         poll: Poll[T] | None = None
         try:
@@ -226,8 +234,9 @@
                 await poll.close()
 
     def _set_aside(self, poll: Poll[T], nursery: trio.Nursery) -> None:
-        """Lets a late call go on beside the next ones, as long as it brings something now and then. Where
-        there are enough of them it ends: those that wait longer are nearer to their answers."""
+        """Lets a slow poll continue beside the next ones, for as long as bytes arrive within MAX_SILENCE. If
+        there are SLOW_CALLS of them already it is cancelled, since the older ones are closer to their
+        answers."""
         if len(self.slow) >= SLOW_CALLS:
             poll.scope.cancel()
             return
@@ -246,7 +255,7 @@
         await poll.close()
 
     def _process_answer(self, poll: Poll[T]) -> bool:
-        """Hears what a call brought; False if it failed."""
+        """Processes the answer to a poll; False if it failed."""
         try:
             if poll.body is None:
                 raise poll.error or DiscoveryError("cancelled")
@@ -264,7 +273,7 @@
         return True
 
     def _log_lateness(self, seconds: float) -> None:
-        """Writes a line when answers begin to come late, and when they come in time again."""
+        """Logs when answers become late, and when they are in time again."""
         late = seconds > LATE_AFTER
         if late is not self.answers_late:
             self.answers_late = late
@@ -281,18 +290,18 @@
     # Events.
 
     def _decode_answer(self, body: bytes) -> tuple[list[T], bool]:
-        """The events that are new, checked and in order, and whether these are all."""
+        """Returns the new events, checked and in order, and whether none is missing."""
         try:
             answer = msgspec.json.decode(body, type=Answer)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            raise DiscoveryError(f"not an answer: {error}") from None
+            raise DiscoveryError(f"invalid answer: {error}") from None
         events = self.new_events(answer.items)
         return events, self.last >= answer.no
 
     def new_events(self, items: list[dict]) -> list[T]:
-        """Those of the events that come after the last one, up to the first that is out of order or cannot be
-        read; marks them as heard. DiscoveryError if there is such a one and none before it: what came whole
-        is not kept waiting by what did not."""
+        """Returns the events after the last one, up to the first that is out of order or invalid, and marks
+        them as received. DiscoveryError if there is such an event and no valid one before it: valid events
+        are not delayed by a later invalid one."""
         new: list[T] = []
         for item, no in self._numbered_events(items, new):
             if no != self.last + 1:
@@ -300,31 +309,32 @@
                     break
                 raise DiscoveryError(f"event {no} follows {self.last}")
             try:
-                made = self._read_event(no, item)
+                read_events = self._read_event(no, item)
             except DiscoveryError as error:
-                if error.part is not None:  # it comes again with the next call, and once more as a whole
+                if error.part is not None:  # the event is polled again until it is complete or skipped
                     new.append(error.part)
                 if new:
                     break
                 raise
             self.last = no
-            new += made
+            new += read_events
         return new
 
     def _numbered_events(self, items: list[dict], before: list[T]) -> Iterator[tuple[dict, int]]:
-        """The events that are not known yet, with their numbers. DiscoveryError at one without a number, if
-        nothing came before it."""
+        """Yields the new events with their numbers. At an event without a number it stops if valid ones came
+        before, else raises DiscoveryError."""
         for item in items:
             no = item.get("no")
             if not isinstance(no, int):
                 if before:
                     return
-                raise DiscoveryError("an event without a number")
+                raise DiscoveryError("event without a number")
             if no > self.last:
                 yield item, no
 
     def _read_event(self, no: int, item: dict) -> list[T]:
-        """The event as it is read; nothing for one that came so a few times, which is passed over."""
+        """Reads an event; returns nothing, or its valid part, for one that failed MAX_EVENT_TRIES times and
+        is skipped."""
         try:
             return [self.read(item)]
         except DiscoveryError as error:
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -1,8 +1,8 @@
-"""Connections to machines: dialled as the engine asks, written to by what it sends, read into it.
+"""Connections to machines: dialled at the engine's request, with the engine's messages written to them and
+theirs passed to it.
 
-Over several connections to machines an attempt of a task must not leave before an earlier attempt of the same
-task is surely over: `fences` hold it back until then.
-"""
+A dispatch of a guest must not be sent while an earlier dispatch of it on another connection may still be
+open: `fences` hold it back until that one is settled."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class MachineLink(NamedTuple):
-    """A connection to a machine, or the dial of one; `peer` is None until it is up."""
+    """A connection to a machine, or its dial; `peer` is None until the connection is up."""
 
     scope: trio.CancelScope | None
     peer: MachinePeer | None
@@ -33,10 +33,9 @@
 class MachineLinks:
     """All connections of one planner to machines.
 
-    `progress` carries out what the engine wants after it has heard something and wakes the ticker; `stir`
-    only wakes the ticker. `nursery` and `is_unheard`, which tells of an owner whose connection waits to be
-    read, have to be set before anything is dialled.
-    """
+    `progress` carries out the engine's actions after it has received input, and wakes the ticker; `notify`
+    only wakes the ticker. `nursery` and `has_unread_input`, which tells whether an owner's connection waits
+    to be read, have to be set before the first dial."""
 
     nursery: trio.Nursery
     has_unread_input: Callable[[str], bool]
@@ -49,46 +48,49 @@
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
         progress: Callable[[], None],
-        stir: Callable[[], None],
+        notify: Callable[[], None],
     ) -> None:
         self.net, self.engine, self.counts, self.log = net, engine, counts, log
-        self.progress, self.stir = progress, stir
+        self.progress, self.notify = progress, notify
         self.by_machine: dict[str, MachineLink] = {}  # emptied as connections end
-        # Where an attempt of a task may still be out, by the task's id; emptied as the word that takes it
-        # back or its connection leaves.
+        # The connection on which a dispatch may still be open, by guest id; emptied when its withdrawal is
+        # written or the connection is closed.
         self.fences: dict[str, MachinePeer] = {}
-        # Tasks whose offers wait until their owner's connection is read, by owner; emptied by that.
+        # Guests whose offers wait until their owner's connection is read, by owner; emptied by that.
         self.waiting_for_owner: dict[str, list[str]] = {}
 
     def peer(self, machine: str) -> MachinePeer | None:
-        """The connection to a machine that is up."""
+        """The connection to a machine, if it is up."""
         return self.by_machine.get(machine, NO_LINK).peer
 
     def dial(self, dial: Dial) -> None:
-        """Starts a connection, in place of one that there is."""
+        """Starts a connection; an existing one to the machine is closed."""
         self.hang_up(dial.machine)
         scope = trio.CancelScope()
         self.by_machine[dial.machine] = MachineLink(scope, None)
         self.nursery.start_soon(self._run, dial, scope)
 
     def hang_up(self, machine: str) -> None:
-        """Ends a connection or its dial at once."""
+        """Closes a connection or cancels its dial at once."""
         scope, peer = self.by_machine.pop(machine, NO_LINK)
         if peer is not None:
-            self.fences.update(dict.fromkeys(peer.open, peer))  # open there until it is closed
+            self.fences.update(dict.fromkeys(peer.open, peer))  # open there until the connection is closed
             peer.cut()
         if scope is not None:
             scope.cancel()
 
     def send(self, machine: str, message: m.Message) -> None:
-        """Sends a message; what is taken back before a byte of it left is told to the engine instead."""
+        """Sends a message. An offer that is withdrawn before a byte of it is written is removed instead, and
+        reported to the engine as not sent."""
         peer = self.peer(machine)
-        taking_back = peer is not None and isinstance(message, m.Withdraw)
-        if taking_back and (offer := peer.remove_unsent(message)):
+        withdraws = peer is not None and isinstance(message, m.Withdraw)
+        if withdraws and (offer := peer.remove_unsent(message)):
             self.engine.offer_held_back(self.net.now(), offer)
             return
         sent = peer is not None and peer.send(message)
-        if taking_back and (sent or message.guest in peer.open):  # not sent: its end takes back what is open
+        if withdraws and (
+            sent or message.guest in peer.open
+        ):  # if not sent, the connection's end withdraws it
             self.fences[message.guest] = peer
         if not sent:
             self.counts["unsent"] += 1
@@ -96,20 +98,20 @@
             self.log.debug("to_machine", machine=machine, message=repr(message))
 
     async def _run(self, dial: Dial, scope: trio.CancelScope) -> None:
-        """One connection: dials within its span, then listens until either side ends."""
+        """Runs one connection: dials within its timeout, then serves it until either side closes."""
         name, peer, refused = dial.machine, None, False
         with scope:
             try:
                 with trio.fail_after(dial.span / 1e6):
                     stream = await self.net.dial(dial.address)
-                if not self._is_current(name, scope):  # hung up just as it came up
+                if not self._is_current(name, scope):  # closed while the dial completed
                     await trio.aclose_forcefully(stream)
                     return
                 peer = MachinePeer(
                     stream, self.engine.limits.send_bytes, self._time_left, self._offers_settled
                 )
                 await self._serve(name, scope, peer)
-            except (OSError, ValueError, trio.TooSlowError) as error:  # ValueError: an address that is none
+            except (OSError, ValueError, trio.TooSlowError) as error:  # ValueError: invalid address
                 refused = is_refused(error)
                 self.counts["dials_refused" if refused else "dials_failed"] += 1
                 self.log.debug("dial_failed", machine=name, address=dial.address, reason=repr(error)[:200])
@@ -120,7 +122,7 @@
         return self.by_machine.get(machine, NO_LINK).scope is scope
 
     async def _serve(self, machine: str, scope: trio.CancelScope, peer: MachinePeer) -> None:
-        """Reads and writes until either side ends."""
+        """Reads and writes until either side closes."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(peer.write)
@@ -132,10 +134,10 @@
                 peer.end()
                 peer.writing.cancel()
         finally:
-            self._offers_settled(peer, [task for task, at in self.fences.items() if at is peer])
+            self._offers_settled(peer, [guest for guest, at in self.fences.items() if at is peer])
 
     def _connection_closed(self, machine: str, peer: MachinePeer | None, refused: bool) -> None:
-        """Tells the engine of a connection that ended by itself, or of a dial that failed."""
+        """Reports a connection that closed by itself, or a failed dial, to the engine."""
         del self.by_machine[machine]
         now = self.net.now()
         if peer is None:
@@ -146,35 +148,36 @@
             self.engine.link_down(now, machine, peer.reset)
         self.progress()
 
-    def _offers_settled(self, peer: MachinePeer, tasks: list[str]) -> None:
-        """What was open on a connection is surely over: what waited for that leaves."""
-        for task in tasks:
-            if self.fences.get(task) is not peer:
+    def _offers_settled(self, peer: MachinePeer, guests: list[str]) -> None:
+        """Removes the fences of guests whose offers on a connection are no longer open, and resumes their
+        deferred offers."""
+        for guest in guests:
+            if self.fences.get(guest) is not peer:
                 continue
-            del self.fences[task]
-            self._resume(task)
+            del self.fences[guest]
+            self._resume(guest)
 
-    def _resume(self, task: str) -> None:
-        """Lets the offer of a task leave that stood aside."""
-        case = self.engine.newest.get(task)
-        if case and (peer := self.peer(case.machine)):
-            peer.resume(task)
+    def _resume(self, guest: str) -> None:
+        """Resumes the deferred offer of a guest, if it has one."""
+        record = self.engine.newest.get(guest)
+        if record and (peer := self.peer(record.machine)):
+            peer.resume(guest)
 
     def owner_read(self, owner: str) -> None:
-        """An owner's connection was read: what waited for that may leave."""
-        for task in self.waiting_for_owner.pop(owner, ()):
-            self._resume(task)
+        """Called after an owner's connection was read; resumes the offers that waited for it."""
+        for guest in self.waiting_for_owner.pop(owner, ()):
+            self._resume(guest)
 
     def _time_left(self, offer: m.Offer) -> int:
-        """Microseconds that are left to an offer; 0 if it is not to leave, below 0 if not yet."""
+        """Microseconds left for an offer; 0 if it must not be sent, below 0 if it is deferred."""
         now = self.net.now()
         left = self.engine.time_left(now, offer)
         if left and offer.guest in self.fences:
             self.counts["offers_behind"] += 1
             return -1
         if left and self.has_unread_input(offer.owner):
-            # The process did not run for a moment: the owner may have given up meanwhile, and what it said
-            # is read in this turn of the loop or the next.
+            # The process was suspended for a while, so the owner may have cancelled meanwhile. Its input is
+            # read in this iteration of the event loop or the next.
             self.counts["offers_behind_owner"] += 1
             self.waiting_for_owner.setdefault(offer.owner, []).append(offer.guest)
             return -1
@@ -183,7 +186,7 @@
         else:
             self.counts["offers_held_back"] += 1
             self.engine.offer_held_back(now, offer)
-            self.stir()
+            self.notify()
         return left
 
     async def _receive(self, machine: str, peer: MachinePeer) -> None:
@@ -208,7 +211,7 @@
 
 
 def is_refused(error: BaseException | None) -> bool:
-    """Whether a dial failed because nobody listens there."""
+    """Whether a dial failed only because no process listens at the address."""
     while error is not None:
         if isinstance(error, ConnectionRefusedError):
             return True
--- a/hazelhold/platform/owner_server.py
+++ b/hazelhold/platform/owner_server.py
@@ -1,7 +1,7 @@
-"""Connections of owners: admitted, read into the engine, answered, and closed for others where all are taken.
+"""Connections of owners: admission, input for the engine, answers, and eviction when all are in use.
 
-The bounds here are the protocol's own: bytes, descriptors, the time to a first message. What becomes of a
-task is the engine's.
+The limits here are those of the protocol: bytes, descriptors, the time to a first message. What becomes of a
+guest is decided by the engine.
 """
 
 from collections import Counter, OrderedDict
@@ -21,45 +21,43 @@
 from hazelhold.protocol import messages as m
 from hazelhold.service.net import Net
 
-FIRST_MESSAGE_TIMEOUT = (
-    2.0  # seconds to a first message that can be used, and to the rest of one that has begun
-)
-EARLY_END, EARLY_ENDS = 2.0, 4096  # seconds for which an end waits for its set-up, and how many do
-READ_LATE = 0.1  # seconds that a request may have waited to be read before it is counted
-MAX_UNREAD_CHECKS = 16  # idle connections that are asked for unread bytes before a new one is refused
+FIRST_MESSAGE_TIMEOUT = 2.0  # seconds to the first valid message, and to the rest of a partial one
+EARLY_END, EARLY_ENDS = 2.0, 4096  # seconds that an end waits for its set-up, and the maximum of such ends
+READ_LATE = 0.1  # seconds in the input queue after which a set-up is counted as read late
+MAX_UNREAD_CHECKS = 16  # idle connections that are checked for unread input before a new one is refused
 
 
 class OwnerServer:
     """All connections of owners to one planner.
 
-    `progress` carries out what the engine wants after it has heard something and wakes the ticker; `heard`
-    is told of each connection that was read.
+    `progress` carries out the engine's actions after it has received input, and wakes the ticker; `on_read`
+    is called with the name of each connection that was read.
     """
 
     log_frames = False
-    leaving = False  # tests are answered with: not ready
+    leaving = False  # probes are answered as not ready
 
     def __init__(
         self,
         net: Net,
         engine: Engine,
-        bounds: translation.SubmissionLimits,
+        limits: translation.SubmissionLimits,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
         progress: Callable[[], None],
-        heard: Callable[[str], None],
+        on_read: Callable[[str], None],
     ) -> None:
-        self.net, self.engine, self.bounds = net, engine, bounds
-        self.counts, self.log, self.progress, self.heard = counts, log, progress, heard
-        self.peers: dict[str, OwnerPeer] = {}  # by name; emptied as connections end
-        self.accepted = 0  # connections so far
+        self.net, self.engine, self.submission_limits = net, engine, limits
+        self.counts, self.log, self.progress, self.on_read = counts, log, progress, on_read
+        self.peers: dict[str, OwnerPeer] = {}  # by name; emptied as connections close
+        self.accepted = 0  # connections accepted so far
         self.releases = Releases(self.peers, counts)
         self.early_ends: OrderedDict[str, float] = OrderedDict()  # ends without a set-up; emptied by age
 
     # Connections.
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """One connection, from its start to its end. Whatever is wrong with it ends it alone."""
+        """Serves one connection until it is closed. An error on it closes only this connection."""
         if len(self.peers) >= self.engine.limits.connections and not self._free_connection():
             self.counts["connections_refused"] += 1
             await trio.aclose_forcefully(stream)
@@ -73,8 +71,8 @@
             await self._read_and_write(peer)
         finally:
             self.peers.pop(peer.name, None)
-            self.heard(peer.name)
-            while peer.releases:  # they did not leave: told elsewhere
+            self.on_read(peer.name)
+            while peer.releases:  # not written: sent elsewhere
                 self.counts["releases_again"] += 1
                 self.releases.send(None, peer.releases.popleft()[1])
 
@@ -89,31 +87,33 @@
                     self._check_close(peer)
             finally:
                 peer.end()
-                self._connection_ended(peer)  # at once: what is still to be written may take a second
+                self._connection_ended(peer)  # before the rest is written, which may take a second
 
     async def _receive(self, peer: OwnerPeer) -> None:
         try:
             async for batch in peer.batches():
                 if batch:
-                    peer.partial_at = None  # what is held now is part of another message
+                    peer.partial_at = None  # what is buffered now belongs to another message
                 for binary in batch:
                     if peer.scope.cancel_called:
                         break
-                    if not peer.closing or binary.type == END:  # to one that cannot be told, nothing is begun
+                    if (
+                        not peer.closing or binary.type == END
+                    ):  # nothing new if it cannot be answered any more
                         self._message_received(peer, binary)
                 peer.accept_delay = 0.0
                 self._set_deadline(peer)
-                self.heard(peer.name)
+                self.on_read(peer.name)
         except CodecError as error:
             self._close_faulty(peer, error)
 
     def has_unread_input(self, owner: str) -> bool:
-        """Whether an owner may have given up without being heard yet: nothing leaves for it before that."""
+        """Whether an owner may have sent a cancellation that is not read yet. Its offers wait for that."""
         peer = self.peers.get(owner)
         return peer is not None and peer.has_overdue_input()
 
     def _check_close(self, peer: OwnerPeer) -> None:
-        """Counts and logs a connection that this side closes though answers are owed on it."""
+        """Counts and logs a rule violation if this side closes a connection on which answers are owed."""
         if close_denied(len(peer.open)) is None:
             return
         self.counts["rule_violations"] += 1
@@ -122,19 +122,21 @@
         )
 
     def _connection_ended(self, peer: OwnerPeer) -> None:
-        """Nothing more is heard on this connection: nobody waits for what is open on it."""
+        """Abandons the guests that are open on a connection whose input has ended."""
         now = self.net.now()
-        for task in list(peer.open):
-            self.engine.owner_left(now, task)
+        for guest in list(peer.open):
+            self.engine.owner_left(now, guest)
         peer.open.clear()
         self.progress()
 
     def _free_connection(self) -> bool:
-        """Closes an idle connection for a new one; False if there is none. One whose bytes wait to be read
-        is not idle, they may be a request: it goes only if it has said nothing of use and others are no
-        better."""
+        """Closes an idle connection for a new one; False if there is none.
+
+        A connection with unread input is not idle, since that may be a set-up. It is closed only if it has
+        sent no valid message and all that were checked have unread input.
+        """
         if self._open_connections() < self.engine.limits.connections:
-            return True  # those that are closing go within a second: nothing is lost for them
+            return True  # those that are closing are gone within a second, so none has to be evicted
         now = trio.current_time()
         order = eviction_order(self.peers.values(), now)
         victim = next(
@@ -152,28 +154,28 @@
         self.counts["connections_closed_for_others"] += 1
         self._check_close(victim)
         del self.peers[victim.name]
-        if is_stuck(victim, now):  # not waited for; any other is told all
+        if is_stuck(victim, now):  # it reads nothing; to any other the rest is written
             victim.cut()
         elif not victim.unsent():
-            victim.drop()  # its descriptor is free before the next is taken
+            victim.drop()  # frees its descriptor before the next one is used
         victim.end()
         victim.scope.cancel()
         return True
 
     def _open_connections(self) -> int:
-        """Connections that are not closing already."""
+        """Number of connections that are not closing."""
         return sum(not peer.closing for peer in self.peers.values())
 
     def _set_deadline(self, peer: OwnerPeer) -> None:
-        """When a connection ends if nothing comes: one that has sent nothing of use and was told nothing,
-        and one that has sent only part of a message and awaits no answer."""
+        """Sets when a connection is closed without input: one that has sent no valid message and was sent
+        none, and one that has sent a partial message and awaits no answer."""
         now = trio.current_time()
         if not peer.reader.has_partial_message:
             peer.partial_at = None
         elif peer.partial_at is None:
             peer.partial_at = now
         due = float("inf")
-        owed = close_denied(len(peer.open)) is not None  # the answers to what is open come first
+        owed = close_denied(len(peer.open)) is not None  # open guests have to be answered first
         if peer.partial_at is not None and not owed:
             due = peer.partial_at + FIRST_MESSAGE_TIMEOUT
         if not owed and not peer.was_sent_message and not peer.had_placement:
@@ -181,16 +183,16 @@
         peer.set_due(due)
 
     def _close_faulty(self, peer: OwnerPeer, error: CodecError) -> None:
-        """A peer whose bytes cannot be used: its connection ends, and what is open on it with it."""
+        """Closes the connection of a peer that sent invalid bytes, which abandons its open guests."""
         self.counts["owner_" + error.code] += 1
         self.log.debug("owner_closed", owner=peer.name, code=error.code, reason=error.text[:200])
         peer.end()
         peer.scope.cancel()
 
-    # What the engine says.
+    # Output of the engine.
 
     def send(self, owner: str, message: m.Message) -> None:
-        """Sends an answer on its connection, or the end of a task where it can be told."""
+        """Sends an answer on its guest's connection, or the end of a guest on any suitable one."""
         binary = translation.to_owner(message)
         if binary is None:
             return
@@ -214,21 +216,26 @@
         self._set_deadline(peer)
 
     def _duplicate_id(self, peer: OwnerPeer, refusal: BinaryMessage) -> None:
-        """A set-up came under the id of a request in hand. It ends its connection, but for answers owed
-        there: two connections may cross, and the one that is read second may be the request's owner's."""
+        """Refuses a set-up with the id of an open guest and closes its connection.
+
+        The connection stays if answers are owed on it and the guest was opened on another: set-ups on two
+        connections may be read in either order, so this one may be the guest's real owner.
+        """
         if not self._opened_on(peer, refusal.id):
             peer.send(refusal)
             if peer.open:
                 return
-        self._close_faulty(peer, CodecError("open_already", "a second set-up under an open id"))
+        self._close_faulty(peer, CodecError("open_already", "a second set-up with the id of an open guest"))
 
-    def _opened_on(self, peer: OwnerPeer, task: str) -> bool:
-        """Whether a request in hand came on this connection: a refusal of a second one under its id would be
-        read there as its own answer or end. On any other connection the refusal is the second's alone."""
-        case = self.engine.newest.get(task)
-        return task in peer.open or (case is not None and case.owner == peer.name)
+    def _opened_on(self, peer: OwnerPeer, guest: str) -> bool:
+        """Whether an open guest was submitted on this connection.
 
-    # What owners say.
+        If so, the refusal of a second set-up with its id would be read there as the guest's own answer or
+        end."""
+        record = self.engine.newest.get(guest)
+        return guest in peer.open or (record is not None and record.owner == peer.name)
+
+    # Input of owners.
 
     def _message_received(self, peer: OwnerPeer, binary: BinaryMessage) -> None:
         now = self.net.now()
@@ -248,32 +255,35 @@
             self.releases.send_waiting(peer)
         self.progress()
 
-    def _end_received(self, now: int, peer: OwnerPeer, task: str) -> None:
-        """An owner gives up what is open, or ends what stands. What is open belongs to the connection that it
-        came on, but its owner may have lost that one: named on another, nothing more is begun for it, and its
-        own connection is answered. An end that comes before its set-up is kept for a while."""
-        if self.engine.out(task) and task not in peer.open:
+    def _end_received(self, now: int, peer: OwnerPeer, guest: str) -> None:
+        """Handles an owner's end: it cancels an open guest or stops a placed one.
+
+        An open guest belongs to the connection on which it was submitted, but its owner may have lost that
+        one. If the end comes on another, nothing more is started for the guest, and the answer goes to its
+        own connection. An end that precedes its set-up is remembered for EARLY_END seconds."""
+        if self.engine.out(guest) and guest not in peer.open:
             self.counts["ends_of_others"] += 1
-            self.engine.give_up(now, task)
+            self.engine.give_up(now, guest)
             return
-        peer.open.pop(task, None)
-        if self.engine.owner_left(now, task):
+        peer.open.pop(guest, None)
+        if self.engine.owner_left(now, guest):
             peer.sent_valid = True
             return
-        self._remember_early_end(task)
+        self._remember_early_end(guest)
 
-    def _remember_early_end(self, task: str) -> None:
+    def _remember_early_end(self, guest: str) -> None:
+        """Remembers an end without a set-up, at most EARLY_ENDS of them."""
         at = trio.current_time()
         while self.early_ends and (
             len(self.early_ends) >= EARLY_ENDS or next(iter(self.early_ends.values())) <= at
         ):
             self.early_ends.popitem(last=False)
-        self.early_ends[task] = at + EARLY_END
+        self.early_ends[guest] = at + EARLY_END
 
     def _set_up(self, now: int, peer: OwnerPeer, binary: BinaryMessage) -> None:
         ended = self.early_ends.pop(binary.id, 0.0) > trio.current_time()
         try:
-            submit, at = translation.parse_submission(binary, self.bounds)
+            submit, at = translation.parse_submission(binary, self.submission_limits)
         except (translation.InvalidSubmissionError, CodecError) as error:
             self._refuse_submission(peer, binary.id, error)
             return
@@ -290,25 +300,27 @@
             self.engine.owner_said(now, peer.name, self._since_sent(peer, submit))
 
     def _since_sent(self, peer: OwnerPeer, submit: m.Submit) -> m.Submit:
-        """The request with what its client has left: its time has run since it was sent, not since it was
-        read."""
+        """The submission with the time that is left: it runs from when the owner sent it, not from when it
+        was read."""
         waited = peer.accept_delay + peer.arrival.waited()
         self.counts["requests_read_late"] += waited > READ_LATE
         return replace(submit, patience=max(0, submit.patience - round(waited * 1e6)))
 
     def _refuse_submission(
-        self, peer: OwnerPeer, task: str, error: translation.InvalidSubmissionError | CodecError
+        self, peer: OwnerPeer, guest: str, error: translation.InvalidSubmissionError | CodecError
     ) -> None:
-        """Answers a set-up that cannot be read."""
+        """Answers an invalid set-up."""
         self.counts["ask_" + error.code] += 1
         self.log.debug("ask_refused", owner=peer.name, reason=str(error)[:200])
-        if self._opened_on(peer, task):
-            self._close_faulty(peer, CodecError("open_already", "a second set-up under an open id"))
+        if self._opened_on(peer, guest):
+            self._close_faulty(
+                peer, CodecError("open_already", "a second set-up with the id of an open guest")
+            )
         else:
-            peer.send(translation.released(task, translation.ERROR))
+            peer.send(translation.released(guest, translation.ERROR))
 
     def _handover(self, now: int, peer: OwnerPeer, at: str, submit: m.Submit, ended: bool) -> None:
-        """A set-up that names the machine where its task runs already."""
+        """Handles a set-up that names the machine which already has its guest."""
         if self.releases.send_waiting_for(peer, submit.guest):
             peer.sent_valid = peer.was_sent_message = True
             return
@@ -317,5 +329,5 @@
             peer.send(translation.released(submit.guest, translation.RESET))
             return
         peer.sent_valid = peer.was_sent_message = peer.handed_over = True
-        if ended:  # its machine must not keep it
+        if ended:  # already ended by its owner: the machine has to stop it
             self.engine.owner_left(now, submit.guest)
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -1,7 +1,7 @@
-"""The planner on the operators' platform: owners' door, machine links, list follower, one engine.
+"""The planner on the operators' platform: server for owners, machine links, discovery follower, one engine.
 
-A thin shell: what comes in goes to the engine, its actions are carried out. What to do with a task is the
-decision module's.
+It passes input to the engine and carries out the engine's actions. What to do with a guest is decided by the
+scheduler.
 """
 
 import logging
@@ -29,33 +29,33 @@
 from hazelhold.service.ticker import Ticker
 
 REREAD_PAUSES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
-"""Seconds between looks at a configuration file that was of no use at its signal."""
+"""Seconds between retries of a configuration file that was invalid at its signal."""
 
 MAX_BATCH_DURATION = 0.02
-"""Seconds of decisions before peers are read again: gone owners must be heard within 0.1 s."""
+"""Seconds of decisions between reads of peers: an owner's disconnect must be read within 0.1 s."""
 
 ACCEPTING_AFTER_STOP = 0.7
-"""Seconds after SIGTERM in which set-ups may still come."""
+"""Seconds after SIGTERM in which set-ups may still arrive."""
 
 MAX_DEADLINE = 3.0
-"""A longest deadline past this, in seconds, counts as this for the moment of SIGKILL."""
+"""Seconds; the upper limit of the longest deadline from which the time of SIGKILL is calculated."""
 
-# Seconds before SIGKILL (of the longest deadline, where that is under a second) at which:
-ANSWER_HELD_BEFORE = 0.8  # what waits is answered
-ANSWER_ALL_BEFORE = 0.6  # what is out at machines is answered
-CLOSE_BEFORE = 0.4  # the connections end
-EXIT_BEFORE = 0.1  # the process ends
+# Seconds before SIGKILL, scaled down if the longest deadline is under a second, at which:
+ANSWER_HELD_BEFORE = 0.8  # held guests are answered
+ANSWER_ALL_BEFORE = 0.6  # guests that are offered to machines are answered
+CLOSE_BEFORE = 0.4  # the connections are closed
+EXIT_BEFORE = 0.1  # the process exits
 
 
 class PlatformPlanner:
-    """One planner from its start to the end that was asked for."""
+    """One planner, from its start to the requested stop."""
 
     def __init__(self, start: StartSettings, net: Net, config: Path | None = None) -> None:
         self.start, self.net, self.config = start, net, config
         self.log = structlog.get_logger().bind(planner=start.name)
         self.engine = Engine(start.engine_settings, start.seed, net.now())
         self.limits = start.engine_settings.limits
-        bounds = translation.SubmissionLimits(
+        submission_limits = translation.SubmissionLimits(
             start.max_resources,
             dict(zip(start.engine_settings.products, start.max_time_left, strict=True)),
             frozenset(start.engine_settings.customers),
@@ -64,10 +64,10 @@
         self.counts: Counter[str] = Counter()
         self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.stir)
         self.owner_server = OwnerServer(
-            net, self.engine, bounds, self.counts, self.log, self._progress, self.links.owner_read
+            net, self.engine, submission_limits, self.counts, self.log, self._progress, self.links.owner_read
         )
         self.links.has_unread_input = self.owner_server.has_unread_input
-        self.zones = dict(start.zones)  # numbers by name; grows with zones that the list names
+        self.zones = dict(start.zones)  # numbers by name; zones that only the list names are added
         self.follower = DiscoveryFollower(
             net,
             start.bulletin,
@@ -78,16 +78,17 @@
             self._discovery_failed,
         )
         self.event_log = EventLog(self.log, self.engine)
-        self.reloads = 0  # signals to read the file again
-        self.closing = False  # machines are not dialled any more
+        self.reloads = 0  # reload signals so far
+        self.closing = False  # machines are no longer dialled
         self.stop_asked, self.ended = trio.Event(), trio.Event()
         self.address = ""
 
     def log_frames(self) -> None:
-        """Logs each message of owners and machines from now on."""
+        """Logs every message to and from owners and machines from now on."""
         self.owner_server.log_frames = self.links.log_frames = True
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
+        """Runs until `stop` has completed; `task_status` gets the address when the planner listens."""
         async with trio.open_nursery() as nursery:
             self.nursery = self.links.nursery = nursery
             nursery.start_soon(beat)
@@ -98,7 +99,8 @@
                     self.log.warning("event_unreadable", no=item.get("no"), reason=str(error))
                     if error.part is not None:
                         self._apply_listings([error.part])
-            # Half of what owners and machines leave over, less some eight that the process has anyway.
+            # Connections in the accept queue get half of the descriptors that owners and machines leave, less
+            # some eight that the process uses otherwise.
             spare = self.start.bounds.sockets - self.limits.connections - self.limits.links
             self.address = await self.net.listen(
                 self.start.listen, self.owner_server.serve, nursery, max(4, (spare - 8) // 2)
@@ -112,7 +114,7 @@
                 "up",
                 address=self.address,
                 known=self.start.known.no,
-                ready=sum(fellow.mode is Mode.READY for fellow in self.engine.roster.fellows.values()),
+                ready=sum(listed.mode is Mode.READY for listed in self.engine.roster.fellows.values()),
                 machines=len(self.engine.roster.fellows),
                 sockets=self.start.bounds.sockets,
                 memory_mb=self.start.bounds.memory_mb,
@@ -125,12 +127,12 @@
         self.ended.set()
 
     def stop(self) -> None:
-        """Asks for an end: everything that comes meanwhile is still served."""
+        """Requests a stop. Everything that arrives before its end is still served."""
         self.stop_asked.set()
 
     def reload(self) -> None:
-        """Reads the configuration file again; a bad one leaves all as it is. It may be half written: it is
-        looked at again for some seconds, or until the next signal."""
+        """Reloads the configuration file. An invalid one changes nothing. Since it may be partly written, it
+        is read again for some seconds, or until the next signal."""
         if self.config is None:
             return
         self.reloads += 1
@@ -146,34 +148,34 @@
                 return
 
     def _reload_once(self) -> str:
-        """Takes the file if it can be used; returns what is wrong with it, or nothing."""
+        """Applies the file if it is valid; else returns its errors."""
         try:
-            fresh = read_start(self.config)
+            reloaded = read_start(self.config)
         except ConfigError as error:
             return str(error)
         self.counts["reloads"] += 1
-        told = (
-            fresh.engine_settings.facts
-        )  # how many share the fleet's budgets; all else holds for a planner's life
-        self.engine.share(told.planners, told.slot)
+        # Only the number of planners that share the fleet's budgets, and this planner's slot, may change in a
+        # run.
+        deployment = reloaded.engine_settings.facts
+        self.engine.share(deployment.planners, deployment.slot)
         self.log.info(
             "configuration_read",
-            bulletin=fresh.bulletin,
-            settings_same=fresh.engine_settings.facts == self.start.engine_settings.facts,
+            bulletin=reloaded.bulletin,
+            settings_same=reloaded.engine_settings.facts == self.start.engine_settings.facts,
         )
         try:
-            items = self.follower.new_events(fresh.known.items)
+            items = self.follower.new_events(reloaded.known.items)
         except DiscoveryError:
-            items = []  # what is missing comes from the bulletin itself
-        if items:  # the file alone does not show that the list is still heard
+            items = []  # missing events come from the discovery service itself
+        if items:  # applied without confirming the list: the file does not show that discovery still answers
             self._apply_listings(items)
-        self.engine.list_moved(self.net.now())  # the old address tells nothing any more
-        self.follower.move(fresh.bulletin)
+        self.engine.list_moved(self.net.now())  # the old address is no longer polled
+        self.follower.move(reloaded.bulletin)
         return ""
 
     async def _stop(self) -> None:
-        """Serves on while set-ups come and answers all that was taken. Then it stays until just before
-        SIGKILL may come: ends of what stands are told as long as somebody is there to tell them."""
+        """Continues to serve while set-ups may arrive, then answers all accepted submissions. It stays until
+        just before SIGKILL may come, so that ends of placed guests are sent for as long as possible."""
         longest = min(MAX_DEADLINE, max(self.start.max_time_left) / 1e6)
         kill, part = trio.current_time() + ACCEPTING_AFTER_STOP + longest, min(1.0, longest)
         self.log.info("stopping", unanswered=self.engine.unanswered(), until=round(kill, 2))
@@ -186,37 +188,35 @@
         self._carry_out()
         await trio.sleep_until(kill - CLOSE_BEFORE * part)
         self.closing = True
-        for name in list(
-            self.links.by_machine
-        ):  # first, so that no end is heard that could not be told any more
+        # Machines first, so that no end is received that could not be sent to its owner any more.
+        for name in list(self.links.by_machine):
             self.links.hang_up(name)
         for peer in self.owner_server.peers.values():
             peer.end()
-        with trio.move_on_at(
-            kill - EXIT_BEFORE * part
-        ):  # an answer of which a part has left is still owed the rest
+        with trio.move_on_at(kill - EXIT_BEFORE * part):  # partly written answers are completed
             while any(peer.unsent() for peer in self.owner_server.peers.values()):
                 await trio.sleep(0.01)
         await trio.sleep(0.02)
         self.log.info("stopped", unanswered=self.engine.unanswered(), **self.all_counts())
 
     def all_counts(self) -> Counter[str]:
-        """The counters of connections and of the engine; what both count under one name is summed."""
+        """The counters of connections and of the engine; those with the same name are added."""
         return self.counts + self.engine.counts
 
     def _work(self, now: int) -> None:
-        """One pump, of as many decisions as fit into a turn by what the last ones took."""
+        """Runs the engine once, with as many decisions as should fit into MAX_BATCH_DURATION, judged by the
+        time that the last ones took."""
         self.engine.pump(now)
         self._carry_out()
-        took, max_resources = self.net.now() - now, self.limits.decisions_at_once
+        took, limit = self.net.now() - now, self.limits.decisions_at_once
         self.engine.at_once = (
             max(1, self.engine.at_once // 2)
             if took > MAX_BATCH_DURATION * 1e6
-            else min(max_resources, self.engine.at_once + 1)
+            else min(limit, self.engine.at_once + 1)
         )
 
     def _progress(self) -> None:
-        """Something was heard: what the engine wants at once is done, and it gets its turn."""
+        """Carries out the engine's actions after input, and wakes the ticker so that it decides again."""
         self._carry_out()
         self.ticker.stir()
 
@@ -240,21 +240,22 @@
         elif isinstance(action, AskList):
             self.follower.request_update()
 
-    # The bulletin.
+    # Discovery.
 
     def _event(self, item: dict) -> m.Listing:
-        """What an event tells of the list; no entries if it is no roster. DiscoveryError if unreadable."""
+        """Translates an event to a listing, without entries if it is not a roster event. DiscoveryError if it
+        is invalid."""
         if "roster" not in item:
             return m.Listing(version=self.engine.list_version, whole=False, entries=[])
         try:
             listing, faults = translation.listing(item["roster"], self.zones, self.net.wall())
         except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
             self.counts["discovery_unreadable"] += 1
-            raise DiscoveryError(f"an event that cannot be read: {error!r:.200}") from None
+            raise DiscoveryError(f"invalid event: {error!r:.200}") from None
         if faults:
             self.counts["discovery_entries_unreadable"] += len(faults)
             raise DiscoveryError(
-                f"{len(faults)} entries that cannot be read: {faults[0]}",
+                f"{len(faults)} invalid entries: {faults[0]}",
                 listing if listing.entries else None,
             )
         return listing
@@ -266,8 +267,8 @@
         self._progress()
 
     def _discovery_answered(self, listings: list[m.Listing], age: float, whole: bool) -> None:
-        """An answer to a call made `age` seconds ago. One that is not whole, or of which some could not be
-        read, shows what came and not that nothing else did: it does not confirm the list."""
+        """Handles an answer to a poll sent `age` seconds ago. An answer that is not whole, or partly invalid,
+        does not show that no other event is missing, so it does not confirm the list."""
         self.counts["discovery_answers"] += 1
         now = self.net.now()
         if listings:
@@ -281,9 +282,10 @@
         self.counts["discovery_failures"] += 1
         self.engine.list_call_failed(self.net.now())
 
-    # Each second.
+    # Every second.
 
     async def _run_periodic(self) -> None:
+        """Drops overdue releases and writes counters and the debug summary, every second."""
         while True:
             await trio.sleep(1.0)
             self.owner_server.releases.drop_overdue()
@@ -293,7 +295,7 @@
                 self._log_beliefs()
 
     def _log_beliefs(self) -> None:
-        """What this planner believes, beside what it has sent and heard."""
+        """Logs a summary of the planner's state at level debug."""
         engine = self.engine
         self.log.debug(
             "beliefs",
