--- a/hazelhold/config/fleetconfig.py
+++ b/hazelhold/config/fleetconfig.py
@@ -145,7 +145,7 @@
     faults = _address_faults(addresses) + _control_faults("control", file.control)
     names = [seat.name for seat in file.control]
     if file.name not in names:
-        faults.append(("control", f"does not contain this machine, {file.name!r}"))
+        faults.append(("control", f"this machine, {file.name!r}, is missing"))
     for place, reach in (("reach", file.reach), ("votes.reach", votes.reach)):
         faults += [(f"{place}[{n!r}]", "is not a control machine") for n in reach if n not in names]
     if votes.replicas % 2 == 0:
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -302,7 +302,7 @@
         if name not in names
     ]
     if config.name not in names:
-        faults.append(("copies.planners", f"does not contain this planner, {config.name!r}"))
+        faults.append(("copies.planners", f"this planner, {config.name!r}, is missing"))
     if not copies.folder:
         faults.append(("copies.folder", "is missing: votes have to survive a restart"))
     elif copies.folder == config.state.folder:
@@ -328,7 +328,9 @@
     faults += check_copies(config)
     faults += check_section(config.fleetconfig, config.name, config.state.folder, bool(config.capture.file))
     if config.slot >= config.planners:
-        faults.append(("slot", f"is {config.slot}: has to be less than planners, {config.planners}"))
+        faults.append(
+            ("slot", f"slot {config.slot} of {config.planners} planners: slots are numbered from 0")
+        )
     if config.capture.total_mb and not 0 < config.capture.rotate_mb <= config.capture.total_mb / 2:
         faults.append(("capture.rotate_mb", "has to be set, and at most half of total_mb"))
     if config.limits.stop_ms > 60_000:
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -132,33 +132,33 @@
     if not isinstance(raw, dict):
         raise ConfigError(file, [("top", "expected an object")])
     faults: list[tuple[str, str]] = []
-    given: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for each in msgspec.structs.fields(ConfigurationFile):
         if each.name not in raw:
             if each.required:
                 faults.append((each.name, "is missing"))
             continue
         try:
-            given[each.name] = msgspec.convert(raw[each.name], each.type)
+            values[each.name] = msgspec.convert(raw[each.name], each.type)
         except msgspec.ValidationError as error:
             faults.append((each.name, str(error)))
     for key in ("listen", "bulletin"):
-        if key in given:
+        if key in values:
             try:
-                split_address(given[key])
+                split_address(values[key])
             except ValueError as error:
                 faults.append((key, str(error)))
     seed = 0
-    if "seed" in given:
+    if "seed" in values:
         try:
-            seed = int(given["seed"], 16)
+            seed = int(values["seed"], 16)
         except ValueError:
-            faults.append(("seed", f"{given['seed']!r} is not hexadecimal"))
-    bounds = given.get("limits", ResourceLimits())
+            faults.append(("seed", f"{values['seed']!r} is not hexadecimal"))
+    bounds = values.get("limits", ResourceLimits())
     if bounds.sockets < 32:
         faults.append(("limits.sockets", f"{bounds.sockets}: at least 32 are needed"))
     deployment = None
-    settings = given.get("settings", {})
+    settings = values.get("settings", {})
     pairs = Pairs([])
     pairs.values = flatten(settings)
     if settings:
@@ -190,12 +190,12 @@
     )
     max_time_left = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(deployment.products)))
     return StartSettings(
-        given["name"],
-        given["listen"],
+        values["name"],
+        values["listen"],
         seed,
         bounds,
-        given["bulletin"],
-        given["known"],
+        values["bulletin"],
+        values["known"],
         engine_settings,
         {name: at for at, name in enumerate(item_names(settings, "zones"))},
         max_resources,
--- a/hazelhold/platform/translation.py
+++ b/hazelhold/platform/translation.py
@@ -255,7 +255,7 @@
         return -1
 
 
-# The bulletin.
+# Discovery.
 
 
 def listing(roster: dict, zones: dict[str, int], wall: int) -> tuple[m.Listing, list[str]]:
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,4 @@
-"""A planner on the platform in memory streams and virtual time, with small scripted peers."""
+"""A platform planner on memory streams in virtual time, or on sockets, with small scripted peers."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 from hazelhold.platform.planner import PlatformPlanner
 from hazelhold.service.net import MemoryNet, TcpNet
 
-PLACED = [(ANSWER, None)]  # what an owner has heard of a guest that was placed and has not ended
+PLACED = [(ANSWER, None)]  # all that an owner receives about a guest that was placed and has not ended
 DEPLOYMENT = {
     "balancers": 1,
     "slot-no": 0,
@@ -138,7 +138,7 @@
 
 
 class Machine:
-    """A machine that notes what it hears and answers as it is told; `silent` ones answer nothing."""
+    """A machine that records the lines it receives and answers as configured; `silent` ones do not answer."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -146,8 +146,8 @@
         self.streams: list[trio.abc.Stream] = []
         self.accepts, self.silent = True, False
         self.closes = True  # see close_idle of the tests
-        self.owed: list[str] = []  # guests whose end is told on the next connection
-        self.turn, self.pen = trio.Lock(), trio.Lock()  # it looks at one line at a time, and says one
+        self.owed: list[str] = []  # guests whose end is sent on the next connection
+        self.turn, self.pen = trio.Lock(), trio.Lock()  # it answers and sends one line at a time
 
     async def door(self, stream: trio.abc.Stream) -> None:
         self.streams.append(stream)
@@ -200,11 +200,11 @@
 
 
 class Bulletin:
-    """Answers long polls; `events` hold what it tells, `broken` makes it answer with those bytes instead."""
+    """A discovery service that answers long polls with `events`, or with the bytes in `broken` if set."""
 
     def __init__(self) -> None:
         self.events: list[dict] = []
-        self.asked: list[tuple[int, float]] = []  # after, and when
+        self.asked: list[tuple[int, float]] = []  # of each poll: the event after which, and the time
         self.broken: bytes | None = None
         self.silent = False
 
@@ -241,7 +241,7 @@
 
 
 class Owner:
-    """One connection of owners; `heard` holds what came, in order."""
+    """One connection of an owner; `heard` holds the messages received, in order."""
 
     def __init__(self, stream: trio.abc.Stream, nursery: trio.Nursery) -> None:
         self.stream = stream
@@ -262,7 +262,7 @@
         await self.stream.send_all(b"".join(encode_binary(binary) for binary in binaries))
 
     def of(self, guest: int) -> list[tuple[int, int | None]]:
-        """Type and cause of all that came about a guest."""
+        """Type and cause of all messages received about a guest."""
         return [(p.type, p.cause) for p in self.heard if p.id == f"{guest:016x}"]
 
 
@@ -285,7 +285,7 @@
         await nursery.start(self.planner.run)
 
     def offers(self, guest: int) -> list[str]:
-        """The machines that heard an offer of a guest."""
+        """The machines that received an offer of a guest, once per offer."""
         return [
             name
             for name, machine in self.machines.items()
@@ -296,18 +296,18 @@
 
 def play(test: Callable[[Rig], Awaitable[None]], machines: str = "ab", **changes: object) -> Rig:
     """Runs a planner with its peers until the test is done."""
-    made: list[Rig] = []
+    rigs: list[Rig] = []
 
     async def run() -> None:
         rig = Rig(machines, **changes)
-        made.append(rig)
+        rigs.append(rig)
         async with trio.open_nursery() as nursery:
             await rig.begin(nursery)
             await test(rig)
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return made[0]
+    return rigs[0]
 
 
 class SocketRig(Rig):
@@ -339,7 +339,7 @@
 def on_sockets(
     test: Callable[[SocketRig], Awaitable[None]], machines: str = "ab", **changes: object
 ) -> SocketRig:
-    """As `play`, on loopback sockets; 20 s at most."""
+    """Like `play`, on loopback sockets and with a limit of 20 s."""
     rig = SocketRig(machines, **changes)
 
     async def run() -> None:
@@ -354,9 +354,9 @@
 
 
 async def until(holds: Callable[[], object]) -> None:
-    """Waits for a state, never for a time; a state that does not come in a minute is a failure."""
+    """Waits until a condition holds; fails if it does not within a minute."""
     with trio.move_on_after(60):
         while not holds():
             await trio.sleep(0.002)
         return
-    raise AssertionError("the state that was waited for did not come")
+    raise AssertionError("the condition did not hold within a minute")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configurations and days: all that is wrong is said at once, with its place, and nothing starts."""
+"""Configuration and day files: all errors are reported together, each with its place, and nothing starts."""
 
 from pathlib import Path
 
@@ -24,13 +24,13 @@
 
 
 def faults(path: Path) -> dict[str, str]:
-    with pytest.raises(ConfigError) as wrong:
+    with pytest.raises(ConfigError) as error:
         read_day(path) if "day" in path.name else read_planner(path)
-    assert str(path) in str(wrong.value)
-    return dict(wrong.value.faults)
+    assert str(path) in str(error.value)
+    return dict(error.value.faults)
 
 
-def test_all_faults_of_a_planner_file_at_once(tmp_path: Path) -> None:
+def test_all_errors_of_a_planner_file_are_reported_together(tmp_path: Path) -> None:
     found = faults(
         changed(
             tmp_path,
@@ -51,7 +51,7 @@
     assert "listen" in found["lisen"]
 
 
-def test_what_contradicts_is_found_once_all_fits(tmp_path: Path) -> None:
+def test_contradictions_are_found_once_all_types_fit(tmp_path: Path) -> None:
     found = faults(
         changed(
             tmp_path,
@@ -65,7 +65,7 @@
     assert found.keys() == {"slot", "list.address", "estate.products[0].goal_ms", "estate.kinds[1]"}
 
 
-def test_all_faults_of_a_day_at_once(tmp_path: Path) -> None:
+def test_all_errors_of_a_day_are_reported_together(tmp_path: Path) -> None:
     found = faults(
         changed(
             tmp_path,
@@ -83,13 +83,13 @@
     ("text", "word"),
     [("{a: 1,\n b:}", "line 2"), ("", "not JSON5"), ("[1]", "object"), ("{a: 1} x", "line 1")],
 )
-def test_what_is_not_json5_is_placed(tmp_path: Path, text: str, word: str) -> None:
+def test_syntax_errors_are_reported_with_their_place(tmp_path: Path, text: str, word: str) -> None:
     (tmp_path / "planner.json5").write_text(text)
     ran = CliRunner().invoke(main, ["check-config", str(tmp_path / "planner.json5")])
     assert ran.exit_code == 2 and word in ran.output and "Traceback" not in ran.output
 
 
-def test_the_examples_are_sound_and_a_missing_file_is_named() -> None:
+def test_the_examples_are_valid_and_a_missing_file_is_named() -> None:
     files = [str(EXAMPLES / name) for name in ("planner.json5", "bad-day.json5", "quiet-day.json5")]
     ran = CliRunner().invoke(main, ["check-config", *files])
     assert ran.exit_code == 0 and ran.output.count("sound") == 3
@@ -97,7 +97,7 @@
     assert ran.exit_code == 2 and "nowhere.json5" in ran.output
 
 
-def test_the_same_seed_gives_the_same_troubles() -> None:
+def test_the_same_seed_gives_the_same_faults() -> None:
     day = read_day(EXAMPLES / "bad-day.json5")
     targets = [Target(f"m{n}", "small-box" if n % 2 else "large-box", n % 2, n // 3) for n in range(11)]
     first = plan(day, 5, targets, ["s1", "s2"])
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,5 +1,5 @@
-"""Whole days: every kind of trouble, judged from what crossed the connections. Virtual time, and once on
-sockets."""
+"""Whole rehearsal days with every kind of fault, audited from the recorded messages. In virtual time, and
+once on sockets."""
 
 import json
 from pathlib import Path
@@ -21,11 +21,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_bad_day_keeps_the_rules_and_accounts_for_everyone(tmp_path: Path, seed: int) -> None:
-    said = play_virtual(bad_day(), seed, tmp_path)
-    counts = said["counts"]
-    assert said["rules_broken"] == [] and said["unaccounted"] == []
-    assert counts["placed"] > 600 and said["service"]["service"] > 0.6
+def test_the_bad_day_keeps_the_rules_and_accounts_for_all_guests(tmp_path: Path, seed: int) -> None:
+    report = play_virtual(bad_day(), seed, tmp_path)
+    counts = report["counts"]
+    assert report["rules_broken"] == [] and report["unaccounted"] == []
+    assert counts["placed"] > 600 and report["service"]["service"] > 0.6
     finals = counts["placed"] + counts["turned_back"] + counts["broken_off"]
     assert finals + counts.get("died_with_planner", 0) == counts["taken"]
 
@@ -39,12 +39,12 @@
     assert reports[0] == reports[1] and reports[0]["counts"]["taken"] > 50
 
 
-def test_a_planner_that_breaks_rules_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planner_that_violates_rules_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     from hazelhold.brain import Brain, Guest
     from hazelhold.engine import machines
 
-    deaf = {mode: machines.Mode.READY for mode in ("ready", "cordoned", "gone")}
-    monkeypatch.setattr(machines, "MODES", deaf)
+    all_ready = {mode: machines.Mode.READY for mode in ("ready", "cordoned", "gone")}
+    monkeypatch.setattr(machines, "MODES", all_ready)
     monkeypatch.setattr(Guest, "may_turn_back", lambda self: True)
     monkeypatch.setattr(Brain, "_allowed", lambda self, guest, machine, now: True)
     day = bad_day(
@@ -62,13 +62,13 @@
         Trouble("answer_lost", 1, 4, 0.3, 0.3),
     ]
     day = bad_day(length_s=8.0, planners=2, troubles=troubles)
-    said = trio.run(play, day, 1, tmp_path, False)
-    assert said["rules_broken"] == [] and said["unaccounted"] == [] and said["counts"]["placed"] > 20
+    report = trio.run(play, day, 1, tmp_path, False)
+    assert report["rules_broken"] == [] and report["unaccounted"] == [] and report["counts"]["placed"] > 20
     ran = CliRunner().invoke(main, ["audit", str(tmp_path / "records"), "--report", str(tmp_path / "r.json")])
-    assert ran.exit_code == 0 and json.loads((tmp_path / "r.json").read_text())["counts"] == said["counts"]
+    assert ran.exit_code == 0 and json.loads((tmp_path / "r.json").read_text())["counts"] == report["counts"]
 
 
-def test_a_faulty_day_starts_nothing(tmp_path: Path) -> None:
+def test_an_invalid_day_starts_nothing(tmp_path: Path) -> None:
     (tmp_path / "day.json5").write_text("{ name: 'x', length_s: -1 }")
     ran = CliRunner().invoke(
         main, ["rehearse", str(tmp_path / "day.json5"), "--records", str(tmp_path / "r")]
@@ -76,7 +76,7 @@
     assert ran.exit_code == 2 and "length_s" in ran.output and not (tmp_path / "r").exists()
 
 
-def test_machines_enlist_with_a_list_service_elsewhere() -> None:
+def test_machines_register_with_a_list_service_in_another_process() -> None:
     from hazelhold.rehearse.alone import run_part
     from hazelhold.rehearse.environment import Environment
     from hazelhold.rehearse.ports import free_ports
@@ -105,7 +105,7 @@
     assert ran.exit_code == 2 and "NAME=HOST:PORT" in ran.output
 
 
-def test_news_of_a_machine_keeps_its_order_in_the_list() -> None:
+def test_changes_of_a_machine_keep_their_order_in_the_list() -> None:
     from hazelhold.model.listing import ListService
     from hazelhold.protocol.messages import Entry
 
@@ -117,7 +117,7 @@
         assert service.entries["a"].incarnation == 2
 
 
-def test_a_few_drawn_days_keep_the_rules() -> None:
+def test_some_random_days_keep_the_rules() -> None:
     from hazelhold.rehearse.hunt import hunt
 
     found = hunt(bad_day(), 1000, 4, 12.0, 2)
--- a/tests/test_discovery_log.py
+++ b/tests/test_discovery_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of the list: slow answers, and how lately a closed machine was sent work."""
+"""Log lines on the list: slow discovery answers, and the time since a closed machine's last offer."""
 
 import trio
 from structlog.testing import capture_logs
@@ -6,7 +6,7 @@
 from tests.platform_rig import PLACED, Rig, event, host, play, set_up
 
 
-def test_answers_that_begin_to_come_late_and_come_in_time_again_are_a_line_each() -> None:
+def test_discovery_answers_that_become_late_and_are_in_time_again_are_logged_once_each() -> None:
     async def test(rig: Rig) -> None:
         await trio.sleep(0.2)
         bulletin, real = rig.bulletin, rig.bulletin.answer
@@ -27,7 +27,7 @@
     assert 450 <= changes[0]["late_ms"] <= 550 and changes[0]["no"] == 1
 
 
-def test_a_machine_that_is_closed_is_logged_with_the_time_since_its_last_offer() -> None:
+def test_a_closed_machine_is_logged_with_the_time_since_its_last_offer() -> None:
     async def test(rig: Rig) -> None:
         await trio.sleep(0.2)
         owner = await rig.owner()
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -1,4 +1,4 @@
-"""The list of workers at the size that is coming, 7,300, through every part that reads a whole one."""
+"""The list of machines at the expected size, 7,300, through every part that reads a whole list."""
 
 from pathlib import Path
 
@@ -26,17 +26,17 @@
 from tests.platform_rig import DEPLOYMENT, Rig, event, host, play
 
 UP_FOR = 10 * 86_400 * 1_000_000  # microseconds that workers have been up
-HELD_S = 20.0  # of virtual time: far more than a planner needs to hear a list
+HELD_S = 20.0  # seconds of virtual time, far more than a planner needs to receive a list
 
 
 def large_list_config(**changes: object) -> PlannerConfig:
-    """A planner of the defaults that matter here, without probes."""
-    made = replace(planner_config(), listen="door", planners=64)
-    return replace(made, list=ListConfig("list", asked=False), **changes)
+    """A planner's configuration with the default limits, without polling the list."""
+    config = replace(planner_config(), listen="door", planners=64)
+    return replace(config, list=ListConfig("list", asked=False), **changes)
 
 
 async def listed(nursery: trio.Nursery, net: MemoryNet) -> ListService:
-    """A list service that has all workers, cordoned so that no decision is made about them."""
+    """Starts a list service with all machines, cordoned so that none is considered for a decision."""
     service = ListService(1, net.now(), (0, 0), 500_000, (0, 0))
     kind = planner_config().estate.kinds[0].name
     for entry in workers.entries(WORKERS):
@@ -47,15 +47,16 @@
     return service
 
 
-def hear(made: PlannerConfig, complete: bool = True) -> Planner:
-    """A planner that had so long to hear the whole list, or did."""
+def receive_list(config: PlannerConfig, complete: bool = True) -> Planner:
+    """Runs a planner until it has received the whole list, HELD_S at most; checks that it did if `complete`
+    and that it did not otherwise."""
     kept: list[Planner] = []
 
     async def run() -> None:
         net = MemoryNet()
         async with trio.open_nursery() as nursery:
             await listed(nursery, net)
-            planner = Planner(made, 1, net)
+            planner = Planner(config, 1, net)
             kept.append(planner)
             await nursery.start(planner.run)
             with trio.move_on_after(HELD_S):
@@ -74,36 +75,38 @@
     return m.encode(m.Listing(version=1, whole=True, entries=workers.entries(WORKERS)))
 
 
-def test_the_whole_list_is_longer_than_other_frames_may_be() -> None:
-    """Else the tests below would show nothing."""
+def test_the_whole_list_is_longer_than_the_limit_of_other_frames() -> None:
+    """The premise of the tests below."""
     assert MAX_FRAME < len(whole_list()) < MAX_LIST_FRAME / 4
 
 
-def test_the_bounds_of_the_configuration_are_those_of_the_protocol() -> None:
+def test_the_default_limits_are_those_of_the_protocol() -> None:
     assert ListConfig("list").frame_bytes == MAX_LIST_FRAME
     assert planner_config().limits.frame_bytes == MAX_FRAME
 
 
-def test_a_planner_hears_the_whole_list() -> None:
-    planner = hear(large_list_config())
+def test_a_planner_receives_the_whole_list() -> None:
+    planner = receive_list(large_list_config())
     assert not planner.counts["list_frame_too_long"]
     assert len(planner.engine.brain.machines) == WORKERS
 
 
-def test_with_the_bound_of_other_frames_it_would_not() -> None:
-    planner = hear(replace(large_list_config(), list=ListConfig("list", False, frame_bytes=MAX_FRAME)), False)
+def test_with_the_limit_of_other_frames_it_would_not() -> None:
+    planner = receive_list(
+        replace(large_list_config(), list=ListConfig("list", False, frame_bytes=MAX_FRAME)), False
+    )
     assert planner.counts["list_frame_too_long"] > 1
     assert not planner.engine.roster.fellows
 
 
-def test_a_larger_bound_of_all_frames_still_counts_for_the_list() -> None:
+def test_a_larger_limit_of_other_frames_also_holds_for_the_list() -> None:
     made = large_list_config()
     limits = replace(made.limits, frame_bytes=1 << 22)
-    hear(replace(made, list=ListConfig("list", False, frame_bytes=1024), limits=limits))
+    receive_list(replace(made, list=ListConfig("list", False, frame_bytes=1024), limits=limits))
 
 
 @pytest.mark.parametrize("role", ["owner", "machine"])
-def test_owners_and_machines_are_held_to_the_shorter_bound(role: str) -> None:
+def test_owners_and_machines_have_the_lower_limit(role: str) -> None:
     said: list[bytes] = []
 
     async def run() -> None:
@@ -137,7 +140,7 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_frame_beyond_the_longest_list_is_refused_by_its_head() -> None:
+def test_a_frame_beyond_the_list_limit_is_rejected_by_its_length_prefix() -> None:
     reader = FrameReader(MAX_LIST_FRAME)
     with pytest.raises(Exception, match="frame_too_long"):
         reader.feed((MAX_LIST_FRAME + 1).to_bytes(4))
@@ -146,7 +149,7 @@
 
 def test_a_list_of_this_size_is_captured_and_read_again(tmp_path: Path) -> None:
     file = tmp_path / "planner.pcap"
-    hear(large_list_config(capture=CaptureConfig(file=str(file))))
+    receive_list(large_list_config(capture=CaptureConfig(file=str(file))))
     skips = Skips()
     told = [item.message for item in read([file], skips) if isinstance(item, Frame)]
     lists = [each for each in told if each["t"] == "listing" and each["whole"]]
@@ -154,14 +157,14 @@
     assert not skips.table()
 
 
-def test_a_list_of_this_size_is_kept_and_recovered(tmp_path: Path) -> None:
+def test_a_list_of_this_size_is_persisted_and_recovered(tmp_path: Path) -> None:
     made = large_list_config(state=StateConfig(folder=str(tmp_path / "state")))
-    hear(made)
+    receive_list(made)
     found: list[int] = []
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
-            planner = Planner(made, 2, MemoryNet())  # nobody lists workers there
+            planner = Planner(made, 2, MemoryNet())  # without a list service
             await nursery.start(planner.run)
             found.append(len(planner.engine.roster.fellows))
             planner.stop()
@@ -170,8 +173,8 @@
     assert found == [WORKERS]
 
 
-def test_the_platforms_planner_hears_of_all_in_one_answer() -> None:
-    """A bulletin tells a planner that was away all that it missed at once."""
+def test_a_platform_planner_receives_all_machines_in_one_answer() -> None:
+    """Discovery sends a planner that was away all missed events in one answer."""
     names = [workers.name(number) for number in range(WORKERS)]
     hosts = [host(name, "terminating", dial=f"{name}.region-1:7070") for name in names]
     told = event(2, *hosts)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The planner on the platform, from what crosses the streams."""
+"""The platform planner, checked by the messages on its connections."""
 
 from functools import partial
 from random import Random
@@ -11,7 +11,7 @@
 from tests.platform_rig import PLACED, Machine, Owner, Rig, end, event, host, play, set_up
 
 
-def test_a_guest_is_placed_and_its_end_told_with_descriptions_as_they_are() -> None:
+def test_a_guest_is_placed_and_its_end_sent_with_descriptions_unchanged() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(BinaryMessage(TEST, "00000000000000aa", {17: b"\0"}))
@@ -31,8 +31,8 @@
     play(test)
 
 
-def test_the_bulletin_is_followed_where_the_list_comes_by_itself() -> None:
-    """Seen on sockets: the settings say push, the module then asks for nothing, and no event was heard."""
+def test_discovery_is_followed_if_the_list_is_pushed() -> None:
+    """With discovery set to push, the scheduler requests nothing, so the service was never polled."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.3)
@@ -48,7 +48,7 @@
     play(test)
 
 
-def test_an_owner_that_gives_up_is_owed_nothing_and_the_machine_hears_of_it() -> None:
+def test_a_cancelled_guest_is_withdrawn_and_not_answered() -> None:
     async def test(rig: Rig) -> None:
         for machine in rig.machines.values():
             machine.accepts = False
@@ -69,8 +69,8 @@
     play(test)
 
 
-def test_a_set_up_without_a_number_ends_its_connection_and_reaches_no_machine() -> None:
-    """Seen on sockets: machines close on it, and whatever else was open there went with it."""
+def test_a_set_up_with_id_zero_closes_its_connection_and_reaches_no_machine() -> None:
+    """Machines close their connection on such an offer, which ended everything else that was open there."""
 
     async def test(rig: Rig) -> None:
         usual, bad = await rig.owner(), await rig.owner()
@@ -84,10 +84,10 @@
     play(test)
 
 
-# The end.
+# Stopping.
 
 
-def test_a_stop_serves_what_still_comes_answers_all_and_ends() -> None:
+def test_a_stop_serves_late_set_ups_answers_all_and_exits() -> None:
     async def test(rig: Rig) -> None:
         rig.machines["b"].accepts = False
         owner = await rig.owner()
@@ -101,7 +101,7 @@
         await trio.sleep(0.4)
         await late.say(set_up(5, "once"))
         await rig.planner.ended.wait()
-        assert 3.2 < trio.current_time() - began < 3.4  # the longest patience is 3 s: SIGKILL after 3.7
+        assert 3.2 < trio.current_time() - began < 3.4  # the longest deadline is 3 s: SIGKILL after 3.7 s
         for guest in (1, 2, 3):
             assert len(owner.of(guest)) == 1
         assert len(late.of(4)) == len(late.of(5)) == 1
@@ -111,14 +111,14 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_over_random_interleavings(seed: int) -> None:
-    """Answers, refusals, resets, give-ups, drains, reloads and a stop at any message; what crossed the
-    streams is then judged."""
+    """Mixes answers, refusals, resets, cancellations, drains, reloads and a stop at random, then checks the
+    rules on the messages of all connections."""
     random = Random(seed)
     drained: dict[str, float] = {}
 
     async def test(rig: Rig) -> None:
         offered: list[tuple[float, str, str]] = []
-        proven: set[tuple[str, str]] = set()  # dispatches whose machine said that they never ran
+        refused: set[tuple[str, str]] = set()  # dispatches whose machine reported that they never ran
 
         async def answer(machine: Machine, stream: trio.abc.Stream, line: dict) -> None:
             if line["op"] == "test":
@@ -134,7 +134,7 @@
             if what < 0.6:
                 await machine.accept(stream, line["call"])
             elif what < 0.75:
-                proven.add((line["call"], machine.name))
+                refused.add((line["call"], machine.name))
                 await machine.say(
                     stream,
                     {
@@ -181,7 +181,7 @@
         for guest, (owner, product, _) in asked.items():
             told = owner.of(guest)
             offers = [(when, name) for when, name, call in offered if call == f"{guest:016x}"]
-            never_ran = [(f"{guest:016x}", name) in proven for _, name in offers]
+            never_ran = [(f"{guest:016x}", name) in refused for _, name in offers]
             if guest not in given_up:
                 assert told, guest
             assert len(told) <= (2 if told[:1] == PLACED else 1), (guest, told)
@@ -190,15 +190,15 @@
             for when, name in offers:
                 assert when <= drained.get(name, 1e9) + 0.25, (guest, name)
             if product == "once":
-                assert all(never_ran[:-1]), (guest, offers)  # nothing after one that may have run
+                assert all(never_ran[:-1]), (guest, offers)  # no offer after one that may have run
                 if told[:1] == [(END, 34)]:
                     assert all(never_ran), (guest, offers)
 
     play(test, machines="abcd")
 
 
-def test_a_stop_tells_the_ends_of_what_stands_until_it_is_over() -> None:
-    """Seen on sockets: a planner that left as soon as all was answered left ends untold for 3 s."""
+def test_a_stopping_planner_sends_ends_of_placed_guests_until_it_exits() -> None:
+    """A planner that exited as soon as everything was answered left ends unsent for 3 s."""
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
@@ -213,10 +213,10 @@
     play(test, machines="a")
 
 
-def test_at_a_stop_machines_are_left_before_owners_so_that_no_end_is_heard_and_not_told() -> None:
+def test_a_stop_closes_machines_before_owners_so_that_no_received_end_is_lost() -> None:
     async def test(rig: Rig) -> None:
         owner, machine = await rig.owner(), rig.machines["a"]
-        small = "cores:0.1;memory:0.1;service:{:016x}"  # all fit into what the confirmed list shows
+        small = "cores:0.1;memory:0.1;service:{:016x}"  # all fit into the free capacity of the confirmed list
         await owner.say(*(set_up(guest, figures=small.format(guest)) for guest in range(1, 200)))
         await trio.sleep(1)
         assert all(owner.of(guest) == PLACED for guest in range(1, 200))
@@ -230,9 +230,9 @@
                 break
             said.append(guest)
             await trio.sleep(0.003)
-        assert 0 < len(said) < 199  # until the planner left
+        assert 0 < len(said) < 199  # until the planner closed the connection
         before = len(machine.streams)
-        rig.planner._do(Dial("a", "a:1", 250_000))  # whatever the engine may still want
+        rig.planner._do(Dial("a", "a:1", 250_000))  # the engine may still request a dial
         await trio.sleep(0.01)
         assert len(machine.streams) == before
         await rig.planner.ended.wait()
--- a/tests/test_platform_doors.py
+++ b/tests/test_platform_doors.py
@@ -1,4 +1,4 @@
-"""Connections of owners: which of them a planner may end, and when, without losing a request."""
+"""Connections of owners: which of them a planner may close, and when, without losing a set-up."""
 
 import socket
 
@@ -10,11 +10,11 @@
 
 PLACED = [(ANSWER, None)]
 ERROR = (END, 47)
-TASK_OF_TEST = "00000000000000ff"
+PROBE_ID = "00000000000000ff"
 
 
 class RawOwner(Owner):
-    """An owner that can also send from outside the event loop: the bytes lie at the planner at once."""
+    """An owner that can also send without the event loop, so that the bytes reach the planner at once."""
 
     def __init__(self, address: str, nursery: trio.Nursery) -> None:
         host, port = address.split(":")
@@ -26,19 +26,19 @@
 
 
 async def idle_owners(rig: SocketRig) -> list[RawOwner]:
-    """As many connections as the planner holds, each idle after a test; the one that was used longest ago
-    comes first."""
+    """Opens as many connections as the planner allows, each idle after a probe; the longest idle is first."""
     owners = []
     for _ in range(rig.planner.limits.connections):
         owner = RawOwner(rig.planner.address, rig.nursery)
-        await owner.say(BinaryMessage(TEST, TASK_OF_TEST, {17: b"\0"}))
+        await owner.say(BinaryMessage(TEST, PROBE_ID, {17: b"\0"}))
         await until(lambda owner=owner: owner.heard)
         owners.append(owner)
     return owners
 
 
-def test_a_request_that_lies_unread_keeps_its_connection_from_being_closed_for_another() -> None:
-    """The loop had not read it yet when the connection was chosen as the longest idle one: request lost."""
+def test_a_connection_with_an_unread_set_up_is_not_evicted() -> None:
+    """If the event loop had not read the set-up yet, its connection was evicted as the longest idle one and
+    the set-up was lost."""
 
     async def test(rig: SocketRig) -> None:
         longest_idle, next_idle, *_ = await idle_owners(rig)
@@ -60,7 +60,7 @@
     on_sockets(test)
 
 
-def test_a_request_that_has_come_in_part_keeps_its_connection_while_others_are_idle() -> None:
+def test_a_connection_with_a_partial_set_up_is_not_evicted_while_others_are_idle() -> None:
     async def test(rig: SocketRig) -> None:
         longest_idle, next_idle, *_ = await idle_owners(rig)
         request = encode_binary(set_up(1))
@@ -69,7 +69,7 @@
             lambda: any(peer.reader.has_partial_message for peer in rig.planner.owner_server.peers.values())
         )
         for peer in rig.planner.owner_server.peers.values():
-            peer.used_at += not peer.reader.has_partial_message  # also one that was used later goes first
+            peer.used_at += not peer.reader.has_partial_message  # others go first even if used later
         newcomer = await rig.owner()
         await newcomer.say(set_up(2))
         await until(lambda: newcomer.of(2) == PLACED)
@@ -80,8 +80,9 @@
     on_sockets(test)
 
 
-def test_a_connection_whose_first_message_is_on_its_way_stays_while_others_are_idle() -> None:
-    """It had said nothing of use yet, and so was closed for the next one before any that was idle."""
+def test_a_fresh_connection_is_not_evicted_while_others_are_idle() -> None:
+    """A new connection had sent no valid message yet, so it was evicted for the next one before any idle
+    connection."""
 
     async def test(rig: SocketRig) -> None:
         longest_idle, next_idle, *_ = await idle_owners(rig)
@@ -96,7 +97,7 @@
     on_sockets(test)
 
 
-def test_a_connection_that_has_said_nothing_for_long_goes_before_an_idle_one() -> None:
+def test_a_silent_connection_is_evicted_before_an_idle_one() -> None:
     async def test(rig: SocketRig) -> None:
         owners = await idle_owners(rig)
         silent, newcomer = await rig.owner(), None
@@ -111,8 +112,8 @@
     on_sockets(test)
 
 
-def test_one_connection_on_which_a_task_was_placed_stays_to_tell_the_ends_of_others() -> None:
-    """All of them were closed for new ones; ends were then told to whoever had sent something of use."""
+def test_one_connection_with_a_placed_guest_stays_for_the_ends_of_others() -> None:
+    """All such connections were evicted, and ends were then sent to any owner with a valid message."""
 
     async def test(rig: SocketRig) -> None:
         first = await rig.owner()
@@ -132,7 +133,7 @@
         assert (
             first.closed_at is None and len(rig.planner.owner_server.peers) == rig.planner.limits.connections
         )
-        await rig.owner()  # nothing is idle but the two on which a task was placed
+        await rig.owner()  # only the two on which a guest was placed are idle
         await until(lambda: first.closed_at)
         await rig.machines["a"].end(f"{1:016x}", 16)
         await until(lambda: last.of(1) or stranger.of(1))
@@ -141,7 +142,7 @@
     on_sockets(test, machines="a")
 
 
-def test_a_new_connection_is_refused_where_every_idle_one_has_something_to_say() -> None:
+def test_a_new_connection_is_refused_if_every_idle_one_has_unread_input() -> None:
     async def test(rig: SocketRig) -> None:
         owners = await idle_owners(rig)
         real = rig.planner.owner_server._free_connection
@@ -161,8 +162,9 @@
     on_sockets(test)
 
 
-def test_a_second_set_up_of_an_open_id_ends_no_connection_but_that_of_the_first() -> None:
-    """Two connections may cross: the one that is read second is not to lose what else is open on it."""
+def test_a_second_set_up_of_an_open_id_closes_only_the_first_ones_connection() -> None:
+    """Set-ups on two connections may be read in either order: the connection that is read second must not
+    lose its other open guests."""
 
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = False
@@ -184,17 +186,17 @@
 
 @pytest.mark.parametrize("stands", [False, True])
 @pytest.mark.parametrize("usable", [False, True])
-def test_a_second_set_up_on_the_connection_of_the_first_ends_it_without_a_word(
+def test_a_second_set_up_on_the_same_connection_closes_it_without_an_answer(
     stands: bool, usable: bool
 ) -> None:
-    """A refusal there would be read as the first one's answer, or as the end of what stands."""
+    """A refusal there would be read as the first guest's answer, or as the end of the placed guest."""
 
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = stands
         owner = await rig.owner()
         await owner.say(set_up(1))
         await until(lambda: rig.planner.engine.stands(f"{1:016x}") if stands else rig.offers(1))
-        await owner.say(set_up(1, product="plain" if usable else "nothing so called"))
+        await owner.say(set_up(1, product="plain" if usable else "unknown"))
         await until(lambda: owner.closed_at or len(owner.of(1)) > stands)
         assert owner.closed_at and owner.of(1) == (PLACED if stands else [])
         assert rig.planner.engine.stands(f"{1:016x}") == stands
@@ -202,8 +204,8 @@
     play(test, machines="a")
 
 
-def test_part_of_a_message_ends_no_connection_on_which_an_answer_is_owed() -> None:
-    """Its two seconds ended the connection, and the request that was open on it."""
+def test_a_partial_message_closes_no_connection_on_which_an_answer_is_owed() -> None:
+    """The timeout of two seconds for the rest closed the connection, which abandoned its open guest."""
 
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = False
@@ -213,15 +215,15 @@
         began = trio.current_time()
         await until(lambda: owner.of(1) or owner.closed_at)
         assert len(owner.of(1)) == 1 and trio.current_time() - began > 2.0
-        await until(lambda: owner.closed_at is not None)  # the part has had its time
+        await until(lambda: owner.closed_at is not None)  # the partial message has timed out
         assert trio.current_time() - began < 4.0
 
     play(test, machines="a")
 
 
-def test_a_connection_on_which_tasks_were_handed_over_outlasts_idle_ones_that_placed_tasks() -> None:
-    """Seen on a crowd's day: as one that had placed nothing it was the first to go, and the ends of the tasks
-    that it had handed over were told to strangers."""
+def test_a_connection_with_handed_over_guests_outlasts_idle_ones_that_placed_guests() -> None:
+    """Such a connection had placed nothing, so it was evicted first, and the ends of the guests that it had
+    handed over were sent to other owners."""
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of machines: its bulletin, entries that cannot be read, its size."""
+"""The platform's list of machines: discovery answers, invalid entries, size."""
 
 import json
 from pathlib import Path
@@ -9,10 +9,10 @@
 from hazelhold.platform import discovery
 from tests.platform_rig import DEPLOYMENT, PLACED, Bulletin, Rig, event, file, host, play, set_up
 
-# The bulletin.
+# Discovery.
 
 
-def test_breaks_silence_and_junk_end_a_call_and_lose_no_event() -> None:
+def test_failed_polls_lose_no_event() -> None:
     async def test(rig: Rig) -> None:
         bulletin = rig.bulletin
         await trio.sleep(0.2)
@@ -37,7 +37,7 @@
             bulletin.broken = answer
             rig.planner.follower.unreadable = (0, 0)
             failures = rig.planner.counts["discovery_failures"]
-            await trio.sleep(0.6 if b"asleep" in answer else 2)  # before it is passed over
+            await trio.sleep(0.6 if b"asleep" in answer else 2)  # before the event is skipped
             assert rig.planner.counts["discovery_failures"] > failures, answer[:60]
             assert rig.planner.follower.last == 1
         bulletin.broken, bulletin.silent = None, True
@@ -50,7 +50,7 @@
     play(test)
 
 
-def test_after_a_reload_the_new_address_is_asked_at_once_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_a_reload_polls_the_new_address_at_once_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def test(rig: Rig) -> None:
         planner = rig.planner
         planner.config = tmp_path / "config.json"
@@ -65,7 +65,7 @@
         planner.config.write_text(file(bulletin="news:2"))
         heard_at = planner.engine.brain.list_heard_at
         planner.reload()
-        assert planner.engine.brain.list_heard_at == heard_at  # nothing was heard yet
+        assert planner.engine.brain.list_heard_at == heard_at  # nothing was received yet
         await trio.sleep(0.1)
         assert new.asked[0][0] == 1 and planner.follower.last == 2
         assert planner.counts["discovery_failures"] == 0
@@ -73,10 +73,10 @@
     play(test)
 
 
-# Entries that cannot be read, sizes, and a planner that is behind.
+# Invalid entries, list size, and an overloaded planner.
 
 
-def test_an_event_that_stays_unreadable_is_passed_over_and_holds_nothing_up() -> None:
+def test_an_event_that_stays_invalid_is_skipped() -> None:
     async def test(rig: Rig) -> None:
         rig.bulletin.events += [{"no": 2, "roster": {"hosts": 7}}, event(3, host("b", "terminated"))]
         await trio.sleep(1)
@@ -87,8 +87,8 @@
     play(test)
 
 
-def test_an_entry_that_cannot_be_read_costs_no_drain_told_beside_or_before_it() -> None:
-    """One spoilt entry made its whole event, and all events before it, wait for three calls."""
+def test_an_invalid_entry_delays_no_drain_beside_or_before_it() -> None:
+    """One invalid entry delayed its whole event, and all events before it, for three polls."""
 
     async def test(rig: Rig) -> None:
         rig.bulletin.events += [
@@ -96,7 +96,7 @@
             event(3, host("b", "terminating"), host("c", "asleep"), whole=True),
             event(4, host("c", "terminating") | {"class": "no such box"}),
         ]
-        await trio.sleep(0.03)  # one call, and the time that it takes to be heard
+        await trio.sleep(0.03)  # one poll and the time to process it
         modes = {name: f.mode.name for name, f in rig.planner.engine.roster.fellows.items()}
         assert modes["a"] == modes["b"] == "CORDONED"
         await trio.sleep(0.5)
@@ -106,7 +106,7 @@
     play(test, machines="abc")
 
 
-def test_zones_that_the_settings_do_not_name_are_told_apart() -> None:
+def test_zones_missing_in_the_settings_are_distinguished() -> None:
     async def test(rig: Rig) -> None:
         rig.bulletin.events += [
             event(
@@ -122,8 +122,8 @@
     play(test, machines="abc")
 
 
-def test_a_list_of_1100_machines_and_1024_planners_has_no_bound_in_its_way() -> None:
-    """From what is known at the start and from the bulletin to the module; guests are served through it."""
+def test_a_list_of_1100_machines_and_1024_planners_is_within_all_limits() -> None:
+    """The list comes from the configuration file and from discovery, and guests are placed by it."""
     hosts = [host(f"m{number}", dial="a:1") | {"site": f"z{number % 9}"} for number in range(1, 1100)]
 
     async def test(rig: Rig) -> None:
@@ -147,8 +147,8 @@
     )
 
 
-def test_a_drain_is_heard_in_time_by_a_planner_that_is_behind_with_placing() -> None:
-    """Each decision takes 10 ms here; 32 of them before the bulletin was read were past the grace."""
+def test_an_overloaded_planner_reads_a_drain_within_its_grace() -> None:
+    """Each decision takes 10 ms here. With 32 decisions between reads, a drain was read after its grace."""
 
     async def test(rig: Rig) -> None:
         clock, brain = trio.lowlevel.current_clock(), rig.planner.engine.brain
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -1,4 +1,4 @@
-"""The platform's machines: silence, deaths, late and second answers, the bytes of offers."""
+"""The platform's machines: silence, crashes, late and duplicate answers, encoding of offers."""
 
 import json
 from itertools import pairwise
@@ -11,10 +11,10 @@
 from hazelhold.protocol import messages as m
 from tests.platform_rig import DEPLOYMENT, PLACED, Machine, Rig, event, host, play, set_up
 
-# Machines: endings, silence, lives.
+# Crashes, silence and restarts.
 
 
-def test_a_silent_machine_does_not_hold_back_others_and_what_stood_there_is_told_in_time() -> None:
+def test_a_silent_machine_delays_no_others_and_the_loss_of_its_guests_is_sent_in_time() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(*(set_up(guest) for guest in range(1, 9)))
@@ -42,7 +42,7 @@
     await trio.sleep_forever()
 
 
-def test_a_machine_whose_process_died_has_lost_what_stood_there() -> None:
+def test_a_machine_whose_process_crashed_has_lost_its_guests() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(*(set_up(guest) for guest in range(1, 9)))
@@ -63,8 +63,7 @@
 
 
 async def close_idle(machine: Machine, idle: float) -> None:
-    """Closes the connections to a machine on which nothing was said for `idle` seconds, as machines do, for
-    as long as it `closes`."""
+    """Closes a machine's connections that were idle for `idle` seconds, as machines do, while it `closes`."""
     opened: dict[trio.abc.Stream, float] = {}
     while machine.closes:
         now = trio.current_time()
@@ -77,11 +76,11 @@
         await trio.sleep(0.05)
 
 
-MANY = DEPLOYMENT | {"balancers": 16}  # planners, of which none asks all machines each second
+MANY = DEPLOYMENT | {"balancers": 16}  # with so many planners, none probes all machines every second
 
 
 def test_a_machine_that_closes_idle_connections_is_not_probed_for_each() -> None:
-    """A probe has its price. Each planner asked each machine that had tasks of its after each such close."""
+    """Probes are expensive, and each planner probed each machine with its guests after each such close."""
 
     async def test(rig: Rig) -> None:
         owner, machine = await rig.owner(), rig.machines["a"]
@@ -92,14 +91,14 @@
         probes = [line["at"] for line in machine.heard if line["op"] == "test"]
         spans = [later - earlier for earlier, later in pairwise(probes)]
         assert 4 <= len(probes) <= 6 and all(3.5 <= span <= 4.5 for span in spans)
-        machine.owed.append(f"{1:016x}")  # told on the next connection
+        machine.owed.append(f"{1:016x}")  # sent on the next connection
         await trio.sleep(1.0)
         assert owner.of(1) == [*PLACED, (END, 16)]
 
     play(test, machines="a", settings=MANY)
 
 
-def test_a_machine_that_dies_after_an_idle_close_has_lost_what_stood_there() -> None:
+def test_a_machine_that_crashes_after_an_idle_close_has_lost_its_guests() -> None:
     async def test(rig: Rig) -> None:
         owner, machine = await rig.owner(), rig.machines["a"]
         rig.nursery.start_soon(close_idle, machine, 0.5)
@@ -120,8 +119,8 @@
 
 
 @pytest.mark.parametrize("then", ["takes none", "stays open", "closes on"])
-def test_a_machine_that_falls_silent_after_an_idle_close_is_found_out(then: str) -> None:
-    """It takes no connection after the next close, or says nothing on those that it takes."""
+def test_a_machine_that_becomes_silent_after_an_idle_close_is_detected(then: str) -> None:
+    """It accepts no connection after the next close, or sends nothing on those that it accepts."""
 
     async def test(rig: Rig) -> None:
         owner, machine = await rig.owner(), rig.machines["a"]
@@ -142,7 +141,7 @@
     play(test, machines="a", settings=MANY)
 
 
-def test_a_connection_that_breaks_ends_its_open_set_ups_and_not_what_stands() -> None:
+def test_a_broken_connection_ends_open_dispatches_and_not_placed_guests() -> None:
     async def test(rig: Rig) -> None:
         machine = rig.machines["a"]
         owner = await rig.owner()
@@ -153,7 +152,8 @@
         await trio.sleep(0.1)
         await machine.streams[-1].aclose()
         await trio.sleep(0.2)
-        # The exclusive one may have run: failed, no other dispatch. The rerunnable one is offered again.
+        # The at-most-once guest may have run: it failed, without another dispatch. The idempotent one is
+        # offered again.
         assert owner.of(1) == PLACED and owner.of(2) == [(END, 41)]
         assert rig.offers(2) == ["a"] and owner.of(3) == []
         assert len(machine.streams) == 2
@@ -162,7 +162,7 @@
         assert owner.of(1) == [*PLACED, (END, 16)]
         machine.accepts = True
         await trio.sleep(0.5)
-        assert rig.offers(3) == ["a"]  # it may still speak of the first dispatch
+        assert rig.offers(3) == ["a"]  # it may still answer the first dispatch
         rig.bulletin.events.append(event(2, host("b")))
         await trio.sleep(1.0)
         assert owner.of(3) == PLACED and rig.offers(3) == ["a", "b"] and rig.offers(2) == ["a"]
@@ -170,12 +170,12 @@
     play(test, machines="ab", known={"no": 1, "items": [event(1, host("a"), whole=True)]})
 
 
-def test_late_words_on_a_withdrawn_dispatch_are_not_heard_as_of_the_next() -> None:
-    """What a machine says names the guest, not the dispatch: its refusal of the first, sent late, was taken
-    for one of a second dispatch to it, which then stood beside a third."""
+def test_late_answers_to_a_withdrawn_dispatch_are_not_taken_for_the_next_ones() -> None:
+    """Machines' messages name the guest, not the dispatch. A late refusal of the first dispatch was taken for
+    one of the second to the same machine, which then ran beside a third."""
 
     async def test(rig: Rig) -> None:
-        rig.planner.engine.brain.answers[0].append(100_000)  # answers were seen: a time-out comes in time
+        rig.planner.engine.brain.answers[0].append(100_000)  # a known answer time: the time-out is soon
         slow, owner = rig.machines["a"], await rig.owner()
         slow.silent = True
         await owner.say(set_up(1))
@@ -195,7 +195,7 @@
     play(test, machines="ab", known={"no": 1, "items": [event(1, host("a"), whole=True)]})
 
 
-def test_spoilt_answers_are_never_passed_on_as_placed() -> None:
+def test_damaged_answers_are_never_reported_as_placed() -> None:
     spoilt = [
         b"\x00\x01noise\n",
         b'{"op":"accept","call":"%s"}\n',
@@ -216,7 +216,7 @@
             await machine.streams[-1].send_all(answer % call if b"%s" in answer else answer)
             if answer.endswith(b"ha"):
                 await machine.streams[-1].aclose()
-            await trio.sleep(9)  # the machine rests after a failure
+            await trio.sleep(9)  # the planner backs off from the machine after a failure
             assert owner.of(guest) == [(END, 41)], guest
         assert (
             rig.planner.counts["machine_unreadable"]
@@ -228,7 +228,7 @@
     play(test, machines="a")
 
 
-def test_second_copies_and_unknown_answers_are_dropped_and_counted() -> None:
+def test_duplicate_and_unknown_answers_are_dropped_and_counted() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(set_up(1))
@@ -244,7 +244,7 @@
     play(test, machines="a")
 
 
-def test_an_offer_that_waits_for_its_connection_does_not_leave_once_its_machine_drains() -> None:
+def test_an_offer_that_waits_for_a_connection_is_not_sent_once_its_machine_drains() -> None:
     async def test(rig: Rig) -> None:
         await trio.sleep(0.1)
         gate = trio.Event()
@@ -288,7 +288,7 @@
     play(test, machines="a")
 
 
-def test_a_machine_s_new_life_ends_what_came_to_the_old_one() -> None:
+def test_a_new_incarnation_of_a_machine_ends_the_guests_of_the_previous_one() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(set_up(1))
@@ -305,20 +305,20 @@
     play(test, machines="a")
 
 
-# Times, bounds, and the bytes of offers.
+# Times, limits, and the encoding of offers.
 
 
-def test_an_offer_tells_the_time_that_is_left_when_its_bytes_leave_or_stays() -> None:
+def test_an_offer_carries_the_time_left_when_it_is_written_or_is_not_sent() -> None:
     left = {"1": 2_000_000, "2": 0}
     peer = MachinePeer(trio.testing.memory_stream_pair()[0], 1 << 16, lambda offer: left[offer.guest])
     for guest in left:
         peer.send(m.Offer(guest=guest, product="plain", service="s", cores=1.0, memory=1.0))
-    left["1"] = 1_250_000  # the socket was full meanwhile
+    left["1"] = 1_250_000  # the socket was full in between
     peer.send(m.Offer(guest="3", product="plain", service="s", cores=1.0, memory=1.0))
     left["3"] = 500_000
     (line,) = LineReader().feed(peer.leaving())
     assert (line.call, line.text("left")) == ("1", "1250")
-    left["3"] = 0  # told to drain while the first was written: those behind it do not leave any more
+    left["3"] = 0  # its machine began to drain while the first was written: those behind it are not sent
     assert peer.leaving() == b"" and not peer.waits()
     peer.send(m.Offer(guest="1", product="plain", service="s", cores=1.0, memory=1.0))
     assert peer.remove_unsent(m.Withdraw(guest="2")) is None
@@ -326,7 +326,7 @@
     assert peer.leaving() == b""
 
 
-def test_more_machines_than_descriptors_are_served_within_the_bound_and_no_end_is_missed() -> None:
+def test_more_machines_than_descriptors_are_served_within_the_limit_without_lost_ends() -> None:
     names = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMN"
 
     async def test(rig: Rig) -> None:
@@ -353,9 +353,9 @@
 
 
 @pytest.mark.parametrize("first", range(8))
-def test_a_reset_at_every_byte_of_a_batch_leaves_one_answer_each_and_no_second_run(first: int) -> None:
-    """Three answers in one run of bytes, cut off at each place: what came whole counts; an exclusive guest
-    whose answer did not is broken off and sent nowhere else, rerunnable ones go to another machine."""
+def test_a_close_at_every_byte_of_a_batch_gives_one_answer_each_and_no_second_run(first: int) -> None:
+    """Three answers in one chunk, truncated at each byte: complete answers count. An at-most-once guest whose
+    answer is incomplete fails and is offered nowhere else; idempotent ones are offered to another machine."""
     said = [{"op": "accept", "call": f"{n:016x}", "with": {}, "desc": f"a has {n}"} for n in (1, 2, 3)]
     lines = [json.dumps(line).encode() + b"\n" for line in said]
     batch = b"".join(lines)
--- a/tests/test_platform_owners.py
+++ b/tests/test_platform_owners.py
@@ -1,4 +1,5 @@
-"""The platform's owners: what stands outlives their connections, bad ones disturb nobody."""
+"""The platform's owners: placed guests outlive their connections, and misbehaving owners disturb no
+others."""
 
 import pytest
 import trio
@@ -9,13 +10,13 @@
 # Owners.
 
 
-def test_found_guests_stand_and_their_end_is_told_over_any_connection_or_the_next() -> None:
+def test_handed_over_guests_are_placed_and_their_ends_sent_on_any_connection_or_the_next() -> None:
     async def test(rig: Rig) -> None:
         first = await rig.owner()
         figures = "cores:1;memory:2;service:s;at:a"
         await first.say(*(set_up(guest, left="4294967", figures=figures) for guest in (1, 2)))
         await trio.sleep(0.2)
-        await first.say(set_up(1, left="4294967", figures=figures))  # handed over once more
+        await first.say(set_up(1, left="4294967", figures=figures))  # handed over again
         await trio.sleep(0.2)
         assert first.heard == [] and rig.planner.engine.stands(f"{1:016x}")
         await first.stream.aclose()
@@ -37,19 +38,19 @@
     play(test)
 
 
-def test_an_owner_ends_what_stands_over_another_connection() -> None:
+def test_an_owner_stops_a_placed_guest_on_another_connection() -> None:
     async def test(rig: Rig) -> None:
         first, second = await rig.owner(), await rig.owner()
         await first.say(set_up(1))
         await trio.sleep(0.2)
         await second.say(end(1))
         await trio.sleep(0.2)
-        words = [
+        sent = [
             line["op"]
             for line in rig.machines["a"].heard
             if line["call"] == f"{1:016x}" and line["op"] != "test"
         ]
-        assert words == ["offer", "end"] and not rig.planner.engine.cases
+        assert sent == ["offer", "end"] and not rig.planner.engine.cases
         await rig.machines["a"].end(f"{1:016x}", 31)
         await trio.sleep(0.2)
         assert first.of(1) == PLACED and second.of(1) == []
@@ -57,7 +58,7 @@
     play(test, machines="a")
 
 
-def test_set_ups_end_with_their_owner_s_connection() -> None:
+def test_open_guests_are_withdrawn_when_their_connection_closes() -> None:
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = False
         owner = await rig.owner()
@@ -74,7 +75,7 @@
     play(test, machines="a")
 
 
-def test_bad_owners_are_answered_or_closed_within_three_seconds_and_disturb_nobody() -> None:
+def test_misbehaving_owners_are_answered_or_closed_within_three_seconds() -> None:
     half = bytes.fromhex("00ff0101")
     given = [
         b"",
@@ -132,9 +133,9 @@
         pass
 
 
-def test_a_busy_connection_whose_reads_always_end_in_half_a_message_stays_open() -> None:
-    """Half a message was counted from the first of a row of them: after 2 s of steady traffic in which every
-    read ended amid one, the connection was closed over all that was open on it."""
+def test_a_busy_connection_whose_reads_always_end_in_a_partial_message_stays_open() -> None:
+    """The timeout of a partial message was counted from the first of several. After 2 s of steady traffic in
+    which every read ended within a message, the connection was closed with all its open guests."""
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
@@ -146,12 +147,12 @@
         assert all(owner.of(guest) == PLACED for guest in range(1, 41)) and owner.closed_at is None
         await owner.stream.send_all(sent[:50])
         await trio.sleep(2.5)
-        assert owner.closed_at is not None  # half of one, and nothing more
+        assert owner.closed_at is not None  # part of one, and nothing more
 
     play(test)
 
 
-def test_hundreds_of_silent_connections_leave_room_for_owners() -> None:
+def test_hundreds_of_silent_connections_do_not_lock_out_owners() -> None:
     async def test(rig: Rig) -> None:
         usual = await rig.owner()
         await usual.say(set_up(1))
@@ -165,17 +166,18 @@
         assert len(rig.planner.owner_server.peers) <= rig.planner.limits.connections == 25
         await trio.sleep(2.5)
         assert all(owner.closed_at is not None for owner in silent) and usual.closed_at is None
-        await trio.sleep(60)  # usual owners that are merely quiet stay
+        await trio.sleep(60)  # regular owners that are idle stay
         assert usual.closed_at is None
 
     play(test)
 
 
-# Ends that cross their guests, and connections under one name.
+# Ends that cross their set-ups, and connections that use one id.
 
 
-def test_an_end_that_comes_before_its_guest_is_handed_over_is_told_and_leaves_no_ghost() -> None:
-    """Seen at restarts on sockets: machines send the ends of the time between 10 ms after the start."""
+def test_an_end_before_the_handover_of_its_guest_is_sent_and_leaves_no_record() -> None:
+    """After a planner's restart, machines send the ends that occurred meanwhile 10 ms after its start, which
+    is before their guests are handed over."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.1)
@@ -190,8 +192,8 @@
 
 
 @pytest.mark.parametrize("product", ["plain", "once"])
-def test_an_open_set_up_ended_on_another_connection_is_begun_no_more_and_answered(product: str) -> None:
-    """Before, such an end was passed over: who lost a connection could not give up what was open on it."""
+def test_an_open_guest_cancelled_on_another_connection_is_answered_and_not_offered(product: str) -> None:
+    """Such an end was ignored, so an owner that lost a connection could not cancel the guests open on it."""
 
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = False
@@ -210,7 +212,7 @@
     play(test, machines="a")
 
 
-def test_of_two_connections_under_one_name_the_second_takes_nothing_from_the_first() -> None:
+def test_a_second_connection_with_the_same_id_does_not_affect_the_first() -> None:
     async def test(rig: Rig) -> None:
         rig.machines["a"].accepts = False
         usual, bad = await rig.owner(), await rig.owner()
@@ -221,6 +223,6 @@
         assert bad.closed_at is not None and rig.planner.engine.out(f"{1:016x}")
         await rig.machines["a"].accept(rig.machines["a"].streams[-1], f"{1:016x}")
         await trio.sleep(0.1)
-        assert usual.of(1) == PLACED and bad.of(1) == [(END, 47)]  # its own refusal, and no more
+        assert usual.of(1) == PLACED and bad.of(1) == [(END, 47)]  # only its own refusal
 
     play(test, machines="a")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""One real planner process on loopback, started as the platform starts it."""
+"""A planner process on loopback sockets, started as the platform starts it."""
 
 import contextlib
 import json
@@ -20,7 +20,7 @@
 
 
 def served(answer: callable) -> tuple[socket.socket, str]:
-    """A listener on loopback whose connections are each given to `answer` in a thread of their own."""
+    """Starts a listener on loopback that runs `answer` for each connection in a thread of its own."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def accept() -> None:
@@ -51,7 +51,7 @@
 
 
 def bulletin(asked: list[str]) -> callable:
-    """Has no news: answers after the wait that was asked for."""
+    """A discovery service without new events: it answers after the requested wait."""
 
     def answer(stream: socket.socket) -> None:
         wait = 0.0
@@ -97,8 +97,8 @@
 
 @contextlib.contextmanager
 def started(tmp_path: Path) -> Iterator[tuple]:
-    """The process, its address, its file, and a function that writes the file for a bulletin. The process may
-    hold as many descriptors as its file says."""
+    """Yields the process, its address, its file, and a function that writes the file for a discovery address.
+    The process is limited to the descriptors that its file allows."""
     with contextlib.ExitStack() as stack:
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = f"127.0.0.1:{free.getsockname()[1]}"
@@ -156,7 +156,7 @@
     news, where = served(bulletin(asked))
     with news:
         path.write_text("{ half")
-        process.send_signal(signal.SIGHUP)  # a bad file leaves all as it is
+        process.send_signal(signal.SIGHUP)  # an invalid file changes nothing
         time.sleep(0.3)
         assert process.poll() is None and not asked
         write(where)
@@ -178,11 +178,12 @@
     loaded = {line.rsplit("|", 1)[1].strip() for line in log.splitlines() if line.startswith("import time:")}
     assert "hazelhold.platform.planner" in loaded
     off = ("hazelhold.membership", "hazelhold.emulate", "hazelhold.rehearse", "xxhash", "prometheus_client")
-    assert not [name for name in loaded if name.startswith(off)], "planners of a deployment share nothing"
+    assert not [name for name in loaded if name.startswith(off)], "a platform planner must not load them"
 
 
-def test_idle_connections_take_all_they_can_while_the_bulletin_is_down(planner: tuple) -> None:
-    """The bulletin, machines, tests and owners still get their descriptors, and accepting does not spin."""
+def test_idle_connections_at_the_limit_while_discovery_is_down(planner: tuple) -> None:
+    """Discovery, machines, probes and owners still get their descriptors, and the accept loop does not
+    spin."""
     process, address, _, write = planner
     name, port = address.split(":")
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -192,9 +193,9 @@
     talk, test = Talk(address), BinaryMessage(TEST, "00000000000000aa", {17: b"\0"})
     assert talk.ask(test).cause == 1
     idle = [socket.create_connection((name, int(port)), timeout=10) for _ in range(150)]
-    assert talk.ask(test).cause == 1  # silent ones are turned out first
+    assert talk.ask(test).cause == 1  # silent ones are evicted first
     refused = Talk(address).ask(set_up(1, left="300"))
-    assert refused.type == END and refused.cause == 34  # nothing is sent by a list that nobody confirms
+    assert refused.type == END and refused.cause == 34  # no offers by an unconfirmed list
     waits = Talk(address)
     waits.say(set_up(2, left="3000"))
     asked: list[str] = []
@@ -214,7 +215,7 @@
             each.close()
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        process.send_signal(signal.SIGTERM)  # twice, and in the middle of a new configuration
+        process.send_signal(signal.SIGTERM)  # twice, and during a reload
         assert late.ask(set_up(4)).type == ANSWER
         assert process.wait(10) == 0
     log = process.stderr.read()
@@ -222,9 +223,7 @@
 
 
 @pytest.mark.parametrize("when", ["at once", "up"])
-def test_a_planner_that_is_told_to_stop_as_it_starts_ends_without_a_word_of_fault(
-    tmp_path: Path, when: str
-) -> None:
+def test_a_planner_stopped_during_its_start_exits_without_errors(tmp_path: Path, when: str) -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = f"127.0.0.1:{free.getsockname()[1]}"
     path = tmp_path / "config.json"
@@ -253,14 +252,14 @@
             assert line, "it ended before it was up"
             log += line
         process.send_signal(signal.SIGTERM)
-        assert process.wait(10) in ((0,) if when == "up" else (0, -signal.SIGTERM))  # nothing was taken yet
+        assert process.wait(10) in ((0,) if when == "up" else (0, -signal.SIGTERM))  # nothing was accepted
     finally:
         process.kill()
         log += process.communicate()[1]
     assert "Traceback" not in log and ("stopped" in log or when != "up")
 
 
-def test_a_file_that_cannot_be_used_is_said_in_lines_and_ends_with_2(tmp_path: Path) -> None:
+def test_an_invalid_file_is_reported_line_by_line_with_exit_status_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"name": "n0", "listen": "nowhere", "seed": "8c"}')
     done = subprocess.run(
@@ -275,8 +274,8 @@
         assert place in done.stderr
 
 
-def test_a_planner_on_sockets_loads_nothing_that_only_tests_need() -> None:
-    """Memory past half of the limit is dear: streams in memory alone brought 8 MB."""
+def test_a_planner_on_sockets_loads_no_test_modules() -> None:
+    """Memory above half of the limit has a cost, and memory streams alone added 8 MB."""
     said = subprocess.run(
         [
             sys.executable,
