--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -21,14 +21,14 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import (
-    Estate,
-    KindConfig,
+    FleetSettings,
+    GuestClassConfig,
     LimitsConfig,
     ListConfig,
+    MachineKindConfig,
     MachinesConfig,
     PlannerConfig,
-    ProductConfig,
-    deployment,
+    deployment_settings,
 )
 from hazelhold.engine import advice
 from hazelhold.engine.engine import Engine
@@ -44,9 +44,9 @@
 
 def planner_config(listen: str = "127.0.0.1:0", lister: str = "") -> PlannerConfig:
     """One planner with room for whatever comes, so that room is never what limits it."""
-    estate = Estate(
-        [ProductConfig("plain", "rerunnable", 800, 60_000, easy_until=1.0, lost_after=1.0)],
-        [KindConfig("box", 2000, 4000)],
+    estate = FleetSettings(
+        [GuestClassConfig("plain", "rerunnable", 800, 60_000, easy_until=1.0, lost_after=1.0)],
+        [MachineKindConfig("box", 2000, 4000)],
         MachinesConfig(cores_multiple=4, memory_multiple=2, probing=False),
     )
     return PlannerConfig(
@@ -96,7 +96,7 @@
 
 def alone(machines: int, running: int, guests: int, planners: int = 1) -> dict[str, float]:
     """The module with nothing round it: asks come one by one, are taken at once, and the oldest ends."""
-    brain, random = Brain(1, deployment(planner_config())._replace(planners=planners)), Random(1)
+    brain, random = Brain(1, deployment_settings(planner_config())._replace(planners=planners)), Random(1)
     brain.machines_listed(
         0, [Listed(f"m{n}", Mode.READY, 0, 0, n // 4, 0, 2000.0, 4000.0) for n in range(machines)], True
     )
@@ -178,14 +178,14 @@
         return await self.net.listen(f"{host}:0", listing, nursery)
 
     def _said(self, wire: Wire, said: m.Message) -> None:
-        if isinstance(said, m.Roll):
-            wire.send(m.Running(guests=[]))
+        if isinstance(said, m.InventoryRequest):
+            wire.send(m.Inventory(guests=[]))
         elif isinstance(said, m.Offer):
             about = {"guest": said.guest, "ask": said.ask, "attempt": said.attempt}
-            wire.send(m.Taken(**about))
+            wire.send(m.OfferAccepted(**about))
             wire.send(m.Started(**about))
             wire.send(
-                m.Use(
+                m.ResourceUse(
                     **about,
                     cores=said.cores * self.random.uniform(0.3, 1),
                     memory=said.memory * self.random.uniform(0.3, 1),
@@ -242,7 +242,7 @@
                 ask()
             async for said in wire.messages():
                 if not isinstance(said, m.Placed):
-                    assert isinstance(said, m.Held | m.GuestEnded), said
+                    assert isinstance(said, m.Acknowledged | m.GuestEnded), said
                     continue
                 placed += 1
                 if note:
@@ -327,17 +327,17 @@
 
 def tell_running(engine: Engine, count: int) -> None:
     """Each machine answers the roll call with its part of the running requests."""
-    stands: dict[int, list[m.Stand]] = {}
+    stands: dict[int, list[m.InventoryItem]] = {}
     for number in range(count):
         stands.setdefault(number % MEMORY_MACHINES, []).append(running_stand(number))
     for number, found in stands.items():
         engine.link_up(0, f"m{number}", m.Welcome(name=f"m{number}", incarnation=1))
-        engine.machine_said(0, f"m{number}", m.Running(guests=found))
+        engine.machine_said(0, f"m{number}", m.Inventory(guests=found))
 
 
-def running_stand(number: int) -> m.Stand:
+def running_stand(number: int) -> m.InventoryItem:
     service, cores, memory_used = shape(number)
-    return m.Stand(
+    return m.InventoryItem(
         guest=f"g{number}",
         ask=0,
         attempt=0,
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The platform's configuration file, checked whole.
+"""Reads and checks the platform's configuration file.
 
-The settings are nested; they are flattened to the paths that the simulator's wire uses, and one reader turns
-both forms into the facts of the module.
+Its settings are nested. They are flattened to the paths that the simulator's protocol uses, so that one
+reader converts both forms to the scheduler's deployment settings.
 """
 
 import math
@@ -25,63 +25,69 @@
     advised=False,
     list_confirms=True,
 )
-AT_ONCE = 8  # decisions before peers are read again: of up to some 10 ms each, within a drain's 250 ms grace
-WIDEST = 1e12  # a setting past this is none
-LEASE_PART = 0.8  # of the grace for drains: the rest is for an offer's way to its machine
-LEASE_LEAST = 20_000  # microseconds; the protocol makes each limit 50 ms longer
-DRAIN_GRACE = 250_000  # microseconds, where the settings name none
-LONGEST_GRACE = 86_400_000_000  # microseconds; more is none
-LOST_AFTER_MS = 3500.0  # a machine out of reach so long has lost what stood there; owners must hear in 8 s
+# Decisions between reads of peers. One takes up to some 10 ms, and a drain has to be read within its grace of
+# 250 ms.
+DECISIONS_AT_ONCE = 8
+MAX_SETTING = 1e12  # larger numbers in the settings are rejected
+LEASE_PART = 0.8  # of the drain grace; the rest is for an offer's transit to its machine
+MIN_LEASE = 20_000  # microseconds; the protocol extends each limit by 50 ms
+DRAIN_GRACE = 250_000  # microseconds; the default
+MAX_GRACE = 86_400_000_000  # microseconds; larger values are rejected
+# A machine that is unreachable for this time has lost its guests; owners must be told within 8 s.
+LOST_AFTER_MS = 3500.0
 
 
-class Bounds(Struct, frozen=True):
-    """What the planner's processes may use."""
+class ResourceLimits(Struct, frozen=True):
+    """Resource limits of the planner's process."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 256
 
 
-class Known(Struct, frozen=True):
-    """The events of the bulletin up to number `no`."""
+class KnownEvents(Struct, frozen=True):
+    """The discovery events up to number `no` that the configuration file contains."""
 
     no: int
     items: list[dict[str, Any]]
 
 
-class File(Struct, frozen=True):
-    """The file as it stands; keys that are not known are passed over."""
+class ConfigurationFile(Struct, frozen=True):
+    """The configuration file; unknown keys are ignored."""
 
     name: str
     listen: str
     seed: str
     bulletin: str
-    known: Known
+    known: KnownEvents
     settings: dict[str, Any]
-    limits: Bounds = Bounds()
+    limits: ResourceLimits = ResourceLimits()
 
 
-class Start(NamedTuple):
-    """A checked configuration."""
+class StartSettings(NamedTuple):
+    """A checked configuration, in the form in which the planner uses it."""
 
     name: str
     listen: str
     seed: int
-    bounds: Bounds
+    bounds: ResourceLimits
     bulletin: str
-    known: Known
-    terms: Terms
-    zones: dict[str, int]
-    most: tuple[float, float]  # cores and memory that the largest machine may be asked for in all
-    patience: tuple[int, ...]  # by product: the longest, in microseconds
+    known: KnownEvents
+    engine_settings: Terms
+    zones: dict[str, int]  # zone numbers by name
+    max_resources: tuple[float, float]  # total cores and memory that the largest machine can have requested
+    max_time_left: tuple[int, ...]  # the longest time left by guest class, in microseconds
 
 
-def flat(settings: dict[str, Any]) -> dict[str, str]:
-    """Path and text of each setting, as the simulator's first message has them: lists of plain values joined
-    by commas, lists of objects by number with a count, spaces and commas inside values as underlines."""
-    found: dict[str, str] = {}
+def flatten(settings: dict[str, Any]) -> dict[str, str]:
+    """Flattens settings to texts by path, as in the simulator's first message.
 
-    def plain(value: object) -> str:
+    Lists of plain values are joined by commas, lists of objects become numbered paths with a count, and
+    spaces and commas inside values become underscores.
+    """
+    flat: dict[str, str] = {}
+
+    def to_text(value: object) -> str:
         if isinstance(value, bool):
             return "true" if value else "false"
         return str(value).replace(" ", "_").replace(",", "_")
@@ -91,173 +97,179 @@
             for key, each in value.items():
                 walk(f"{path}.{key}" if path else str(key), each)
         elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
-            found[f"{path}.count"] = str(len(value))
+            flat[f"{path}.count"] = str(len(value))
             for at, each in enumerate(value):
                 walk(f"{path}.{at}", each)
         elif isinstance(value, list):
-            found[path] = ",".join(plain(each) for each in value)
+            flat[path] = ",".join(to_text(each) for each in value)
         elif value is not None:
-            found[path] = plain(value)
+            flat[path] = to_text(value)
 
     walk("", settings)
-    return found
+    return flat
 
 
-def names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    """The names in a list of objects, or of plain names; as they come, for they are compared with
+def item_names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
+    """Returns the names in a list of objects or of plain names, unchanged: they are compared with
     messages."""
-    listed = settings.get(key) or []
-    if not isinstance(listed, list):
+    items = settings.get(key) or []
+    if not isinstance(items, list):
         return ()
-    return tuple(str(each.get("name", "")) if isinstance(each, dict) else str(each) for each in listed)
+    return tuple(str(each.get("name", "")) if isinstance(each, dict) else str(each) for each in items)
 
 
-def read_start(path: Path, tries: int = 1) -> Start:
-    """ConfigError names all that is wrong with the file. `tries` as of `read_text`."""
+def read_start(path: Path, tries: int = 1) -> StartSettings:
+    """Reads and checks a configuration file; ConfigError lists all its errors. `tries` as in `read_text`."""
     return check_start(read_text(path, tries), str(path))
 
 
-def check_start(text: str, file: str) -> Start:
+def check_start(text: str, file: str) -> StartSettings:
+    """Checks the text of a configuration file; ConfigError lists all its errors under the name `file`."""
     try:
         raw = msgspec.json.decode(text)
-    except msgspec.MsgspecError as wrong:
-        raise ConfigError(file, [("syntax", str(wrong))]) from None
+    except msgspec.MsgspecError as error:
+        raise ConfigError(file, [("syntax", str(error))]) from None
     if not isinstance(raw, dict):
         raise ConfigError(file, [("top", "expected an object")])
     faults: list[tuple[str, str]] = []
-    given: dict[str, Any] = {}
-    for each in msgspec.structs.fields(File):
+    values: dict[str, Any] = {}
+    for each in msgspec.structs.fields(ConfigurationFile):
         if each.name not in raw:
             if each.required:
                 faults.append((each.name, "is missing"))
             continue
         try:
-            given[each.name] = msgspec.convert(raw[each.name], each.type)
-        except msgspec.ValidationError as wrong:
-            faults.append((each.name, str(wrong)))
+            values[each.name] = msgspec.convert(raw[each.name], each.type)
+        except msgspec.ValidationError as error:
+            faults.append((each.name, str(error)))
     for key in ("listen", "bulletin"):
-        if key in given:
+        if key in values:
             try:
-                split_address(given[key])
-            except ValueError as wrong:
-                faults.append((key, str(wrong)))
+                split_address(values[key])
+            except ValueError as error:
+                faults.append((key, str(error)))
     seed = 0
-    if "seed" in given:
+    if "seed" in values:
         try:
-            seed = int(given["seed"], 16)
+            seed = int(values["seed"], 16)
         except ValueError:
-            faults.append(("seed", f"{given['seed']!r} are no hex digits"))
-    bounds = given.get("limits", Bounds())
+            faults.append(("seed", f"{values['seed']!r} is not hexadecimal"))
+    bounds = values.get("limits", ResourceLimits())
     if bounds.sockets < 32:
         faults.append(("limits.sockets", f"{bounds.sockets}: at least 32 are needed"))
-    facts = None
-    settings = given.get("settings", {})
+    deployment = None
+    settings = values.get("settings", {})
     pairs = Pairs([])
-    pairs.values = flat(settings)
+    pairs.values = flatten(settings)
     if settings:
         try:
-            facts = read_deployment(pairs)
-            facts = facts._replace(
+            deployment = read_deployment(pairs)
+            deployment = deployment._replace(
                 dispatches_named=PLATFORM.names_attempts,
                 ages_by_clock=True,
                 list_lease=list_lease(pairs) if PLATFORM.list_confirms else 0,
             )
-        except (WireError, ValueError, OverflowError) as wrong:
-            faults.append(("settings", str(wrong)))
+        except (WireError, ValueError, OverflowError) as error:
+            faults.append(("settings", str(error)))
         else:
-            faults += unsound(facts)
+            faults += check_deployment(deployment)
     limits = _limits(pairs, bounds, faults)
-    if faults or facts is None:
+    if faults or deployment is None:
         raise ConfigError(file, faults or [("settings", "are empty")])
-    terms = Terms(
-        facts,
-        names(settings, "classes"),
-        names(settings, "tenants"),
-        names(settings, "kinds"),
+    engine_settings = Terms(
+        deployment,
+        item_names(settings, "classes"),
+        item_names(settings, "tenants"),
+        item_names(settings, "kinds"),
         limits,
         PLATFORM._replace(tells_use=truth(pairs.values.get("family-info.use-notes", ""))),
     )
-    most = (
-        max(k.cores for k in facts.kinds) * facts.cores_multiple,
-        max(k.memory for k in facts.kinds) * facts.memory_multiple,
+    max_resources = (
+        max(k.cores for k in deployment.kinds) * deployment.cores_multiple,
+        max(k.memory for k in deployment.kinds) * deployment.memory_multiple,
     )
-    patience = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(facts.products)))
-    return Start(
-        given["name"],
-        given["listen"],
+    max_time_left = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(deployment.products)))
+    return StartSettings(
+        values["name"],
+        values["listen"],
         seed,
         bounds,
-        given["bulletin"],
-        given["known"],
-        terms,
-        {name: at for at, name in enumerate(names(settings, "zones"))},
-        most,
-        patience,
+        values["bulletin"],
+        values["known"],
+        engine_settings,
+        {name: at for at, name in enumerate(item_names(settings, "zones"))},
+        max_resources,
+        max_time_left,
     )
 
 
 def list_lease(pairs: Pairs) -> int:
-    """For how long a confirmation of the list holds, in microseconds; WireError if the grace is none."""
+    """How long a confirmation of the list is valid, in microseconds; WireError if the grace is invalid."""
     grace = pairs.span("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
-    if not 0 <= grace <= LONGEST_GRACE:
-        raise WireError(f"setting rules.drain-grace: {grace} microseconds are no grace")
-    return max(LEASE_LEAST, round(LEASE_PART * grace))
+    if not 0 <= grace <= MAX_GRACE:
+        raise WireError(f"setting rules.drain-grace: {grace} microseconds are out of range")
+    return max(MIN_LEASE, round(LEASE_PART * grace))
 
 
-def unsound(facts: Deployment) -> list[tuple[str, str]]:
-    """Figures that can be read and cannot be meant: the module reckons with all of them."""
-    found = [
-        (f"settings: {name}", f"{value} is no figure")
-        for name, value in facts._asdict().items()
-        if isinstance(value, float) and not abs(value) <= WIDEST
+def check_deployment(deployment: Deployment) -> list[tuple[str, str]]:
+    """Finds values that are readable but invalid, since the scheduler calculates with all of them."""
+    faults = [
+        (f"settings: {name}", f"{value} is out of range")
+        for name, value in deployment._asdict().items()
+        if isinstance(value, float) and not abs(value) <= MAX_SETTING
     ]
-    for place, figures in (("kinds", facts.kinds), ("classes", facts.products)):
-        found += [
-            (f"settings: {place}.{at}", f"{value} is no figure")
+    for place, figures in (("kinds", deployment.kinds), ("classes", deployment.products)):
+        faults += [
+            (f"settings: {place}.{at}", f"{value} is out of range")
             for at, each in enumerate(figures)
             for value in each
-            if isinstance(value, float) and not abs(value) <= WIDEST
+            if isinstance(value, float) and not abs(value) <= MAX_SETTING
         ]
-    if not facts.kinds or not facts.products:
-        found.append(("settings", "at least one class and one kind are needed"))
-    found += [
-        ("settings: kinds", f"a machine of {kind.cores:g} cores and {kind.memory:g} of memory")
-        for kind in facts.kinds
+    if not deployment.kinds or not deployment.products:
+        faults.append(("settings", "at least one class and one kind are needed"))
+    faults += [
+        ("settings: kinds", f"a machine with {kind.cores:g} cores and {kind.memory:g} of memory")
+        for kind in deployment.kinds
         if not (kind.cores > 0 and kind.memory > 0)
     ]
-    found += [
+    faults += [
         (f"settings: {name}", f"{value}: at least 1 is needed")
-        for name, value in (("balancers", facts.planners), ("limits.max-attempts", facts.max_dispatches))
+        for name, value in (
+            ("balancers", deployment.planners),
+            ("limits.max-attempts", deployment.max_dispatches),
+        )
         if value < 1
     ]
-    return found
+    return faults
 
 
-def _limits(pairs: Pairs, bounds: Bounds, faults: list[tuple[str, str]]) -> LimitsConfig:
-    """Bounds on peers from the settings: how long a connection may take to come up, and to stay idle."""
-    spans = {"connect": 250.0, "idle": 15_000.0}
+def _limits(pairs: Pairs, bounds: ResourceLimits, faults: list[tuple[str, str]]) -> LimitsConfig:
+    """The limits on connections, from the settings and the process's descriptors (`bounds`). Adds errors
+    to `faults`."""
+    durations = {"connect": 250.0, "idle": 15_000.0}
     for key, path in (("connect", "limits.connect-timeout"), ("idle", "limits.idle-close")):
         text = pairs.values.get(path, "")
         try:
-            value = float(text) if text else spans[key]
+            value = float(text) if text else durations[key]
         except ValueError:
             value = math.nan
         if not 0 < value <= 86_400_000:
-            faults.append((f"settings.{path}", f"{text!r} is no span"))
+            faults.append((f"settings.{path}", f"{text!r} is not a duration"))
         else:
-            spans[key] = value
-    # Owners hold a third of the descriptors, bad ones may come on top; some are for the listener, the
-    # bulletin and connections that are being closed; machines get the rest.
+            durations[key] = value
+    # Owners get two fifths of the descriptors: a third for regular use and some for misbehaving ones. Some
+    # are reserved for the listener, discovery and closing connections; machines get the rest.
     owners = max(8, bounds.sockets * 2 // 5)
-    # Ours closes first: four fifths of the time after which a machine closes.
+    # Idle connections are closed after four fifths of the machines' own idle timeout: this side closes
+    # first.
     return LimitsConfig(
-        connect_ms=spans["connect"],
-        idle_close_ms=0.8 * spans["idle"],
+        connect_ms=durations["connect"],
+        idle_close_ms=0.8 * durations["idle"],
         reconnect_ms=LOST_AFTER_MS,
         open_guests=20_000,
         keep_answers_ms=8000.0,
         send_bytes=1 << 18,
         connections=owners,
-        decisions_at_once=AT_ONCE,
+        decisions_at_once=DECISIONS_AT_ONCE,
         links=max(4, bounds.sockets - owners - max(16, bounds.sockets // 12)),
     )
--- a/hazelhold/platform/discovery.py
+++ b/hazelhold/platform/discovery.py
@@ -1,12 +1,12 @@
-"""Follows the bulletin: long polls over HTTP/1.1 for as long as the module wishes.
+"""Follows the discovery service by long polls over HTTP/1.1.
 
-What the bulletin tells counts as told whether or not this planner hears it, so two things are kept apart:
-which events came, in their order, and as of when the list is known to be current. The second is the moment
-at which the call was made that showed no event to be missing: its answer may have been on its way for any
-time. Calls follow one another so soon that each renews the planner's lease on the list (`engine.list_lease`)
-before the last one's is over. A call that takes long is not given up: the next is made beside it on a new
-connection, so that a bulletin whose answers take seconds is heard all the same.
-"""
+An event of the service is in force whether or not this planner has received it. Therefore two things are
+tracked separately: which events have been received, in order, and the time as of which the list is known to
+be current. The latter is when the poll was sent whose answer showed that no event is missing, since the
+answer may have been in transit for any time. Polls follow each other soon enough that each renews the
+planner's lease on the list (`engine.list_lease`) before the previous one ends. A slow poll is not abandoned:
+the next one is sent beside it on a new connection, so that a service whose answers take seconds is still
+followed."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, Generic, TypeVar
@@ -16,26 +16,26 @@
 import structlog
 import trio
 
-from hazelhold.platform.configuration import Known
+from hazelhold.platform.configuration import KnownEvents
 from hazelhold.service.net import Net
 
-AT_ONCE = 0.001  # seconds that a call asks the bulletin to wait while the lease is not held
-WAIT_PART = 0.25  # of the lease: how long a call asks to wait for news. Two calls and their ways fit into one
-REST_PART = 0.125  # of the lease: the least time from one call to the next, also where each brings news
-LATE = 0.25  # seconds past what it asks for after which an answer is late, for the log
-OVERDUE = 0.6  # seconds past what it asks for after which the next call is made beside this one
-MOST = 1 << 23  # bytes of an answer: news of some 40,000 machines at once
-TRIES = 3  # calls that end at the same event before it is passed over: it was not spoilt on its way
-PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between calls that fail one after another
-SLOW_CALLS = 2  # late calls that go on beside the current one
-QUIET = 8.0  # seconds without a byte after which a late call is given up
-LONGEST_CALL = 30.0  # seconds after which a call is given up whatever it brings
+WAIT_WITHOUT_LEASE = 0.001  # seconds that the service may delay its answer while the lease is not held
+WAIT_PART = 0.25  # of the lease, for which the service may delay its answer: two polls fit into a lease
+MIN_INTERVAL_PART = 0.125  # of the lease: the minimum time between polls, also if each brings events
+LATE_AFTER = 0.25  # seconds past the requested wait after which an answer is logged as late
+NEXT_POLL_AFTER = 0.6  # seconds past the requested wait after which the next poll is sent beside this one
+MAX_ANSWER_BYTES = 1 << 23  # events of some 40,000 machines at once
+MAX_EVENT_TRIES = 3  # polls that fail at the same event before it is skipped: it is not damaged in transit
+FAILURE_PAUSES = (0.05, 0.1, 0.2, 0.4)  # seconds between consecutive failed polls
+SLOW_CALLS = 2  # maximum of slow polls beside the current one
+MAX_SILENCE = 8.0  # seconds without a byte after which a slow poll is cancelled
+MAX_POLL_DURATION = 30.0  # seconds after which any poll is cancelled
 
 T = TypeVar("T")
 
 
 class DiscoveryError(Exception):
-    """A call that brought nothing that can be used, or an event of which only `part` can be read."""
+    """A poll without a usable answer, or an invalid event. `part` is the valid part of the event, if any."""
 
     def __init__(self, text: str, part: object = None) -> None:
         super().__init__(text)
@@ -54,21 +54,26 @@
 
 
 class Answer(msgspec.Struct):
+    """The answer to a poll: events, and the number of the service's last event."""
+
     no: int
     items: list[dict[str, Any]]
 
 
 class Connection:
-    """One connection to the bulletin; carries one call after another."""
+    """One connection to the discovery service; carries one poll after another."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
         self.wire = h11.Connection(h11.CLIENT)
-        self.heard_at = trio.current_time()  # when bytes came last
+        self.heard_at = trio.current_time()  # when bytes were received last
+
+    async def poll(self, host: str, after: int, wait: float) -> bytes:
+        """Sends a poll and returns the body of its answer; raises any of FAILURES.
 
-    async def call(self, host: str, after: int, patience: float) -> bytes:
-        """The body of the answer to one call; any of FAILURES."""
-        target = f"/bulletins?after={after}&patience={round(patience * 1000)}"
+        `after` is the number of the last event received. The service may delay its answer by `wait` seconds.
+        """
+        target = f"/bulletins?after={after}&patience={round(wait * 1000)}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         await self.stream.send_all(self.wire.send(request) + self.wire.send(h11.EndOfMessage()))
         body = bytearray()
@@ -82,8 +87,8 @@
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST:
-                    raise DiscoveryError("a body without end")
+                if len(body) > MAX_ANSWER_BYTES:
+                    raise DiscoveryError("the answer is too long")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
@@ -93,100 +98,105 @@
         return bytes(body)
 
     def renew(self) -> bool:
-        """Makes it ready for another call; False if it is of no more use."""
+        """Prepares the connection for another poll; False if it cannot be reused."""
         if self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
             self.wire.start_next_cycle()
             return True
         return False
 
     async def close(self) -> None:
+        """Closes the connection at once."""
         with trio.CancelScope(shield=True, deadline=trio.current_time() + 0.2):
             await trio.aclose_forcefully(self.stream)
 
 
-class Call(Generic[T]):
-    """One call, from its dial to its answer, which the bulletin may keep back for `wait` seconds where it has
-    no news. `connection` may be given; else one is dialled."""
+class Poll(Generic[T]):
+    """One poll, from its dial to its answer, which the service may delay by `wait` seconds if it has no
+    events. `connection` is reused; if it is None, a new one is dialled."""
 
-    def __init__(self, follower: "Follower[T]", connection: Connection | None, wait: float) -> None:
+    def __init__(self, follower: "DiscoveryFollower[T]", connection: Connection | None, wait: float) -> None:
         self.follower, self.connection, self.wait = follower, connection, wait
         self.asked_at = self.began_at = trio.current_time()
         self.scope = trio.CancelScope()
-        self.over = trio.Event()
+        self.finished = trio.Event()
         self.body: bytes | None = None  # set if it was answered
-        self.wrong: BaseException | None = None  # set if it failed
+        self.error: BaseException | None = None  # set if it failed
 
     async def run(self) -> None:
-        """Ends with `body` or `wrong` set, or with neither if it was cancelled."""
+        """Runs the poll. Then `body` or `error` is set, or neither if it was cancelled."""
         try:
             with self.scope:
-                with trio.fail_after(LONGEST_CALL):
+                with trio.fail_after(MAX_POLL_DURATION):
                     if self.connection is None:
                         self.connection = Connection(await self.follower.net.dial(self.follower.address))
                     self.asked_at = trio.current_time()
-                    self.body = await self.connection.call(
+                    self.body = await self.connection.poll(
                         self.follower.address, self.follower.last, self.wait
                     )
-        except FAILURES as wrong:
-            self.wrong = wrong
+        except FAILURES as error:
+            self.error = error
         finally:
             if self.connection is not None and (self.body is None or not self.connection.renew()):
                 connection, self.connection = self.connection, None
                 await connection.close()
-            self.over.set()
+            self.finished.set()
 
     async def close(self) -> None:
-        """Closes a connection that is not used for another call."""
+        """Closes the connection, if the poll still has one."""
         connection, self.connection = self.connection, None
         if connection is not None:
             await connection.close()
 
     @property
     def heard_at(self) -> float:
-        """When it brought something last."""
+        """When bytes were received last, in seconds of trio's clock."""
         return self.connection.heard_at if self.connection is not None else self.began_at
 
 
-class Follower(Generic[T]):
-    """Keeps to one address; `read(item)` makes an event of one item or raises DiscoveryError, `hear(events,
-    age, whole)` gets new events in order, how many seconds ago the call was made that brought them, and
-    whether it shows that none is missing; `fail()` hears of each failed call. `lease`: seconds for which an
-    answer is of use, counted from its call."""
+class DiscoveryFollower(Generic[T]):
+    """Polls the discovery service at one address.
+
+    `read(item)` converts an item to an event or raises DiscoveryError. `on_events(events, age, whole)` gets
+    the new events in order, how many seconds ago their poll was sent, and whether its answer shows that no
+    event is missing. `on_failure()` is called for each failed poll. `lease` is how long an answer is valid,
+    in seconds from its poll."""
 
     def __init__(
         self,
         net: Net,
         address: str,
-        known: Known,
+        known: KnownEvents,
         lease: float,
         read: Callable[[dict], T],
-        hear: Callable[[list[T], float, bool], None],
-        fail: Callable[[], None],
+        on_events: Callable[[list[T], float, bool], None],
+        on_failure: Callable[[], None],
     ) -> None:
         self.net, self.address, self.lease, self.read = net, address, lease, read
-        self.hear, self.fail = hear, fail
-        self.unread = (0, 0)  # the number of an event that could not be read, and how often
+        self.on_events, self.on_failure = on_events, on_failure
+        self.unreadable = (0, 0)  # the number of the invalid event, and how often it came
         self.last = known.no
-        self.wished = trio.Event()
+        self.update_requested = trio.Event()
         self.scope = trio.CancelScope()
-        self.failures = 0  # in a row
-        self.confirmed = False  # the last answer showed that no event is missing, soon enough to be of use
-        self.calls = 0
-        self.answers_late = False  # as it was written to the log last
-        self.slow: list[Call[T]] = []  # emptied as they end
+        self.failures = 0  # consecutive
+        self.confirmed = False  # the last answer showed within the lease that no event is missing
+        self.polls = 0
+        self.answers_late = False  # as logged last
+        self.slow: list[Poll[T]] = []  # emptied as they finish
         self.log = structlog.get_logger()
 
-    def wish(self) -> None:
-        self.wished.set()
+    def request_update(self) -> None:
+        """Starts polling; after the first call it has no effect."""
+        self.update_requested.set()
 
     def move(self, address: str) -> None:
-        """Asks a new address from now on, at once. What the old one would still say is not waited for."""
+        """Polls a new address from now on, starting at once. Answers of the old one are not awaited."""
         self.address = address
         self.failures, self.confirmed = 0, False
         self.scope.cancel()
 
     async def run(self) -> None:
-        await self.wished.wait()
+        """Polls until cancelled, from the first request_update on."""
+        await self.update_requested.wait()
         while True:
             with trio.CancelScope() as self.scope:
                 async with trio.open_nursery() as nursery:
@@ -194,74 +204,77 @@
             self.slow.clear()
 
     async def _follow(self, nursery: trio.Nursery) -> None:
-        """Calls one after another, with what is left of late ones beside them."""
+        """Sends one poll after another, while slow ones finish in `nursery`."""
         connection: Connection | None = None
-        call: Call[T] | None = None
+        poll: Poll[T] | None = None
         try:
             while True:
-                wait = WAIT_PART * self.lease if self.confirmed else AT_ONCE
-                call, connection = Call(self, connection, wait), None
-                self.calls += 1
-                nursery.start_soon(call.run)
-                with trio.move_on_after(wait + OVERDUE):
-                    await call.over.wait()
-                if not call.over.is_set():
-                    self._set_aside(call, nursery)
-                    self._failed(f"no answer within {wait + OVERDUE:.3g} s")
+                wait = WAIT_PART * self.lease if self.confirmed else WAIT_WITHOUT_LEASE
+                poll, connection = Poll(self, connection, wait), None
+                self.polls += 1
+                nursery.start_soon(poll.run)
+                with trio.move_on_after(wait + NEXT_POLL_AFTER):
+                    await poll.finished.wait()
+                if not poll.finished.is_set():
+                    self._set_aside(poll, nursery)
+                    self._failed(f"no answer within {wait + NEXT_POLL_AFTER:.3g} s")
                     continue
-                if self._take(call):
-                    connection, call.connection = call.connection, None
-                    await trio.sleep(max(0.0, call.began_at + REST_PART * self.lease - trio.current_time()))
+                if self._process_answer(poll):
+                    connection, poll.connection = poll.connection, None
+                    await trio.sleep(
+                        max(0.0, poll.began_at + MIN_INTERVAL_PART * self.lease - trio.current_time())
+                    )
                     continue
-                await call.close()
-                await trio.sleep(PAUSES[min(self.failures, len(PAUSES)) - 1])
+                await poll.close()
+                await trio.sleep(FAILURE_PAUSES[min(self.failures, len(FAILURE_PAUSES)) - 1])
         finally:
             if connection is not None:
                 await connection.close()
-            if call is not None and call.over.is_set():
-                await call.close()
+            if poll is not None and poll.finished.is_set():
+                await poll.close()
 
-    def _set_aside(self, call: Call[T], nursery: trio.Nursery) -> None:
-        """Lets a late call go on beside the next ones, as long as it brings something now and then. Where
-        there are enough of them it ends: those that wait longer are nearer to their answers."""
+    def _set_aside(self, poll: Poll[T], nursery: trio.Nursery) -> None:
+        """Lets a slow poll continue beside the next ones, for as long as bytes arrive within MAX_SILENCE. If
+        there are SLOW_CALLS of them already it is cancelled, since the older ones are closer to their
+        answers."""
         if len(self.slow) >= SLOW_CALLS:
-            call.scope.cancel()
+            poll.scope.cancel()
             return
-        self.slow.append(call)
-        nursery.start_soon(self._take_late, call)
-
-    async def _take_late(self, call: Call[T]) -> None:
-        while not call.over.is_set():
-            with trio.move_on_at(call.heard_at + QUIET):
-                await call.over.wait()
-            if trio.current_time() >= call.heard_at + QUIET:
-                call.scope.cancel()
-        self.slow.remove(call)
-        if call.body is not None:
-            self._take(call)
-        await call.close()
-
-    def _take(self, call: Call[T]) -> bool:
-        """Hears what a call brought; False if it failed."""
+        self.slow.append(poll)
+        nursery.start_soon(self._process_late_answer, poll)
+
+    async def _process_late_answer(self, poll: Poll[T]) -> None:
+        while not poll.finished.is_set():
+            with trio.move_on_at(poll.heard_at + MAX_SILENCE):
+                await poll.finished.wait()
+            if trio.current_time() >= poll.heard_at + MAX_SILENCE:
+                poll.scope.cancel()
+        self.slow.remove(poll)
+        if poll.body is not None:
+            self._process_answer(poll)
+        await poll.close()
+
+    def _process_answer(self, poll: Poll[T]) -> bool:
+        """Processes the answer to a poll; False if it failed."""
         try:
-            if call.body is None:
-                raise call.wrong or DiscoveryError("cancelled")
-            events, whole = self._news(call.body)
-        except FAILURES as wrong:
-            self._failed(repr(wrong)[:200])
+            if poll.body is None:
+                raise poll.error or DiscoveryError("cancelled")
+            events, whole = self._decode_answer(poll.body)
+        except FAILURES as error:
+            self._failed(repr(error)[:200])
             return False
         if self.failures:
             self.log.info("discovery_answers", address=self.address, failures=self.failures, no=self.last)
         self.failures = 0
-        took = trio.current_time() - call.asked_at
-        self._log_lateness(took - call.wait)
+        took = trio.current_time() - poll.asked_at
+        self._log_lateness(took - poll.wait)
         self.confirmed = whole and took < self.lease
-        self.hear(events, took, whole)
+        self.on_events(events, took, whole)
         return True
 
     def _log_lateness(self, seconds: float) -> None:
-        """Writes a line when answers begin to come late, and when they come in time again."""
-        late = seconds > LATE
+        """Logs when answers become late, and when they are in time again."""
+        late = seconds > LATE_AFTER
         if late is not self.answers_late:
             self.answers_late = late
             change = "discovery_slow" if late else "discovery_in_time"
@@ -272,61 +285,62 @@
             self.log.info("discovery_failed", address=self.address, reason=reason, no=self.last)
         self.failures += 1
         self.confirmed = False
-        self.fail()
+        self.on_failure()
 
     # Events.
 
-    def _news(self, body: bytes) -> tuple[list[T], bool]:
-        """The events that are new, checked and in order, and whether these are all."""
+    def _decode_answer(self, body: bytes) -> tuple[list[T], bool]:
+        """Returns the new events, checked and in order, and whether none is missing."""
         try:
             answer = msgspec.json.decode(body, type=Answer)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as wrong:
-            raise DiscoveryError(f"not an answer: {wrong}") from None
-        events = self.fresh(answer.items)
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+            raise DiscoveryError(f"invalid answer: {error}") from None
+        events = self.new_events(answer.items)
         return events, self.last >= answer.no
 
-    def fresh(self, items: list[dict]) -> list[T]:
-        """Those of the events that come after the last one, up to the first that is out of order or cannot be
-        read; marks them as heard. DiscoveryError if there is such a one and none before it: what came whole
-        is not kept waiting by what did not."""
+    def new_events(self, items: list[dict]) -> list[T]:
+        """Returns the events after the last one, up to the first that is out of order or invalid, and marks
+        them as received. DiscoveryError if there is such an event and no valid one before it: valid events
+        are not delayed by a later invalid one."""
         new: list[T] = []
-        for item, no in self._numbered(items, new):
+        for item, no in self._numbered_events(items, new):
             if no != self.last + 1:
                 if new:
                     break
                 raise DiscoveryError(f"event {no} follows {self.last}")
             try:
-                made = self._made(no, item)
-            except DiscoveryError as wrong:
-                if wrong.part is not None:  # it comes again with the next call, and once more as a whole
-                    new.append(wrong.part)
+                read_events = self._read_event(no, item)
+            except DiscoveryError as error:
+                if error.part is not None:  # the event is polled again until it is complete or skipped
+                    new.append(error.part)
                 if new:
                     break
                 raise
             self.last = no
-            new += made
+            new += read_events
         return new
 
-    def _numbered(self, items: list[dict], before: list[T]) -> Iterator[tuple[dict, int]]:
-        """The events that are not known yet, with their numbers. DiscoveryError at one without a number, if
-        nothing came before it."""
+    def _numbered_events(self, items: list[dict], before: list[T]) -> Iterator[tuple[dict, int]]:
+        """Yields the new events with their numbers. At an event without a number it stops if valid ones came
+        before, else raises DiscoveryError."""
         for item in items:
             no = item.get("no")
             if not isinstance(no, int):
                 if before:
                     return
-                raise DiscoveryError("an event without a number")
+                raise DiscoveryError("event without a number")
             if no > self.last:
                 yield item, no
 
-    def _made(self, no: int, item: dict) -> list[T]:
-        """The event as it is read; nothing for one that came so a few times, which is passed over."""
+    def _read_event(self, no: int, item: dict) -> list[T]:
+        """Reads an event; returns nothing, or its valid part, for one that failed MAX_EVENT_TRIES times and
+        is skipped."""
         try:
             return [self.read(item)]
-        except DiscoveryError as wrong:
-            times = self.unread[1] + 1 if self.unread[0] == no else 1
-            self.unread = no, times
-            if times < TRIES:
+        except DiscoveryError as error:
+            times = self.unreadable[1] + 1 if self.unreadable[0] == no else 1
+            self.unreadable = no, times
+            if times < MAX_EVENT_TRIES:
                 raise
-            self.log.warning("event_passed_over", no=no, reason=str(wrong)[:200])
-            return [] if wrong.part is None else [wrong.part]
+            self.log.warning("event_passed_over", no=no, reason=str(error)[:200])
+            return [] if error.part is None else [error.part]
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -15,7 +15,7 @@
 import structlog
 import trio
 
-from hazelhold.config.planner import StateConfig, micros
+from hazelhold.config.planner import StateConfig, to_microseconds
 from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
@@ -163,7 +163,7 @@
             if isinstance(message, m.Offer) and self._harmful(message.product):
                 self.feed("offer_held_back", message)
             elif (
-                isinstance(message, m.TurnedBack | m.BrokenOff)
+                isinstance(message, m.GuestRefused | m.GuestFailed)
                 and (until := self._until(message)) > self.wall()
             ):
                 self.held_back.append((until, action))
@@ -175,7 +175,7 @@
         engine = self.engine
         return engine.facts.products[engine.products[product]].effect.name != "RERUNNABLE"
 
-    def _until(self, message: m.TurnedBack | m.BrokenOff) -> int:
+    def _until(self, message: m.GuestRefused | m.GuestFailed) -> int:
         """Until when this answer is better held back; 0 if it may go. What the disk may still have of the
         guest is its last image that was safe; it is gone from the ledger, its patience was not over."""
         kept = self.store.before.get(f"{message.guest}/{message.ask}")
@@ -191,7 +191,7 @@
         """Keeps what was learned, and tries a failed disk again."""
         learn_at = 0
         while True:
-            await trio.sleep(micros(self.config.retry_ms) / 1e6)
+            await trio.sleep(to_microseconds(self.config.retry_ms) / 1e6)
             now = self.now()
             if not self.failed and now >= learn_at:
                 learn_at = now + round(self.config.learned_s * 1e6)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,13 +2,13 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import (
-    Estate,
-    KindConfig,
+    FleetSettings,
+    GuestClassConfig,
     LimitsConfig,
     ListConfig,
+    MachineKindConfig,
     MachinesConfig,
     PlannerConfig,
-    ProductConfig,
 )
 from hazelhold.engine.cases import Agree, Dial, Send
 from hazelhold.engine.engine import Engine
@@ -76,11 +76,13 @@
 def planner_config(**limits: object) -> PlannerConfig:
     """A planner's configuration with one product of each effect."""
     products = [
-        ProductConfig("plain", "rerunnable", 800, 5000),
-        ProductConfig("once", "exclusive", 800, 5000),
-        ProductConfig("ticket", "ticketed", 800, 5000, group="cell", window_ms=4000),
+        GuestClassConfig("plain", "rerunnable", 800, 5000),
+        GuestClassConfig("once", "exclusive", 800, 5000),
+        GuestClassConfig("ticket", "ticketed", 800, 5000, group="cell", window_ms=4000),
     ]
-    estate = Estate(products, [KindConfig("box", 24, 40)], MachinesConfig(cores_multiple=2.5, probing=False))
+    estate = FleetSettings(
+        products, [MachineKindConfig("box", 24, 40)], MachinesConfig(cores_multiple=2.5, probing=False)
+    )
     return PlannerConfig("p0", "door", ListConfig("list"), estate, limits=LimitsConfig(**limits))
 
 
@@ -91,7 +93,7 @@
         self.engine = Engine(planner_config(**limits), 1, 0)
         self.dead: set[str] = set()
         self.dialled: list[str] = []
-        self.stands: dict[str, list[m.Stand]] = {}
+        self.stands: dict[str, list[m.InventoryItem]] = {}
         self.lives: dict[str, int] = {}
         self.said: list[tuple[str, m.Message]] = []  # all that was sent, to whom
         self.asks: list[Agree] = []  # what is to be agreed among planners
@@ -134,7 +136,7 @@
 
     def comes_up(self, now: int, name: str, complete: bool = True) -> None:
         self.engine.link_up(now, name, m.Welcome(name=name, incarnation=self.lives.get(name, 1)))
-        self.engine.machine_said(now, name, m.Running(guests=self.stands.get(name, []), complete=complete))
+        self.engine.machine_said(now, name, m.Inventory(guests=self.stands.get(name, []), complete=complete))
 
     def submits(
         self,
@@ -187,9 +189,9 @@
         ]
 
 
-def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.Stand:
+def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.InventoryItem:
     """How a machine tells of a guest that it was offered."""
-    return m.Stand(
+    return m.InventoryItem(
         guest=offer.guest,
         ask=offer.ask,
         attempt=offer.attempt,
