--- a/bench/capacity/hollow/lister.py
+++ b/bench/capacity/hollow/lister.py
@@ -17,7 +17,7 @@
 from hazelhold.protocol.frames import FrameReader
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Handler, TcpNet
-from hazelhold.standin.lister import ListHost
+from hazelhold.standin.list_service import ListHost
 
 FRAME_LIMIT = 1 << 26  # bytes
 
--- a/bench/capacity/rows_state.py
+++ b/bench/capacity/rows_state.py
@@ -15,7 +15,7 @@
 from hazelhold.state import frames
 from hazelhold.state.disk import RealDisk
 from hazelhold.state.images import AnswerImage, EndImage, GuestImage, drop, put
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 from hazelhold.state.store import Store
 
 SECOND = 1_000_000
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -29,9 +29,9 @@
 from hazelhold.emulate.town import SECOND, Costs, Demand, Town
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.run import play_virtual
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import TcpNet
 from hazelhold.service.planner import Planner
-from hazelhold.service.wire import Wire
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "quiet-day.json5"
 CARRIES = 25.0  # guests a second that the quiet example's machines take for long
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -34,9 +34,9 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Ask, Ending, Listed, Mode, Remark, Step
 from hazelhold.protocol import messages as m
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.planner import Planner
-from hazelhold.service.wire import Wire
 
 SHAPES = [(0.25, 0.5), (0.5, 1.5), (1.0, 2.0), (2.0, 3.0)]
 SERVICES = 60
--- a/hazelhold/capture/load.py
+++ b/hazelhold/capture/load.py
@@ -12,8 +12,8 @@
 from hazelhold.capture.streams import Frame
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
-from hazelhold.service.wire import Wire
 
 OWNERS = m.Codec(m.FROM_OWNER)
 
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -22,7 +22,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.state.images import BATCH
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 
 CODECS = {"owner": m.Codec(m.FROM_OWNER), "machine": m.Codec(m.FROM_MACHINE), "list": m.Codec(m.FROM_LIST)}
 TO_MACHINE = m.Codec(m.TO_MACHINE | m.TO_OWNER)
--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -14,9 +14,9 @@
 from hazelhold.client.types import ClientPolicy, Connect, Leave, Outcome, Send, TaskRequest, Tell
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.ticker import Ticker
-from hazelhold.service.wire import Wire
 
 CODEC = m.Codec(m.TO_OWNER)
 WATCH_S = 1.0  # how often a file of planners is looked at
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -21,7 +21,7 @@
 from hazelhold.interface import Decision, Ending, Remark, Step
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 
 
 class Engine(Owners, Links, Claiming):
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -26,7 +26,7 @@
     drop,
     put,
 )
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 
 ANSWERS = msgspec.msgpack.Decoder(m.Placed | m.TurnedBack | m.BrokenOff)
 
--- a/hazelhold/fleetconfig/connection.py
+++ b/hazelhold/fleetconfig/connection.py
@@ -9,7 +9,7 @@
 from hazelhold.fleetconfig.codec import MAX_MESSAGE, MessageError
 from hazelhold.fleetconfig.messages import VERSION, ConfigMessage, Greeting, GreetingAnswer
 from hazelhold.protocol.frames import FrameError, frame
-from hazelhold.service.wire import Wire
+from hazelhold.service.connection import Wire
 
 GREETING = 2.0  # seconds for a greeting or its answer
 SEND_BYTES = 4 << 20  # what may wait for a peer that reads slowly; past it the connection is cut
--- a/hazelhold/fleetconfig/store.py
+++ b/hazelhold/fleetconfig/store.py
@@ -25,7 +25,7 @@
 )
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change, drop, put
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 from hazelhold.state.store import Store
 
 KEEP = 1000  # revisions kept behind the position, for followers that were away
--- a/hazelhold/fleetconfig/writer.py
+++ b/hazelhold/fleetconfig/writer.py
@@ -11,8 +11,8 @@
 import trio
 
 from hazelhold.fleetconfig.store import RevisionStore
+from hazelhold.service.disk_timeout import slowly
 from hazelhold.service.net import Net
-from hazelhold.service.slowly import slowly
 from hazelhold.state import frames
 from hazelhold.state.images import Change
 
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -11,9 +11,9 @@
 from hazelhold.platform.codec import BinaryMessage, BinaryReader, LineReader, encode_binary, encode_line
 from hazelhold.platform.words import to_machine
 from hazelhold.protocol import messages as m
-from hazelhold.service.arrival import EmptySince
+from hazelhold.service.arrival_time import EmptySince
+from hazelhold.service.connection import SendQueue
 from hazelhold.service.net import accept_delay
-from hazelhold.service.wire import SendQueue
 
 READ = 1 << 14
 HEARD_IN_TIME = 0.05  # seconds; half of what an attempt may begin after its owner has left
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -24,7 +24,7 @@
 from hazelhold.platform.machine_links import MachineLinks
 from hazelhold.platform.owner_door import OwnerDoor
 from hazelhold.protocol import messages as m
-from hazelhold.service.arrival import beat
+from hazelhold.service.arrival_time import beat
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
 
--- a/hazelhold/rehearse/alone.py
+++ b/hazelhold/rehearse/alone.py
@@ -11,8 +11,8 @@
 from hazelhold.protocol.frames import FrameError
 from hazelhold.rehearse.environment import Environment
 from hazelhold.rehearse.troubles import plan
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import TcpNet
-from hazelhold.service.wire import Wire
 
 OWNERS_PART = ("burst", "rejoin")
 LIST_PART = ("list_down",)
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -14,9 +14,9 @@
 from hazelhold.protocol.messages import Enlist, Entry
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.troubles import Target, TroubleStep
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
-from hazelhold.service.wire import Wire
-from hazelhold.standin.lister import ListHost
+from hazelhold.standin.list_service import ListHost
 from hazelhold.standin.machines import MachineHost
 from hazelhold.standin.senders import SenderHost
 
--- a/hazelhold/service/wires.py
+++ b/hazelhold/service/connection_factory.py
@@ -6,8 +6,8 @@
 from hazelhold.config.planner import LimitsConfig
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
-from hazelhold.service.wire import Wire
 
 
 class WireFactory:
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -15,13 +15,13 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import frame
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.service.wire import Wire
 
 if TYPE_CHECKING:
     from hazelhold.replica.host import Copies
-    from hazelhold.service.keeper import Keeper
+    from hazelhold.service.state_writer import Keeper
 
 
 class EngineDriver:
--- a/hazelhold/service/list_link.py
+++ b/hazelhold/service/list_link.py
@@ -8,9 +8,9 @@
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
+from hazelhold.service.connection import Wire
+from hazelhold.service.connection_factory import WireFactory
 from hazelhold.service.driver import EngineDriver
-from hazelhold.service.wire import Wire
-from hazelhold.service.wires import WireFactory
 
 LIST = m.Codec(m.FROM_LIST)
 RETRY_S = 0.5  # seconds from the end of one connection to the next dial
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -8,9 +8,9 @@
 from hazelhold.engine.cases import Dial
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
+from hazelhold.service.connection import Wire
+from hazelhold.service.connection_factory import WireFactory
 from hazelhold.service.driver import EngineDriver
-from hazelhold.service.wire import Wire
-from hazelhold.service.wires import WireFactory
 
 MACHINES = m.Codec(m.FROM_MACHINE)
 
--- a/hazelhold/service/net.py
+++ b/hazelhold/service/net.py
@@ -14,7 +14,7 @@
 import trio
 
 from hazelhold.config.load import split_address
-from hazelhold.service.arrival import EmptySince
+from hazelhold.service.arrival_time import EmptySince
 
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
--- a/hazelhold/service/owner_door.py
+++ b/hazelhold/service/owner_server.py
@@ -10,9 +10,9 @@
 from hazelhold.engine.advice import Doorman
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
+from hazelhold.service.connection import Wire
+from hazelhold.service.connection_factory import WireFactory
 from hazelhold.service.driver import EngineDriver
-from hazelhold.service.wire import Wire
-from hazelhold.service.wires import WireFactory
 
 OWNERS = m.Codec(m.FROM_OWNER)
 
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -21,16 +21,16 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
+from hazelhold.service.connection import Wire
+from hazelhold.service.connection_factory import WireFactory
 from hazelhold.service.driver import EngineDriver
-from hazelhold.service.ending import hand_over, stop
-from hazelhold.service.keeper import Keeper
 from hazelhold.service.list_link import ListLink
 from hazelhold.service.machine_links import MachineLinks
 from hazelhold.service.net import Net, TcpNet
-from hazelhold.service.owner_door import OwnerDoor
+from hazelhold.service.owner_server import OwnerDoor
 from hazelhold.service.recovery import recover
-from hazelhold.service.wire import Wire
-from hazelhold.service.wires import WireFactory
+from hazelhold.service.shutdown import hand_over, stop
+from hazelhold.service.state_writer import Keeper
 from hazelhold.state.clock import lasting_offset
 from hazelhold.state.disk import Disk, RealDisk
 from hazelhold.state.store import Store
--- a/hazelhold/service/recovery.py
+++ b/hazelhold/service/recovery.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.service.driver import EngineDriver
-from hazelhold.service.keeper import Keeper
+from hazelhold.service.state_writer import Keeper
 from hazelhold.state.images import ENCODER
 from hazelhold.state.store import Found, InUseError, StateError
 
--- a/hazelhold/service/ending.py
+++ b/hazelhold/service/shutdown.py
@@ -5,7 +5,7 @@
 import trio
 
 from hazelhold.protocol import messages as m
-from hazelhold.service.wire import Wire
+from hazelhold.service.connection import Wire
 
 if TYPE_CHECKING:
     from hazelhold.service.planner import Planner
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/state_writer.py
@@ -19,7 +19,7 @@
 from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
-from hazelhold.service.slowly import slowly
+from hazelhold.service.disk_timeout import slowly
 from hazelhold.state import frames
 from hazelhold.state.images import Change
 from hazelhold.state.store import Found, Store
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -7,7 +7,7 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.standin.shell import Door
+from hazelhold.standin.server import Door
 
 CODEC = m.Codec(m.TO_MACHINE)
 
--- a/hazelhold/standin/senders.py
+++ b/hazelhold/standin/senders.py
@@ -6,9 +6,9 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.protocol.record import Recorder
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.service.wire import Wire
 
 CODEC = m.Codec(m.TO_OWNER)
 
--- a/hazelhold/standin/shell.py
+++ b/hazelhold/standin/server.py
@@ -7,8 +7,8 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.protocol.record import Recorder
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
-from hazelhold.service.wire import Wire
 
 
 class Door:
--- a/hazelhold/state/store.py
+++ b/hazelhold/state/store.py
@@ -17,7 +17,7 @@
 from hazelhold.state.disk import Disk
 from hazelhold.state.frames import Header, Scan
 from hazelhold.state.images import FORMAT, KINDS, Change, GuestImage
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 
 LEAST = 4 << 20  # bytes of log before a new generation is worth its snapshot
 # How files of older formats become changes of this one: number of the format, and what to do with a batch.
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -23,8 +23,8 @@
 from hazelhold.rehearse.run import audit_rules, copy_up, planner_configs, wire_up
 from hazelhold.rehearse.runners import ProcessRunner
 from hazelhold.rehearse.wires import Wires
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import TcpNet
-from hazelhold.service.wire import Wire
 
 DAY = Path(__file__).parents[2] / "examples" / "copies-day.json5"
 LONG = 60.0  # seconds: no test waits so long unless something is wrong
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -285,7 +285,7 @@
 
 def recovered(one: Member, table: Table, stands: dict, life_of: dict[str, int] | None = None) -> Member:
     """The next life of this planner, with all that its state had at this moment."""
-    from hazelhold.state.ledger import Ledger
+    from hazelhold.state.state_table import Ledger
 
     ledger = Ledger()
     ledger.apply(one.engine.flush(100))
@@ -303,7 +303,7 @@
 
 
 def kept() -> tuple[Member, Table]:
-    from hazelhold.state.ledger import Ledger
+    from hazelhold.state.state_table import Ledger
 
     one, other = Member("p0", machines=""), Member("p1")
     one.engine.claims = None
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -16,7 +16,7 @@
 from hazelhold.platform.logbook import Logbook
 from hazelhold.platform.peer import OwnerPeer
 from hazelhold.service import net
-from hazelhold.service.arrival import LoopClock
+from hazelhold.service.arrival_time import LoopClock
 from hazelhold.service.net import TcpNet
 from hazelhold.state import clock
 from tests.platform_rig import PLACED, Rig, play, set_up
--- a/tests/test_fleetconfig_host.py
+++ b/tests/test_fleetconfig_host.py
@@ -30,8 +30,8 @@
 from hazelhold.protocol.frames import frame
 from hazelhold.replica.sets import Keeper, Sets
 from hazelhold.replica.votes import vouch
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import TcpNet
-from hazelhold.service.wire import Wire
 from hazelhold.state.store import StateError
 from tests.fleetconfig_rig import DEPLOYMENT, Fleet, disk, items, with_fleet
 
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -21,7 +21,7 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import MemoryNet
 from hazelhold.service.planner import Planner
-from hazelhold.standin.lister import ListHost
+from hazelhold.standin.list_service import ListHost
 from tests.helpers import planner_config
 from tests.platform_rig import DEPLOYMENT, Rig, event, host, play
 
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -15,9 +15,9 @@
 from hazelhold.config.day import read_day
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.crashes import play_crashes
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import MemoryNet
 from hazelhold.service.planner import Planner
-from hazelhold.service.wire import Wire
 from hazelhold.standin.disk import FaultyDisk, Points
 from hazelhold.state import store
 from hazelhold.state.disk import RealDisk
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -5,7 +5,7 @@
 
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
-from hazelhold.state.ledger import Ledger
+from hazelhold.state.state_table import Ledger
 from tests.helpers import MS, EngineHarness, ask, brain, of, stand
 from tests.state_rig import S
 
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -16,8 +16,8 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.emulate.town import BIN, SECOND, Demand, Town
 from hazelhold.protocol import messages as m
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import MemoryNet
-from hazelhold.service.wire import Wire
 from tests.helpers import MS, EngineHarness, planner_config
 
 
