--- a/bench/capacity/rows_state.py
+++ b/bench/capacity/rows_state.py
@@ -15,7 +15,7 @@
 from hazelhold.state import frames
 from hazelhold.state.disk import RealDisk
 from hazelhold.state.images import AnswerImage, EndImage, GuestImage, drop, put
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 from hazelhold.state.store import Store
 
 SECOND = 1_000_000
@@ -70,7 +70,7 @@
             store = Store(RealDisk(Path(folder)), "p")
             found = store.open(wall, "p 2")
             made = Engine(throughput.planner_config(), 1, 10 * SECOND)
-            made.keep(10 * SECOND, wall - 10 * SECOND, found.ledger, True)
+            made.keep(10 * SECOND, wall - 10 * SECOND, found.state_table, True)
             store.begin(wall)
             store.close()
             assert len(made.cases) == size
@@ -82,7 +82,7 @@
 def kept_change(size: int) -> Iterator[tuple[int, float]]:
     """Bytes and processor time of keeping one lone change of the list; several times."""
     made = Engine(throughput.planner_config(), 1, 0)
-    made.keep(0, 0, Ledger(), True)
+    made.keep(0, 0, StateTable(), True)
     made.list_said(0, m.Listing(version=1, whole=True, entries=workers.entries(size)))
     made.flush(0)
     for version in range(2, 7):
--- a/bench/state.py
+++ b/bench/state.py
@@ -126,7 +126,7 @@
         found = store.open(wall, "p 2")
         read = time.perf_counter()
         engine = Engine(throughput.planner_config(), 1, 10 * SECOND)
-        engine.keep(10 * SECOND, wall - 10 * SECOND, found.ledger, True)
+        engine.keep(10 * SECOND, wall - 10 * SECOND, found.state_table, True)
         fed = time.perf_counter()
         store.begin(wall)
         written = time.perf_counter()
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -22,7 +22,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.state.images import BATCH
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 
 CODECS = {"owner": m.Codec(m.FROM_OWNER), "machine": m.Codec(m.FROM_MACHINE), "list": m.Codec(m.FROM_LIST)}
 TO_MACHINE = m.Codec(m.TO_MACHINE | m.TO_OWNER)
@@ -185,9 +185,9 @@
         elif kind == "offer_held_back":
             self._input(now, note, kind, msgspec.convert(data["news"], m.Offer))
         else:
-            ledger = Ledger()
-            ledger.apply(BATCH.decode(data["changes"]))
-            self._input(now, note, kind, data["epoch"], ledger, data["complete"])
+            state_table = StateTable()
+            state_table.apply(BATCH.decode(data["changes"]))
+            self._input(now, note, kind, data["epoch"], state_table, data["complete"])
 
     def _fate(self, fates: dict[str, Fate], message: dict[str, Any], who: str) -> None:
         guest, kind = message.get("guest", ""), message.get("t", "")
--- a/hazelhold/cli/copies.py
+++ b/hazelhold/cli/copies.py
@@ -76,7 +76,7 @@
     seen = read(RealDisk(Path(copies_config.folder)), name, votes.KINDS)
     for note in seen.notes:
         click.echo(note)
-    seat = seen.ledger.image("seat", "")
+    seat = seen.state_table.image("seat", "")
     if seat is None:
         click.echo(f"{copies_config.folder}: no seat: {name} votes once it has copied from the others")
         sys.exit(1)
@@ -84,8 +84,8 @@
         f"{seat.planner} of {seat.deployment}, epoch {seat.epoch}"
         + ("" if seen.complete else "; damaged: it votes once it has copied from the others")
     )
-    for cell in seen.ledger.tables["cell"].values():
-        image = seen.ledger.decoders["cell"].decode(cell.image)
+    for cell in seen.state_table.tables["cell"].values():
+        image = seen.state_table.decoders["cell"].decode(cell.image)
         claim = None if image.value[:1].isdigit() else claims.decode(image.value)
         said = (
             image.value.decode(errors="replace")
--- a/hazelhold/cli/state.py
+++ b/hazelhold/cli/state.py
@@ -46,16 +46,16 @@
 def show(folder: Path, many: int) -> None:
     """What is kept: counts, damage, and the guests."""
     found = _read(folder)
-    found.ledger.expire(lasting_now(folder))
+    found.state_table.expire(lasting_now(folder))
     owner = RealDisk(folder).owner().strip()
     click.echo(f"{folder}: generation {found.generation}, last used by {owner or 'nobody'}")
-    click.echo("  " + ", ".join(f"{kind} {count}" for kind, count in found.ledger.sizes().items()))
+    click.echo("  " + ", ".join(f"{kind} {count}" for kind, count in found.state_table.sizes().items()))
     for note in found.notes:
         click.echo(f"  {note}")
     if not found.complete:
         click.echo("  something that a peer may have seen can be missing")
     now = lasting_now(folder)
-    for image in list(found.ledger.images("guest"))[:many]:
+    for image in list(found.state_table.images("guest"))[:many]:
         where = (
             f"runs on {image.machine}"
             if image.placed
@@ -79,12 +79,12 @@
     wrong = 0
     for kind in KINDS:
         try:
-            for _ in found.ledger.images(kind):
+            for _ in found.state_table.images(kind):
                 pass
         except ValueError as fault:
             wrong += 1
             click.echo(str(fault))
-    sizes = ", ".join(f"{kind} {count}" for kind, count in found.ledger.sizes().items())
+    sizes = ", ".join(f"{kind} {count}" for kind, count in found.state_table.sizes().items())
     click.echo(
         f"generation {found.generation}, {found.batches} batches in logs; {sizes}; "
         + ("complete" if found.complete else "incomplete")
@@ -134,7 +134,7 @@
     """Every image as a line of JSON: kind, key and its fields by name."""
     found = _read(folder)
     for kind in KINDS:
-        for image in found.ledger.images(kind):
+        for image in found.state_table.images(kind):
             click.echo(json.dumps({"kind": kind, **_plain(image)}, default=repr))
 
 
--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -154,7 +154,7 @@
     def _act(self) -> None:
         """Carries out what an input caused, and has the ticker look at the times anew."""
         self._carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _carry_out(self) -> None:
         actions, self.core.actions = self.core.actions, []
--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -74,11 +74,11 @@
         """The whole day; the report of rehearse.run, with events and crossings counted."""
         day, clock = self.day, self.clock
         for name, host in self.hosts.items():
-            host.ticker.stir()
+            host.ticker.notify()
             self._list(name, "ready", at_once=True)
         self._rooms()
         self._keep_rooms_on()
-        self.list_host.ticker.stir()
+        self.list_host.ticker.notify()
         self.service.advance(clock.now)
         self.configs = {
             f"planner-{n}": PlannerConfig(
--- a/hazelhold/emulate/fleet_owner.py
+++ b/hazelhold/emulate/fleet_owner.py
@@ -23,20 +23,20 @@
             self.fleet.reach.setdefault(self.model.name, set()).add(planner)
             self.recorder.note(self.fleet.clock.now, planner, "open")
             self.model.connected(self.fleet.clock.now, planner)
-            self.ticker.stir()
+            self.ticker.notify()
 
     def lose(self, planner: str) -> None:
         self.fleet.reach.get(self.model.name, set()).discard(planner)
         self.recorder.note(self.fleet.clock.now, planner, "shut")
         self.model.disconnected(self.fleet.clock.now, planner)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def hears(self, planner: str, message: m.Message) -> None:
         now = self.fleet.clock.now
         self.recorder.note(now, planner, "in", message)
         self.model.advance(now)
         self.model.said(now, planner, message)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.model.advance(now)
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -27,7 +27,7 @@
         self.ticker = Wake(
             self.clock, fleet.net.now, self.engine.next_at, self._work, micros(config.limits.batch_ms)
         )
-        self.ticker.stir()
+        self.ticker.notify()
         self._follow()
 
     def _work(self, now: int) -> None:
@@ -37,7 +37,7 @@
     def feed(self, what: str, *given: object) -> None:
         getattr(self.engine, what)(self.clock.now, *given)
         self.carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def carry_out(self) -> None:
         while self.engine.actions:
--- a/hazelhold/emulate/fleet_time.py
+++ b/hazelhold/emulate/fleet_time.py
@@ -54,7 +54,7 @@
         self.worked_at = -pause
         self.over = False
 
-    def stir(self) -> None:
+    def notify(self) -> None:
         self._when(max(self.clock.now, self.worked_at + self.pause))
 
     def _when(self, when: int) -> None:
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -21,7 +21,7 @@
 from hazelhold.interface import Decision, Ending, Remark, Step
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 
 
 class Engine(Owners, Links, Claiming):
@@ -29,12 +29,12 @@
 
     # What outlives the process.
 
-    def keep(self, now: int, epoch: int, ledger: Ledger, complete: bool) -> dict[str, int]:
+    def keep(self, now: int, epoch: int, state_table: StateTable, complete: bool) -> dict[str, int]:
         """From now on `flush` tells what is to be kept; begins where the images in the ledger left off.
         Before any other input. Returns counts of what was recovered; ValueError if an image cannot be
         read."""
         self.keeping = Keeping(epoch)
-        return recover(self, now, ledger, complete)
+        return recover(self, now, state_table, complete)
 
     def flush(self, now: int) -> list[Change]:
         """What must be safe before the actions of this moment are carried out."""
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -26,7 +26,7 @@
     drop,
     put,
 )
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 
 ANSWERS = msgspec.msgpack.Decoder(m.Placed | m.TurnedBack | m.BrokenOff)
 
@@ -142,16 +142,16 @@
         return put("learned", "", LearnedImage(self.epoch, engine.brain.learned()))
 
 
-def recover(engine: Tables, now: int, ledger: Ledger, complete: bool) -> dict[str, int]:
+def recover(engine: Tables, now: int, state_table: StateTable, complete: bool) -> dict[str, int]:
     """Brings a new engine to where the images left off; returns counts of what was found.
 
     Patience goes on while nobody is there. What had left for a machine is out until that machine speaks. If
     something may be missing, every held guest whose second run could do harm counts as one that may run.
     """
-    keeping, counts = engine.keeping, ledger.sizes()
+    keeping, counts = engine.keeping, state_table.sizes()
     epoch = keeping.epoch
     engine.sure = complete
-    for image in ledger.images("list"):
+    for image in state_table.images("list"):
         heard = min(now, image.heard_at - epoch)
         listing = m.Listing(version=0, whole=True, entries=image.entries)
         keeping.told(listing)
@@ -160,17 +160,17 @@
         engine.brain.machines_listed(heard, listed, True)
         engine.unheard = {f.name for f in engine.roster.fellows.values()}
     past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
-    for image in ledger.images("learned"):
+    for image in state_table.images("learned"):
         past = moved(image.data, image.epoch - epoch)
     if any(counts.values()):
         engine.brain.remembered(now, past, complete)
-    for image in ledger.images("cold"):
+    for image in state_table.images("cold"):
         engine.brain.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
-    cases = [image for image in ledger.images("guest") if image.product in engine.products]
-    counts["of_unknown_products"] = ledger.sizes()["guest"] - len(cases)
+    cases = [image for image in state_table.images("guest") if image.product in engine.products]
+    counts["of_unknown_products"] = state_table.sizes()["guest"] - len(cases)
     for image in sorted(cases, key=lambda i: (i.placed, i.ask, i.name)):
         _recover_case(engine, now, image, epoch, complete)
-    for image in ledger.images("loose"):
+    for image in state_table.images("loose"):
         if image.case.product in engine.products:
             # Whoever is no longer in hand has its answer; the image may be older than that.
             case = engine.cases.get(image.case.name) or case_of(engine, replace(image.case, asks=()))
@@ -178,11 +178,11 @@
                 case, image.attempt, image.machine, image.sent_at - epoch, image.stands, roll_at=now
             )
             engine.loose.setdefault(case.guest, {})[image.machine] = loose
-    for image in ledger.images("answer"):
-        until = ledger.tables["answer"][f"{image.guest}\0{image.ask}"].until - epoch
+    for image in state_table.images("answer"):
+        until = state_table.tables["answer"][f"{image.guest}\0{image.ask}"].until - epoch
         engine.answers[image.guest, image.ask] = ANSWERS.decode(image.body), until
-    for image in ledger.images("end"):
-        engine.ends[image.guest] = image.how, ledger.tables["end"][image.guest].until - epoch
+    for image in state_table.images("end"):
+        engine.ends[image.guest] = image.how, state_table.tables["end"][image.guest].until - epoch
     for table in (engine.answers, engine.ends):
         for key in sorted(table, key=lambda k, t=table: t[k][1]):
             table.move_to_end(key)
--- a/hazelhold/fleetconfig/control_host.py
+++ b/hazelhold/fleetconfig/control_host.py
@@ -65,7 +65,7 @@
         self.door = Door(file.name, file.deployment, net, self)
         self.followers: dict[int, str] = {}  # accepted connections that follow; the others write or ask
         self.machines = tuple(seat.name for seat in file.control)
-        self.stirred = trio.Event()
+        self.notified = trio.Event()
         self.random = Random(SystemRandom().getrandbits(62))
         self.log = structlog.get_logger().bind(control=file.name)
         self.told_broken = self.address = ""
@@ -111,11 +111,11 @@
     async def _tend(self) -> None:
         """Wakes the cores in time."""
         while True:
-            self.stirred = trio.Event()
+            self.notified = trio.Event()
             moments = (self.core.next_at(), self.source.next_at(), self.peers.exchange.next_at())
             due = min(moment for moment in moments if moment is not None)
             with trio.move_on_after(max(0.0, (due - self.net.now()) / 1e6)):
-                await self.stirred.wait()
+                await self.notified.wait()
             await trio.lowlevel.checkpoint()
             now = self.net.now()
             if (at := self.core.next_at()) is not None and now >= at:
@@ -138,7 +138,7 @@
         if self.core.broken != self.told_broken:
             self.told_broken = self.core.broken
             self.log.error("control_broken", reason=self.core.broken)
-        self.stirred.set()
+        self.notified.set()
 
     # What the cores want.
 
--- a/hazelhold/fleetconfig/follower_host.py
+++ b/hazelhold/fleetconfig/follower_host.py
@@ -41,7 +41,7 @@
 def starting_point(config: PlannerConfig, disk: Disk) -> PlannerConfig:
     """The configuration to start with, by what the folder holds. Harmless while a process uses the folder."""
     found = read(disk, config.name, KINDS)
-    stored = read_ledger(found.ledger, found.complete, found.notes)
+    stored = read_ledger(found.state_table, found.complete, found.notes)
     starting = starting_config(config, stored.document)
     if starting.refused and stored.in_force is not None:
         starting = starting_config(config, stored.in_force[1])
@@ -62,7 +62,7 @@
         self.writer = StoreWriter(self.store, net, section.slow_ms, section.retry_ms)
         self.door = Door(name, section.deployment, net, self)
         self.log = structlog.get_logger().bind(planner=name)
-        self.stirred = trio.Event()
+        self.notified = trio.Event()
         self.address = ""
         self.offered: a.PutInForce | None = None  # waits until what leads to it is safe
         self.writer.on_failed = self._put_offered
@@ -119,10 +119,10 @@
     async def _tend(self) -> None:
         """Wakes the cores in time."""
         while True:
-            self.stirred = trio.Event()
+            self.notified = trio.Event()
             due = min(self.follower.next_at(), self.source.next_at())
             with trio.move_on_after(max(0.0, (due - self.net.now()) / 1e6)):
-                await self.stirred.wait()
+                await self.notified.wait()
             await trio.lowlevel.checkpoint()
             now = self.net.now()
             if now >= self.source.next_at():
@@ -142,7 +142,7 @@
                 (self.door.send if isinstance(action, a.Send) else self.door.close)(action)
             if not wanted and not served:
                 break
-        self.stirred.set()
+        self.notified.set()
 
     def _carry_out(self, action: object) -> None:
         if isinstance(action, a.Dial):
--- a/hazelhold/fleetconfig/store.py
+++ b/hazelhold/fleetconfig/store.py
@@ -25,7 +25,7 @@
 )
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change, drop, put
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 from hazelhold.state.store import Store
 
 KEEP = 1000  # revisions kept behind the position, for followers that were away
@@ -98,29 +98,29 @@
         """Takes the folder and reads it. StateError if it is in use, another machine's or of a newer program.
         Nothing is written; `begin` of `files` does that."""
         found = self.files.open(wall, text)
-        stored = read_ledger(found.ledger, found.complete, found.notes)
+        stored = read_ledger(found.state_table, found.complete, found.notes)
         if not stored.complete and stored.position == Position():
-            found.ledger.apply(_all_dropped(found.ledger))  # none of it fits: nothing of it is kept
+            found.state_table.apply(_all_dropped(found.state_table))  # none of it fits: nothing of it is kept
         self.position, self.values = stored.position, dict(stored.document.items)
         self.oldest = stored.position.number - len(stored.revisions) + 1
         self._open_in_force(stored)
         wanted = {_key(r.revision.number) for r in stored.revisions}
-        tables = found.ledger.tables
-        found.ledger.apply([drop("revision", key) for key in tables["revision"] if key not in wanted])
+        tables = found.state_table.tables
+        found.state_table.apply([drop("revision", key) for key in tables["revision"] if key not in wanted])
         return stored
 
     def _open_in_force(self, stored: Stored) -> None:
-        ledger, kept = self.files.ledger, self.files.ledger.tables["before"]
+        state_table, kept = self.files.state_table, self.files.state_table.tables["before"]
         if stored.in_force is not None:
             self.in_force, document = stored.in_force
             self.before = {name: document.items.get(name) for name in kept}  # also where it is the same again
             return
-        image = ledger.image("in_force", "")
+        image = state_table.image("in_force", "")
         if image is not None and (image.number, image.chain) == stored.position:
             self.in_force = stored.position
         else:
-            ledger.apply([drop("in_force", key) for key in ledger.tables["in_force"]])
-        ledger.apply([drop("before", name) for name in kept])
+            state_table.apply([drop("in_force", key) for key in state_table.tables["in_force"]])
+        state_table.apply([drop("before", name) for name in kept])
 
     def append(self, revisions: Sequence[SealedRevision]) -> list[Change]:
         """The changes that lead on by these revisions, which follow the position. ValueError if they do
@@ -184,14 +184,14 @@
         return list({(change.kind, change.key): change for change in made}.values())
 
 
-def read_ledger(ledger: Ledger, complete: bool, notes: Iterable[str]) -> Stored:
+def read_ledger(state_table: StateTable, complete: bool, notes: Iterable[str]) -> Stored:
     """What a recovered ledger means, checked against its own checksums."""
     said = list(notes)
     nothing = Stored(Position(), Document(), (), complete, tuple(said))
     try:
-        image = ledger.image("position", "")
-        items = [Put(name, ledger.image("item", name).value) for name in ledger.tables["item"]]
-        bodies = [ledger.image("revision", key).body for key in sorted(ledger.tables["revision"])]
+        image = state_table.image("position", "")
+        items = [Put(name, state_table.image("item", name).value) for name in state_table.tables["item"]]
+        bodies = [state_table.image("revision", key).body for key in sorted(state_table.tables["revision"])]
     except ValueError as wrong:  # msgspec's errors are among them
         return nothing._replace(complete=False, notes=(*said, f"an entry cannot be read: {wrong}"))
     if image is None:
@@ -203,21 +203,21 @@
         wrong = f"the items are not those of revision {image.number}: their checksum differs"
         return nothing._replace(complete=False, notes=(*said, wrong))
     revisions, gaps = _chained(position, bodies)
-    in_force, wrong = _in_force(ledger, position, document)
+    in_force, wrong = _in_force(state_table, position, document)
     said += [*gaps, *wrong]
     return Stored(position, document, revisions, complete and not (gaps or wrong), tuple(said), in_force)
 
 
 def _in_force(
-    ledger: Ledger, position: Position, document: Document
+    state_table: StateTable, position: Position, document: Document
 ) -> tuple[tuple[Position, Document] | None, list[str]]:
     """The document in force, if it is another one, and what is wrong with what is kept of it."""
-    image = ledger.image("in_force", "")
+    image = state_table.image("in_force", "")
     if image is None or (image.number, image.chain) == position:
         return None, []
     made = document.copy()
-    for name in ledger.tables["before"]:
-        old = ledger.image("before", name)
+    for name in state_table.tables["before"]:
+        old = state_table.image("before", name)
         made.apply([Edit((Put(name, old.value),)) if old.is_there else Edit((), (name,))])
     if made.checksum != image.content:
         return None, [f"what was in force, revision {image.number}, cannot be told: its checksum differs"]
@@ -244,8 +244,8 @@
     return tuple(reversed(found)), []
 
 
-def _all_dropped(ledger: Ledger) -> list[Change]:
-    return [drop(kind, key) for kind, table in ledger.tables.items() for key in table]
+def _all_dropped(state_table: StateTable) -> list[Change]:
+    return [drop(kind, key) for kind, table in state_table.tables.items() for key in table]
 
 
 def _differences(items: dict[str, bytes], others: dict[str, bytes]) -> dict[str, bytes | None]:
--- a/hazelhold/fleetconfig/writer.py
+++ b/hazelhold/fleetconfig/writer.py
@@ -11,7 +11,7 @@
 import trio
 
 from hazelhold.fleetconfig.store import RevisionStore
-from hazelhold.service.disk_timeout import slowly
+from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.service.net import Net
 from hazelhold.state import frames
 from hazelhold.state.images import Change
@@ -104,7 +104,7 @@
     async def _slowly(self, call: Callable[..., None], *given: object) -> OSError | None:
         files = self.store.files
         if files.disk.threaded:
-            return await slowly(files, self.slow_ms, call, *given)
+            return await run_with_timeout(files, self.slow_ms, call, *given)
         await trio.lowlevel.checkpoint()
         try:
             call(*given)
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -64,7 +64,7 @@
         self.log = structlog.get_logger().bind(planner=name)
         self.core: Core | None = None
         self.port: Port | None = None
-        self.stirred = trio.Event()
+        self.notified = trio.Event()
         self.beside: Callable[[], dict[str, str]] = dict  # what else `hazelhold members` shows
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
@@ -109,7 +109,7 @@
         while True:
             await self.port.readable()
             self._drain()
-            self.stirred.set()
+            self.notified.set()
 
     def _drain(self) -> None:
         """Takes what has come, before any timer says that it has not."""
@@ -126,9 +126,9 @@
             due = core.next_at()
             span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
             with trio.move_on_after(span):
-                await self.stirred.wait()
+                await self.notified.wait()
             await trio.lowlevel.checkpoint()
-            self.stirred = trio.Event()
+            self.notified = trio.Event()
 
     def _carry_out(self, source: object) -> None:
         actions, self.core.actions = self.core.actions, []
@@ -166,7 +166,7 @@
             return
         self.core.leave(self.net.now())
         self._carry_out(None)
-        self.stirred.set()
+        self.notified.set()
         with trio.move_on_after(1.0):
             while not self.core.left:
                 await trio.sleep(0.02)
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -49,10 +49,10 @@
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
         progress: Callable[[], None],
-        stir: Callable[[], None],
+        notify: Callable[[], None],
     ) -> None:
         self.net, self.engine, self.counts, self.log = net, engine, counts, log
-        self.progress, self.stir = progress, stir
+        self.progress, self.notify = progress, notify
         self.by_machine: dict[str, MachineLink] = {}  # emptied as connections end
         # Where an attempt of a task may still be out, by the task's id; emptied as the word that takes it
         # back or its connection leaves.
@@ -181,7 +181,7 @@
         else:
             self.counts["offers_held_back"] += 1
             self.engine.offer_held_back(now, offer)
-            self.stir()
+            self.notify()
         return left
 
     async def _hear(self, machine: str, peer: MachinePeer) -> None:
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -62,7 +62,7 @@
         )
         self.ticker = Ticker(net.now, self.engine.next_at, self._work, self.limits.batch_ms / 1000)
         self.counts: Counter[str] = Counter()
-        self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.stir)
+        self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.notify)
         self.door = OwnerDoor(
             net, self.engine, bounds, self.counts, self.log, self._progress, self.links.owner_heard
         )
@@ -80,7 +80,7 @@
         self.logbook = Logbook(self.log, self.engine)
         self.reloads = 0  # signals to read the file again
         self.closing = False  # machines are not dialled any more
-        self.stop_asked, self.ended = trio.Event(), trio.Event()
+        self.stop_requested, self.ended = trio.Event(), trio.Event()
         self.address = ""
 
     def log_frames(self) -> None:
@@ -118,14 +118,14 @@
                 cores=self.start.bounds.cores,
             )
             task_status.started(self.address)
-            await self.stop_asked.wait()
+            await self.stop_requested.wait()
             await self._stop()
             nursery.cancel_scope.cancel()
         self.ended.set()
 
     def stop(self) -> None:
         """Asks for an end: everything that comes meanwhile is still served."""
-        self.stop_asked.set()
+        self.stop_requested.set()
 
     def reload(self) -> None:
         """Reads the configuration file again; a bad one leaves all as it is. It may be half written: it is
@@ -213,7 +213,7 @@
     def _progress(self) -> None:
         """Something was heard: what the engine wants at once is done, and it gets its turn."""
         self._carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _carry_out(self) -> None:
         while self.engine.actions:
--- a/hazelhold/rehearse/crashes.py
+++ b/hazelhold/rehearse/crashes.py
@@ -94,7 +94,7 @@
             config, config.seed + self.lives[number], self.net, recorder, disk, votes=self.votes[number]
         )
         do = planner.perform
-        planner.keeper.do = lambda action: self._do(do, disk, action)
+        planner.state_writer.do = lambda action: self._do(do, disk, action)
         scope, done = trio.CancelScope(), trio.Event()
         self.running[number] = planner, scope, done
 
@@ -114,7 +114,7 @@
             if dead:
                 self.crashes += 1
                 self.chief.note(
-                    self.net.now(), config.name, "planner_kill", Fate(unkept=planner.keeper.failed)
+                    self.net.now(), config.name, "planner_kill", Fate(unkept=planner.state_writer.failed)
                 )
                 if self.running.pop(number, None) is not None:
                     self.nursery.start_soon(self._again, number)
@@ -128,7 +128,10 @@
         if number in self.running:
             planner, scope, done = self.running.pop(number)
             self.chief.note(
-                self.net.now(), self.configs[number].name, "planner_kill", Fate(unkept=planner.keeper.failed)
+                self.net.now(),
+                self.configs[number].name,
+                "planner_kill",
+                Fate(unkept=planner.state_writer.failed),
             )
             self.disks[number].dead = True
             scope.cancel()
@@ -138,7 +141,7 @@
         """A clean stop whose last state could not be kept is as good as a crash with a failed disk."""
         planner = self.running[number][0] if number in self.running else None
         await super().stop(number)
-        if planner is not None and planner.keeper.failed:
+        if planner is not None and planner.state_writer.failed:
             self.chief.note(self.net.now(), self.configs[number].name, "planner_kill", Fate(unkept=True))
 
     async def _again(self, number: int) -> None:
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -228,7 +228,7 @@
             self.remote.send(Enlist(entries=[entry]))
             return
         self.service.set(self.net.now(), entry, machine.up_at - host.clock_off, at_once)
-        self.list_host.ticker.stir()
+        self.list_host.ticker.notify()
 
     # What troubles do.
 
@@ -250,13 +250,13 @@
 
     def _do_drain(self, name: str, value: object) -> None:
         self.hosts[name].machine.drain(self.hosts[name].now())
-        self.hosts[name].ticker.stir()
+        self.hosts[name].ticker.notify()
         self._list(name, "cordoned")
 
     def _do_notice(self, name: str, value: object) -> None:
         """Listed as draining at once: the machine's keeper tells before it takes it away."""
         self.hosts[name].machine.drain(self.hosts[name].now())
-        self.hosts[name].ticker.stir()
+        self.hosts[name].ticker.notify()
         self._list(name, "cordoned", at_once=True)
 
     def _do_crash(self, name: str, value: object) -> None:
@@ -318,11 +318,11 @@
     def _do_rejoin(self, name: str, value: tuple[float, int]) -> None:
         for sender in self.senders:
             sender.model.rejoin(self.net.now(), *value)
-            sender.ticker.stir()
+            sender.ticker.notify()
 
     def _stir(self) -> None:
         for each in [*self.hosts.values(), *self.senders]:
-            each.ticker.stir()
+            each.ticker.notify()
 
     def close(self) -> None:
         for host in self.hosts.values():
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -23,7 +23,7 @@
 from hazelhold.replica.proposer import Done, Proposer, Send
 from hazelhold.replica.votes import Retention, Votes, keep_open_claims
 from hazelhold.service.connection import Wire
-from hazelhold.service.disk_timeout import slowly
+from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.service.net import Net
 from hazelhold.state import frames
 from hazelhold.state.disk import Disk
@@ -122,7 +122,7 @@
         self.packed: tuple[Struct | None, bytes] = None, b""  # the message sent last, and its frame
         self.counts: Counter[str] = Counter()
         self.log = structlog.get_logger().bind(planner=name)
-        self.stir = trio.Event()
+        self.notified = trio.Event()
         self.cut = ""  # why nothing could be agreed lately
         self.address = ""
 
@@ -172,7 +172,7 @@
         self._stirred()
 
     def _stirred(self) -> None:
-        self.stir.set()
+        self.notified.set()
 
     async def _tend(self) -> None:
         """Carries out what the proposer wants, and wakes it in time."""
@@ -188,9 +188,9 @@
             due = self.proposer.next_at()
             span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
             with trio.move_on_after(span):
-                await self.stir.wait()
+                await self.notified.wait()
             await trio.lowlevel.checkpoint()
-            self.stir = trio.Event()
+            self.notified = trio.Event()
 
     def _done(self, done: Done) -> None:
         no, began = self.asked.pop(done.asked)
@@ -408,8 +408,8 @@
     """Makes votes safe and lets answers go: one commit at a time, what comes meanwhile shares the next. While
     the disk fails nothing is answered; every `retry_ms` all votes are written anew as a whole."""
 
-    def __init__(self, votes: Votes, config: CopiesConfig, stirred: Callable[[], None]) -> None:
-        self.votes, self.config, self.stirred = votes, config, stirred
+    def __init__(self, votes: Votes, config: CopiesConfig, notified: Callable[[], None]) -> None:
+        self.votes, self.config, self.notified = votes, config, notified
         self.store = votes.store
         self.queue: deque[tuple[list[Change], Callable[[], object]]] = deque()  # emptied by each commit
         self.busy = self.failed = False
@@ -458,11 +458,11 @@
             self.commits += 1
         for _, then in taken:
             then()
-        self.stirred()
+        self.notified()
 
     async def _slowly(self, call: Callable[..., None], *given: object) -> OSError | None:
         if self.store.disk.threaded:
-            return await slowly(self.store, self.config.slow_ms, call, *given)
+            return await run_with_timeout(self.store, self.config.slow_ms, call, *given)
         try:
             call(*given)
         except OSError as wrong:
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -106,7 +106,7 @@
     store = Store(disk, name, KINDS)
     seen = store.open(wall, name)
     try:
-        if not seen.complete or store.ledger.image("seat", "") is None:
+        if not seen.complete or store.state_table.image("seat", "") is None:
             raise StateError("the folder has no seat, or is damaged: there is nothing to vouch for")
         store.apply([put("vouch", "", Vouch(wall))])
         store.begin(wall)
@@ -147,32 +147,32 @@
     def open(self, wall: int, text: str) -> Found:
         """Reads what was promised. StateError if the folder is another planner's, another set's or in use."""
         seen = self.store.open(wall, text)
-        ledger, acceptor = self.store.ledger, self.acceptor
-        seat: Seat | None = ledger.image("seat", "")
+        state_table, acceptor = self.store.state_table, self.acceptor
+        seat: Seat | None = state_table.image("seat", "")
         if seat is not None:
             self._check(seat)
-        decoder = ledger.decoders["cell"]
-        for key, change in ledger.tables["cell"].items():
+        decoder = state_table.decoders["cell"]
+        for key, change in state_table.tables["cell"].items():
             image = decoder.decode(change.image)
             cell = Cell(
                 messages.Ballot(*image.promised), messages.Ballot(*image.accepted), image.value, image.copied
             )
             acceptor.set(key, cell)
             self._ages(key, cell, wall)
-        if floor := ledger.image("floor", ""):
+        if floor := state_table.image("floor", ""):
             acceptor.raise_floor(floor.number)
-        for name in ledger.tables["inc"]:
-            image = ledger.image("inc", name)
+        for name in state_table.tables["inc"]:
+            image = state_table.image("inc", name)
             self.kept[name] = messages.Incarnation(image.number, image.nonce)
         acceptor.inc = self.kept.get(self.name, messages.NO_INCARNATION)
         acceptor.known = {n: inc for n, inc in self.kept.items() if n != self.name}
         self.why = "no_seat" if seat is None else "" if seen.complete else "damaged"
         self.source.gives = not self.why
-        trusted = not self.why and ledger.image("vouch", "") is not None
-        ledger.apply([drop("vouch", "")])
+        trusted = not self.why and state_table.image("vouch", "") is not None
+        state_table.apply([drop("vouch", "")])
         self.joiner = Joiner(self.name, self.sets, acceptor, self.nonce, trusted)
         if self.joiner.over():
-            ledger.apply(self.incarnations())
+            state_table.apply(self.incarnations())
             acceptor.voting = set(self.joiner.voted)
         return seen
 
--- a/hazelhold/service/connection_factory.py
+++ b/hazelhold/service/connection_factory.py
@@ -10,7 +10,7 @@
 from hazelhold.service.net import Net
 
 
-class WireFactory:
+class ConnectionFactory:
     """What all of a planner's connections have in common."""
 
     def __init__(self, limits: LimitsConfig, net: Net, recorder: Recorder | None, tap: Tap | None) -> None:
--- a/hazelhold/service/disk_timeout.py
+++ b/hazelhold/service/disk_timeout.py
@@ -7,7 +7,9 @@
 from hazelhold.state.store import Store
 
 
-async def slowly(store: Store, most_ms: float, call: Callable[..., None], *given: object) -> OSError | None:
+async def run_with_timeout(
+    store: Store, most_ms: float, call: Callable[..., None], *given: object
+) -> OSError | None:
     """What went wrong, or None. A call that takes too long is left to itself: its disk counts as failed."""
     with trio.move_on_after(most_ms / 1000):
         try:
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from hazelhold.replica.host import Copies
-    from hazelhold.service.state_writer import Keeper
+    from hazelhold.service.state_writer import StateWriter
 
 
 class EngineDriver:
@@ -33,7 +33,7 @@
     ) -> None:
         self.engine, self.net, self.tap, self.perform = engine, net, tap, perform
         self.ticker = Ticker(net.now, engine.next_at, self._work, batch_s)
-        self.keeper: Keeper | None = None
+        self.state_writer: StateWriter | None = None
         self.copies: Copies | None = None
         self.handed_over = False  # another process has the state: nothing goes in any more
 
@@ -67,7 +67,7 @@
             self.tap.note(now, what, news=msgspec.to_builtins(news))
         getattr(self.engine, what)(now, news)
         self.carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def hear(self, what: str, wire: Wire, *given: object) -> None:
         """Takes a message of a peer to the engine; what needs no decision goes out before one is made."""
@@ -78,7 +78,7 @@
             wire.trunk.data(False, frame(wire.body), now)
         getattr(self.engine, what)(now, *given)
         self.carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def agreed(self, no: int, outcome: str, value: bytes, reason: str) -> None:
         """How an asking among the planners ended."""
@@ -86,14 +86,14 @@
             return
         self.engine.agreed(self.net.now(), no, outcome, value, reason)
         self.carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def carry_out(self) -> None:
         """Does what the engine wants done; what a failed send causes goes in as an input and is done too."""
-        if self.keeper is not None:
+        if self.state_writer is not None:
             while self.engine.actions or self.engine.keeping.marks:
                 actions, self.engine.actions = self._ask_others(self.engine.actions), []
-                self.keeper.take(actions, self.engine.flush(self.net.now()))
+                self.state_writer.take(actions, self.engine.flush(self.net.now()))
             return
         while self.engine.actions:
             actions, self.engine.actions = self._ask_others(self.engine.actions), []
--- a/hazelhold/service/list_link.py
+++ b/hazelhold/service/list_link.py
@@ -9,7 +9,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.service.connection import Wire
-from hazelhold.service.connection_factory import WireFactory
+from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
 LIST = m.Codec(m.FROM_LIST)
@@ -23,7 +23,7 @@
         self,
         config: PlannerConfig,
         driver: EngineDriver,
-        wires: WireFactory,
+        wires: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
@@ -58,7 +58,7 @@
                 self.log.debug("list_unreachable", reason=str(wrong))
             self.driver.feed("list_failed")
             self.wanted = self.driver.engine.list_version if not self.config.list.asked else None
-            self.driver.ticker.stir()
+            self.driver.ticker.notify()
             await trio.sleep(RETRY_S)
 
     async def _hear_list(self, wire: Wire, nursery: trio.Nursery) -> None:
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -9,7 +9,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.service.connection import Wire
-from hazelhold.service.connection_factory import WireFactory
+from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
 MACHINES = m.Codec(m.FROM_MACHINE)
@@ -23,7 +23,7 @@
         self,
         name: str,
         driver: EngineDriver,
-        wires: WireFactory,
+        wires: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
@@ -74,7 +74,7 @@
                             wire.note("open", None)
                             wire.captured()
                             self.driver.feed("link_up", who=name, welcome=welcome)
-                            self.driver.ticker.stir()
+                            self.driver.ticker.notify()
                             await self._hear_machine(name, wire)
                         except FrameError as wrong:
                             self.counts["machine_" + wrong.code] += 1
@@ -89,7 +89,7 @@
             return
         del self.machines[name]
         self.driver.feed("link_down" if up else "link_failed", who=name)
-        self.driver.ticker.stir()
+        self.driver.ticker.notify()
 
     async def _hear_machine(self, name: str, wire: Wire) -> None:
         for message in wire.rest():
--- a/hazelhold/service/owner_server.py
+++ b/hazelhold/service/owner_server.py
@@ -11,13 +11,13 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
 from hazelhold.service.connection import Wire
-from hazelhold.service.connection_factory import WireFactory
+from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
 OWNERS = m.Codec(m.FROM_OWNER)
 
 
-class OwnerDoor:
+class OwnerServer:
     """Serves owners. `owners` holds the wire of each that has said its Hello."""
 
     def __init__(
@@ -25,7 +25,7 @@
         config: PlannerConfig,
         seed: int,
         driver: EngineDriver,
-        wires: WireFactory,
+        wires: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -22,15 +22,15 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.connection import Wire
-from hazelhold.service.connection_factory import WireFactory
+from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 from hazelhold.service.list_link import ListLink
 from hazelhold.service.machine_links import MachineLinks
 from hazelhold.service.net import Net, TcpNet
-from hazelhold.service.owner_server import OwnerDoor
+from hazelhold.service.owner_server import OwnerServer
 from hazelhold.service.recovery import recover
 from hazelhold.service.shutdown import hand_over, stop
-from hazelhold.service.state_writer import Keeper
+from hazelhold.service.state_writer import StateWriter
 from hazelhold.state.clock import lasting_offset
 from hazelhold.state.disk import Disk, RealDisk
 from hazelhold.state.store import Store
@@ -69,21 +69,21 @@
         self.log = structlog.get_logger().bind(planner=config.name)
         self.counts: Counter[str] = Counter()
         self.address = ""
-        self.stop_asked = trio.Event()
+        self.stop_requested = trio.Event()
         self.handing_over, self.take_over = False, take_over
         self._make_connections(seed)
         self._make_members()
         self._make_copies(votes)
         self._make_follower(file, revisions)
-        self._make_keeper(disk)
+        self._make_state_writer(disk)
 
     def _make_connections(self, seed: int) -> None:
         """The driver of the engine, and what it and the network meet by."""
         config = self.config
         batch_s = config.limits.batch_ms / 1000
         self.driver = EngineDriver(self.engine, self.net, self.tap, batch_s, self.perform)
-        wires = WireFactory(config.limits, self.net, self.recorder, self.tap)
-        self.door = OwnerDoor(config, seed, self.driver, wires, self.counts, self.log)
+        wires = ConnectionFactory(config.limits, self.net, self.recorder, self.tap)
+        self.owner_server = OwnerServer(config, seed, self.driver, wires, self.counts, self.log)
         self.links = MachineLinks(config.name, self.driver, wires, self.counts, self.log)
         self.list_link = ListLink(config, self.driver, wires, self.counts, self.log)
 
@@ -123,16 +123,16 @@
             self.settings = RunningSettings(file, self.config, self.engine)
             self.follower = FollowerHost(file.name, file.fleetconfig, self.net, revisions, self._put_in_force)
 
-    def _make_keeper(self, disk: Disk | None) -> None:
+    def _make_state_writer(self, disk: Disk | None) -> None:
         """The keeping of state, if there is a folder or a disk for it."""
-        self.keeper: Keeper | None = None
+        self.state_writer: StateWriter | None = None
         config = self.config
         if disk is None and config.state.folder:
             disk = RealDisk(Path(config.state.folder))
             if isinstance(self.net, TcpNet):
                 self.net.wall_offset = lasting_offset(Path(config.state.folder), self.net.wall_offset)
         if disk is not None:
-            self.keeper = self.driver.keeper = Keeper(
+            self.state_writer = self.driver.state_writer = StateWriter(
                 Store(disk, config.name),
                 config.state,
                 self.engine,
@@ -144,41 +144,41 @@
     @property
     def owners(self) -> dict[str, Wire]:
         """The wires of the owners that are connected, by name."""
-        return self.door.owners
+        return self.owner_server.owners
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until a stop or a hand-over that was asked for is done; started once owners can dial."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
-            if self.keeper is not None:
-                await recover(self.keeper, self.driver, self.config.name, self.take_over, self.log)
-                nursery.start_soon(self.keeper.run)
-                nursery.start_soon(self.keeper.tend)
-                nursery.start_soon(self.keeper.let_go)
+            if self.state_writer is not None:
+                await recover(self.state_writer, self.driver, self.config.name, self.take_over, self.log)
+                nursery.start_soon(self.state_writer.run)
+                nursery.start_soon(self.state_writer.tend)
+                nursery.start_soon(self.state_writer.let_go)
             if self.copies is not None:
                 await self._claim(nursery)
             if self.follower is not None:
                 await self.follower.open(self.take_over)
                 await nursery.start(self.follower.run)
-            self.address = await self.net.listen(self.config.listen, self.door.serve, nursery)
+            self.address = await self.net.listen(self.config.listen, self.owner_server.serve, nursery)
             nursery.start_soon(self.driver.ticker.run)
             nursery.start_soon(self.list_link.run)
             if self.members is not None:
                 await nursery.start(self.members.run)
             self.log.info("up", address=self.address, planners=self.config.planners, slot=self.config.slot)
             task_status.started(self.address)
-            await self.stop_asked.wait()
+            await self.stop_requested.wait()
             try:
                 await (hand_over(self) if self.handing_over else stop(self))
             finally:
-                if self.keeper is not None:
-                    self.keeper.store.close()
+                if self.state_writer is not None:
+                    self.state_writer.store.close()
             nursery.cancel_scope.cancel()
 
     def _put_in_force(self, document: "Document", changed: Iterable[str] | None) -> None:
         """Takes a revision of the fleet's configuration, whole; SettingsError if the engine cannot."""
         self.settings.put_in_force(document, changed)
-        self.driver.ticker.stir()
+        self.driver.ticker.notify()
 
     async def _claim(self, nursery: trio.Nursery) -> None:
         """From here on guests that must not run twice are claimed among the planners."""
@@ -194,15 +194,15 @@
     def hand_over(self) -> None:
         """Asks for an end that leaves all that is held to the next process, by way of the kept state. Without
         kept state nothing happens."""
-        if self.keeper is None:
+        if self.state_writer is None:
             self.log.warning("nothing_to_hand_over")
             return
         self.handing_over = True
-        self.stop_asked.set()
+        self.stop_requested.set()
 
     def stop(self) -> None:
         """Asks for a clean stop."""
-        self.stop_asked.set()
+        self.stop_requested.set()
 
     def perform(self, action: Action) -> None:
         """Carries out one action of the engine."""
--- a/hazelhold/service/shutdown.py
+++ b/hazelhold/service/shutdown.py
@@ -21,18 +21,18 @@
     driver, engine = planner.driver, planner.engine
     driver.feed("stop")
     planner.log.info("stopping", unanswered=engine.unanswered())
-    driver.ticker.stir()
+    driver.ticker.notify()
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
         while engine.unanswered():
             await trio.sleep(POLL_S)
     if planner.members is not None:
         await planner.members.leave()
     driver.feed("stop_now")
-    spread = planner.door.return_window()
-    if planner.keeper is not None:
+    spread = planner.owner_server.return_window()
+    if planner.state_writer is not None:
         with trio.move_on_after(KEEP_S):
-            await planner.keeper.drained()
-            await planner.keeper.last_try()
+            await planner.state_writer.drained()
+            await planner.state_writer.last_try()
     for wire in _wires(planner):
         wire.finish(m.Bye(reason="stopping", spread=spread))
     with trio.move_on_after(FAREWELL_S):
@@ -50,10 +50,10 @@
     """Reads nothing more, makes all safe, and goes."""
     driver, engine = planner.driver, planner.engine
     driver.handed_over = True
-    planner.keeper.take([], [engine.keeping.learned(engine)])
+    planner.state_writer.take([], [engine.keeping.learned(engine)])
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
-        await planner.keeper.drained()
-    spread = planner.door.doorman.window(0, len(planner.owners))
+        await planner.state_writer.drained()
+    spread = planner.owner_server.doorman.window(0, len(planner.owners))
     for wire in _wires(planner):
         wire.finish(m.Bye(reason="hand_over", spread=spread))
     await trio.sleep(SETTLE_S)
--- a/hazelhold/service/state_writer.py
+++ b/hazelhold/service/state_writer.py
@@ -19,7 +19,7 @@
 from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
-from hazelhold.service.disk_timeout import slowly
+from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.state import frames
 from hazelhold.state.images import Change
 from hazelhold.state.store import Found, Store
@@ -27,7 +27,7 @@
 LOST = OSError("the disk has failed")
 
 
-class Keeper:
+class StateWriter:
     """The state of one planner. `do` carries out an action, `feed` tells the engine of something."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self.held_back: list[tuple[int, Action]] = []  # answers, with when to send them all the same
         self.busy = self.failed = False
         self.late: list[Change] = []  # since a new generation was prepared; emptied by its success
-        self.stirred = trio.Event()
+        self.notified = trio.Event()
         self.log = structlog.get_logger().bind(planner=store.planner)
         self.commits = self.failures = 0
 
@@ -74,7 +74,7 @@
             return
         self.queue.append((actions, changes))
         if self.store.disk.threaded:
-            self.stirred.set()
+            self.notified.set()
         elif not self.busy:
             self.busy = True
             while self.queue:
@@ -112,8 +112,8 @@
         if not self.store.disk.threaded:
             return
         while True:
-            await self.stirred.wait()
-            self.stirred = trio.Event()
+            await self.notified.wait()
+            self.notified = trio.Event()
             while self.queue:
                 self.busy = True
                 actions, changes = self._all()
@@ -138,7 +138,7 @@
         return wrong
 
     async def _slowly(self, call: Callable[..., None], *given: object) -> OSError | None:
-        return await slowly(self.store, self.config.slow_ms, call, *given)
+        return await run_with_timeout(self.store, self.config.slow_ms, call, *given)
 
     def _after(self, actions: list[Action], changes: list[Change], wrong: OSError | None) -> None:
         self.commits += bool(changes)
--- a/hazelhold/service/ticker.py
+++ b/hazelhold/service/ticker.py
@@ -17,10 +17,10 @@
         pause: float = 0.0,
     ) -> None:
         self.now, self.due, self.work, self.pause = now, due, work, pause
-        self.stirred = trio.Event()
+        self.notified = trio.Event()
 
-    def stir(self) -> None:
-        self.stirred.set()
+    def notify(self) -> None:
+        self.notified.set()
 
     async def run(self) -> None:
         while True:
@@ -35,5 +35,5 @@
                 await trio.lowlevel.checkpoint()
             if span > 0:
                 with trio.move_on_after(span):
-                    await self.stirred.wait()
-            self.stirred = trio.Event()
+                    await self.notified.wait()
+            self.notified = trio.Event()
--- a/hazelhold/standin/list_service.py
+++ b/hazelhold/standin/list_service.py
@@ -44,7 +44,7 @@
             for entry in message.entries:
                 self.service.set(now, entry, now - (entry.up_for or 0), entry.machine not in self.known)
                 self.known.add(entry.machine)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.service.advance(now)
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -70,7 +70,7 @@
         self.door.open = True
         self.door.shut()
         self.note("up")
-        self.ticker.stir()
+        self.ticker.notify()
 
     def tally(self) -> None:
         """At the end of a day: what runs here and how well it was served."""
@@ -97,7 +97,7 @@
         elif isinstance(message, m.Roll):
             machine.rolled(now, planner)
         self._deliver()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.machine.advance(now)
--- a/hazelhold/standin/senders.py
+++ b/hazelhold/standin/senders.py
@@ -52,7 +52,7 @@
             self.wires[planner] = wire
             wire.note("open", None)
             self.model.connected(self.net.now(), planner)
-            self.ticker.stir()
+            self.ticker.notify()
             for message in wire.rest():
                 self._said(planner, message)
             async for message in wire.messages():
@@ -64,14 +64,14 @@
                 del self.wires[planner]
                 wire.note("shut", None)
                 self.model.disconnected(self.net.now(), planner)
-                self.ticker.stir()
+                self.ticker.notify()
         return wait
 
     def _said(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
         self.model.advance(now)
         self.model.said(now, planner, message)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.model.advance(now)
--- a/hazelhold/state/state_table.py
+++ b/hazelhold/state/state_table.py
@@ -8,7 +8,7 @@
 from hazelhold.state.images import DECODERS, KINDS, Change
 
 
-class Ledger:
+class StateTable:
     """Every table is emptied by drops, and by age where images have one."""
 
     def __init__(self, kinds: Mapping[str, type[Struct]] = KINDS) -> None:
--- a/hazelhold/state/store.py
+++ b/hazelhold/state/store.py
@@ -17,7 +17,7 @@
 from hazelhold.state.disk import Disk
 from hazelhold.state.frames import Header, Scan
 from hazelhold.state.images import FORMAT, KINDS, Change, GuestImage
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 
 LEAST = 4 << 20  # bytes of log before a new generation is worth its snapshot
 # How files of older formats become changes of this one: number of the format, and what to do with a batch.
@@ -39,7 +39,7 @@
 class Found(NamedTuple):
     """What recovery found. `complete` is False if something that a peer may have seen can be missing."""
 
-    ledger: Ledger
+    state_table: StateTable
     complete: bool
     fresh: bool  # there was no state
     generation: int
@@ -75,10 +75,10 @@
 def read(disk: Disk, planner: str = "", kinds: Mapping[str, type[Struct]] = KINDS) -> Found:
     """What a folder holds; harmless beside a running planner. StateError if it is of another planner or of a
     newer program."""
-    names, notes, ledger = disk.names(), [], Ledger(kinds)
+    names, notes, state_table = disk.names(), [], StateTable(kinds)
     snapshots, logs = numbered(names, "snapshot"), numbered(names, "log")
     if not snapshots and not logs:
-        return Found(ledger, not any(n.startswith(("snapshot", "log")) for n in names), True, 0, notes)
+        return Found(state_table, not any(n.startswith(("snapshot", "log")) for n in names), True, 0, notes)
     base, complete, batches = 0, True, 0
     for number in reversed(snapshots):
         scan = _scan(disk, f"snapshot-{number}", planner)
@@ -87,7 +87,7 @@
             continue
         base = number
         for changes in scan.batches:
-            ledger.apply(changes)
+            state_table.apply(changes)
         break
     else:
         complete = not snapshots and logs[0] == 1
@@ -102,13 +102,13 @@
     for number in wanted:
         scan = _scan(disk, f"log-{number}", planner)
         for changes in scan.batches:
-            ledger.apply(changes)
+            state_table.apply(changes)
         batches += len(scan.batches)
         if scan.trouble:
             notes.append(f"log-{number}: {scan.trouble} {scan.why}")
             complete = complete and scan.trouble == "torn"
     top = max([*snapshots, *logs])
-    return Found(ledger, complete, False, top, notes, batches)
+    return Found(state_table, complete, False, top, notes, batches)
 
 
 class Store:
@@ -116,7 +116,7 @@
 
     def __init__(self, disk: Disk, planner: str, kinds: Mapping[str, type[Struct]] = KINDS) -> None:
         self.disk, self.planner, self.kinds = disk, planner, kinds
-        self.ledger = Ledger(kinds)
+        self.state_table = StateTable(kinds)
         self.generation = 0
         self.healthy = False
         # What the disk may still have of guests that have changed since; emptied by each batch that is safe.
@@ -138,8 +138,8 @@
         except StateError:
             self.disk.unlock()
             raise
-        self.ledger, self.generation = found.ledger, found.generation
-        self.ledger.expire(now)
+        self.state_table, self.generation = found.state_table, found.generation
+        self.state_table.expire(now)
         return found
 
     def commit(self, changes: list[Change]) -> None:
@@ -153,10 +153,10 @@
             if (
                 change.kind == "guest"
                 and change.key not in self.before
-                and (old := self.ledger.image("guest", change.key))
+                and (old := self.state_table.image("guest", change.key))
             ):
                 self.before[change.key] = old
-        self.ledger.apply(changes)
+        self.state_table.apply(changes)
 
     def log(self, data: bytes) -> None:
         """Writes and syncs a batch that `apply` has seen; may run in a thread of its own."""
@@ -184,10 +184,10 @@
     def prepare(self, now: int) -> tuple[int, bytes, bytes]:
         """The number, the log's head and the snapshot of a new generation, as the ledger is now."""
         self.healthy = False
-        self.ledger.expire(now)
+        self.state_table.expire(now)
         self.before.clear()
         number = self.generation = self.generation + 1  # a number is never used twice, also if this fails
-        kept = list(self.ledger.changes())
+        kept = list(self.state_table.changes())
         return (
             number,
             frames.header(Header(FORMAT, self.planner, number, "log", now)),
--- a/tests/processes/fleetconfig_rig.py
+++ b/tests/processes/fleetconfig_rig.py
@@ -338,7 +338,7 @@
 
     def stored(self, name: str) -> Stored:
         found = read(RealDisk(self.home(name) / "revisions"), name, KINDS)
-        return read_ledger(found.ledger, found.complete, found.notes)
+        return read_ledger(found.state_table, found.complete, found.notes)
 
     def judge(self, lost: set[str] = frozenset()) -> None:
         """Of stopped processes. `lost`: whose disk was lost or put back: it may have begun earlier."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -285,15 +285,15 @@
 
 def recovered(one: Member, table: Table, stands: dict, life_of: dict[str, int] | None = None) -> Member:
     """The next life of this planner, with all that its state had at this moment."""
-    from hazelhold.state.state_table import Ledger
+    from hazelhold.state.state_table import StateTable
 
-    ledger = Ledger()
-    ledger.apply(one.engine.flush(100))
+    state_table = StateTable()
+    state_table.apply(one.engine.flush(100))
     made = Member("p0", machines="")
     made.stands, made.lives = stands, life_of or {}
     made.asks.clear()
     made.engine.claims = None
-    made.engine.keep(100, 0, ledger, True)
+    made.engine.keep(100, 0, state_table, True)
     made.engine.claim_by(100, Gate("p0", 500 * MS))
     table.members = (made, *table.members[1:])
     table.agree(100)
@@ -303,11 +303,11 @@
 
 
 def kept() -> tuple[Member, Table]:
-    from hazelhold.state.state_table import Ledger
+    from hazelhold.state.state_table import StateTable
 
     one, other = Member("p0", machines=""), Member("p1")
     one.engine.claims = None
-    one.engine.keep(0, 0, Ledger(), True)
+    one.engine.keep(0, 0, StateTable(), True)
     one.engine.claim_by(0, Gate("p0", 500 * MS))
     table = Table(one, other)
     table.agree(0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -228,7 +228,7 @@
         else:
             engine._abandon(rig.net.now(), engine.links[first])
             rig.planner._carry_out()
-            rig.planner.ticker.stir()
+            rig.planner.ticker.notify()
         await until(lambda: "offered" in order and "closed" in order)
         assert order[:2] == ["closed", "offered"] and not rig.planner.links.fences
 
--- a/tests/test_crossings_planner.py
+++ b/tests/test_crossings_planner.py
@@ -42,7 +42,7 @@
         await until(lambda: sum(line["op"] == "end" for line in machine.heard) == 2)
         for guest in (1, 2):  # both answers were on their way
             await machine.accept(machine.streams[-1], name(guest))
-        rig.planner.ticker.stir()
+        rig.planner.ticker.notify()
         await until(lambda: owner.of(1) and owner.of(2))
         assert owner.of(1) == [(END, 34)] and owner.of(2) == [(END, 41)]
 
@@ -150,7 +150,7 @@
         def pump(now: int) -> None:
             turns.append(now)
             real(now)
-            rig.planner.ticker.stir()  # always something to do, once in a turn
+            rig.planner.ticker.notify()  # always something to do, once in a turn
 
         busy = await rig.owner()
         await busy.say(set_up(1))
@@ -165,7 +165,7 @@
         )
         rig.planner.ticker.pause = 0.0
         rig.planner.engine.pump = pump
-        rig.planner.ticker.stir()
+        rig.planner.ticker.notify()
         await late.say(set_up(2))
         await until(lambda: late.of(2))
         assert late.of(2) == PLACED and len(turns) < 250 and rig.planner.limits.connections < 300
--- a/tests/test_fleetconfig_store.py
+++ b/tests/test_fleetconfig_store.py
@@ -170,7 +170,7 @@
     for kind, key in (("item", None), ("revision", None), ("position", "")):
         on = disk()
         store = filled(on, 4)
-        table = store.files.ledger.tables[kind]
+        table = store.files.state_table.tables[kind]
         lost = list(table)[1] if key is None else key
         store.files.commit([drop(kind, lost)])
         store.files.close()
@@ -387,7 +387,7 @@
 def test_an_entry_of_a_newer_program_is_read_by_the_fields_that_are_known() -> None:
     on = disk()
     store = filled(on, 2)
-    position = store.files.ledger.image("position", "")
+    position = store.files.state_table.image("position", "")
     newer = msgspec.msgpack.encode([*msgspec.structs.astuple(position), "more"])
     assert KINDS["position"] is type(position)
     change = drop("position", "")._replace(image=newer)
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -95,7 +95,7 @@
         assert fleet.planners["p0"].members.core.alone_since >= 0
         stream = await fleet.net.dial("door-p0")
         await stream.aclose()
-        assert not fleet.planners["p0"].stop_asked.is_set()
+        assert not fleet.planners["p0"].stop_requested.is_set()
 
     with_fleet(3, test)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -22,7 +22,7 @@
     on.write("log-1", frames.batch([end(9)])[:-3])  # never synced
     on.crash()
     found = store.read(on, "p0")
-    assert found.complete and sorted(found.ledger.tables["end"]) == [f"g{n}" for n in range(5)]
+    assert found.complete and sorted(found.state_table.tables["end"]) == [f"g{n}" for n in range(5)]
 
 
 @pytest.mark.parametrize("way", ["flip", "cut", "zero"])
@@ -46,8 +46,8 @@
         except store.StateError:
             assert way == "flip"  # of the planner's name or the format
             continue
-        names = [f"g{n}" for n in range(len(found.ledger.tables["end"]))]
-        assert sorted(found.ledger.tables["end"]) == names
+        names = [f"g{n}" for n in range(len(found.state_table.tables["end"]))]
+        assert sorted(found.state_table.tables["end"]) == names
         if way != "cut":
             assert not found.complete and "log-1: " in found.notes[0]
 
@@ -86,7 +86,7 @@
         store.read(on, "p0")
     monkeypatch.setitem(store.UPGRADES, 0, lambda batch: [c for c in batch if c.kind != "finish"])
     made = store.Store(on, "p0")
-    assert list(made.open(0, "p0 1").ledger.tables["end"]) == ["g1"]
+    assert list(made.open(0, "p0 1").state_table.tables["end"]) == ["g1"]
     made.begin(0)
     monkeypatch.delitem(store.UPGRADES, 0)
     assert store.read(on, "p0").generation == 4  # written anew in today's format
@@ -105,7 +105,7 @@
         if made.due():
             made.begin(second * S)
     assert made.generations == 2 and sum(map(len, on.safe.values())) < 3 * store.LEAST
-    assert len(made.ledger.tables["end"]) < 200 * 300
+    assert len(made.state_table.tables["end"]) < 200 * 300
 
 
 # Commands.
@@ -116,7 +116,7 @@
     made.open(0, "p0 1")
     made.begin(0)
     harness = EngineHarness("")
-    harness.engine.keep(0, 0, made.ledger, True)
+    harness.engine.keep(0, 0, made.state_table, True)
     harness.submits(0, "g", "once")
     made.commit([*harness.engine.flush(0), end(1)])
     run = CliRunner().invoke
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -81,7 +81,7 @@
         await trio.sleep(2)
         assert planner.engine.kept_well and await ask("g4", "once") == "held:"
         on.crash()
-        assert [i.name for i in store.read(on, "p0").ledger.images("guest")] == ["g4/0"]
+        assert [i.name for i in store.read(on, "p0").state_table.images("guest")] == ["g4/0"]
 
     beside(test, on)
 
@@ -189,22 +189,22 @@
                         ),
                     )
                     planner.driver.carry_out()
-                    await planner.keeper.drained()
+                    await planner.state_writer.drained()
 
                 await take("g1")
                 on.hang = 0.5
                 await take("g2")
-                assert planner.keeper.failed and not engine.kept_well
+                assert planner.state_writer.failed and not engine.kept_well
                 await take("g3")  # nothing waits for the disk any more
                 on.hang = 0.0
-                while planner.keeper.failed:
+                while planner.state_writer.failed:
                     await trio.sleep(0.02)
                 await take("g4")
                 nursery.cancel_scope.cancel()
 
     trio.run(run)
     on.unlock()
-    assert [i.guest for i in store.read(on, "p0").ledger.images("guest")] == ["g1", "g2", "g3", "g4"]
+    assert [i.guest for i in store.read(on, "p0").state_table.images("guest")] == ["g1", "g2", "g3", "g4"]
 
 
 def test_a_process_takes_over_from_another_and_no_owner_sees_an_error(tmp_path: Path) -> None:
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -5,7 +5,7 @@
 
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
-from hazelhold.state.state_table import Ledger
+from hazelhold.state.state_table import StateTable
 from tests.helpers import MS, EngineHarness, ask, brain, of, stand
 from tests.state_rig import S
 
@@ -14,17 +14,17 @@
     """Desks, one after the other, over one ledger."""
 
     def __init__(self) -> None:
-        self.ledger = Ledger()
+        self.state_table = StateTable()
 
     def harness(self, now: int, dead: str = "", complete: bool = True, **limits: object) -> EngineHarness:
         harness = EngineHarness("", **limits)
         harness.dead = set(dead)
-        harness.engine.keep(now, 0, self.ledger, complete)
+        harness.engine.keep(now, 0, self.state_table, complete)
         harness.run(now)
         return harness
 
     def dies(self, harness: EngineHarness, now: int) -> None:
-        self.ledger.apply(harness.engine.flush(now))
+        self.state_table.apply(harness.engine.flush(now))
 
 
 def started(**limits: object) -> tuple[Life, EngineHarness]:
@@ -56,7 +56,7 @@
     life.dies(harness, S)
     again = EngineHarness("")
     again.dead = {"a", "b"}
-    again.engine.keep(1500 * MS, 0, life.ledger, True)
+    again.engine.keep(1500 * MS, 0, life.state_table, True)
     again.run(1500 * MS)
     again.lists(1500 * MS, [again.entry(n) for n in "ab"], whole=True)
     assert not again.sent(m.Offer)  # it may run: nothing else is tried
@@ -84,7 +84,7 @@
     again = EngineHarness("")
     again.stands = {one: [stand(first, "runs")]}
     again.stands.setdefault(two, []).append(stand(second, "ended", "done"))
-    again.engine.keep(2 * S, 0, life.ledger, True)
+    again.engine.keep(2 * S, 0, life.state_table, True)
     again.run(2 * S)
     assert [(e.guest, e.how) for e in again.sent(m.GuestEnded)] == [("g2", "done")]
     assert again.owner(2 * S, m.Query(guest="g1"))[0].state == "running" and not again.sent(m.Offer)
@@ -119,14 +119,14 @@
     life, harness = started()
     offer, machine = harness.offer(S, "g", "ticket")
     life.dies(harness, S)
-    image = life.ledger.image("guest", "g/0")
+    image = life.state_table.image("guest", "g/0")
     assert image.asks == (0,)  # as it was when the dispatch was given up, before its answer
-    life.ledger.apply(
+    life.state_table.apply(
         [drop("guest", "g/0"), put("loose", f"g\0{machine}", LooseImage(image, machine, 0, S, False))]
     )
     again = EngineHarness("")
     again.stands = {machine: [stand(offer, "runs")]}
-    again.engine.keep(2 * S, 0, life.ledger, True)
+    again.engine.keep(2 * S, 0, life.state_table, True)
     again.run(2 * S)
     assert again.owner(2 * S, m.Query(guest="g"))[0].state == "running" and not again.sent(m.Placed)
 
