--- a/bench/capacity/hollow/members.py
+++ b/bench/capacity/hollow/members.py
@@ -19,7 +19,7 @@
 from hazelhold.config.planner import MembershipConfig
 from hazelhold.membership.host import Members
 from hazelhold.membership.rows import ALIVE
-from hazelhold.service.net import Port, TcpNet, UdpPort
+from hazelhold.service.net import DatagramPort, TcpNet, UdpPort
 
 
 class Settings(Struct):
@@ -69,7 +69,7 @@
         super().__init__()
         self.watched, self.flows = watched, PeerFlows()
 
-    async def port(self, address: str) -> Port:
+    async def port(self, address: str) -> DatagramPort:
         return CountingPort(await super().port(address), self.watched, self.flows)
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -29,7 +29,7 @@
 from hazelhold.emulate.town import SECOND, Costs, Demand, Town
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.run import play_virtual
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import TcpNet
 from hazelhold.service.planner import Planner
 
@@ -87,7 +87,9 @@
     planner.engine.advice.hopeless = lambda *asked: True
     async with trio.open_nursery() as nursery:
         await nursery.start(planner.run)
-        wire = Wire(await net.dial(planner.address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 28)
+        wire = MessageConnection(
+            await net.dial(planner.address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 28
+        )
         nursery.start_soon(wire.write)
         wire.send(m.Hello(role="owner", name="o"))
         await wire.first(m.Welcome, 9)
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -34,7 +34,7 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Ask, Ending, Listed, Mode, Remark, Step
 from hazelhold.protocol import messages as m
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.planner import Planner
 
@@ -134,7 +134,7 @@
 
     def __init__(self, net: Net, machines: int) -> None:
         self.net, self.machines, self.entries = net, machines, []
-        self.wires: dict[str, Wire] = {}
+        self.wires: dict[str, MessageConnection] = {}
         self.random = Random(1)
 
     async def open(self, nursery: trio.Nursery, host: str) -> str:
@@ -142,7 +142,7 @@
             name = f"m{number}"
 
             async def serve(stream: trio.abc.Stream, name: str = name) -> None:
-                wire = Wire(stream, m.Codec(m.TO_MACHINE), self.net.now, send_bytes=1 << 26)
+                wire = MessageConnection(stream, m.Codec(m.TO_MACHINE), self.net.now, send_bytes=1 << 26)
                 async with trio.open_nursery() as here:
                     here.start_soon(wire.write)
                     await wire.first(m.Hello, 60)
@@ -166,7 +166,7 @@
             )
 
         async def listing(stream: trio.abc.Stream) -> None:
-            wire = Wire(stream, m.Codec(m.TO_LIST), self.net.now, send_bytes=1 << 26)
+            wire = MessageConnection(stream, m.Codec(m.TO_LIST), self.net.now, send_bytes=1 << 26)
             async with trio.open_nursery() as here:
                 here.start_soon(wire.write)
                 await wire.first(m.Hello, 60)
@@ -177,7 +177,7 @@
 
         return await self.net.listen(f"{host}:0", listing, nursery)
 
-    def _said(self, wire: Wire, said: m.Message) -> None:
+    def _said(self, wire: MessageConnection, said: m.Message) -> None:
         if isinstance(said, m.Roll):
             wire.send(m.Running(guests=[]))
         elif isinstance(said, m.Offer):
@@ -210,7 +210,9 @@
         await nursery.start(planner.run)
         while len(peers.wires) < machines:
             await trio.sleep(0.05)
-        wire = Wire(await net.dial(planner.address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 26)
+        wire = MessageConnection(
+            await net.dial(planner.address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 26
+        )
         nursery.start_soon(wire.write)
         wire.send(m.Hello(role="owner", name="o"))
         await wire.first(m.Welcome, 60)
--- a/hazelhold/capture/load.py
+++ b/hazelhold/capture/load.py
@@ -12,7 +12,7 @@
 from hazelhold.capture.streams import Frame
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 
 OWNERS = m.Codec(m.FROM_OWNER)
@@ -48,9 +48,9 @@
     counts: Counter[str] = Counter()
     late: list[int] = []
     open_asks: set[tuple[str, int]] = set()
-    wires: dict[str, Wire] = {}
+    wires: dict[str, MessageConnection] = {}
 
-    async def listen(wire: Wire) -> None:
+    async def listen(wire: MessageConnection) -> None:
         try:
             async for said in wire.messages():
                 if isinstance(said, m.Placed | m.TurnedBack | m.BrokenOff | m.Rejected):
@@ -63,7 +63,7 @@
 
     async with trio.open_nursery() as nursery:
         for owner in sorted({owner for _, owner, _ in plan}):
-            wire = wires[owner] = Wire(
+            wire = wires[owner] = MessageConnection(
                 await net.dial(address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 26
             )
             nursery.start_soon(wire.write)
--- a/hazelhold/cli/state.py
+++ b/hazelhold/cli/state.py
@@ -22,7 +22,7 @@
     """What a planner keeps beyond its process. Reading is harmless beside a running planner."""
 
 
-def _read(folder: Path) -> store.Found:
+def _read(folder: Path) -> store.StoreContents:
     disk = RealDisk(folder)
     for _ in range(5):  # a running planner may begin a new generation meanwhile
         before = disk.names()
@@ -116,7 +116,7 @@
     click.echo(f"{before} bytes became {after}")
 
 
-def _planner(folder: Path, found: store.Found) -> str:
+def _planner(folder: Path, found: store.StoreContents) -> str:
     from hazelhold.state import frames
 
     for name in RealDisk(folder).names():
--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -14,7 +14,7 @@
 from hazelhold.client.types import ClientPolicy, Connect, Leave, Outcome, Send, TaskRequest, Tell
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.ticker import Ticker
 
@@ -61,7 +61,7 @@
         self.queries: dict[str, list[tuple[trio.Event, list]]] = {}  # emptied by the answers, or in time
         self.core = ClientCore(name, list(planners), policy or ClientPolicy(), Random(seed))
         self.slots: dict[str, Slot] = {}  # emptied as guests end
-        self.wires: dict[str, Wire] = {}
+        self.wires: dict[str, MessageConnection] = {}
         self.ticker = Ticker(self.net.now, lambda now: self.core.next_at(), self._work)
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
@@ -187,7 +187,7 @@
         try:
             with trio.fail_after(self.connect_s):
                 stream = await self.net.dial(self.planners[planner])
-            wire = Wire(stream, CODEC, self.net.now, send_bytes=1 << 24)
+            wire = MessageConnection(stream, CODEC, self.net.now, send_bytes=1 << 24)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wire.write)
                 with wire.scope:
--- a/hazelhold/emulate/fleet_lines.py
+++ b/hazelhold/emulate/fleet_lines.py
@@ -20,8 +20,8 @@
 
     def cut(self) -> None:
         """Broken by the far end, or by what happens to it."""
-        if self.far.wires.get(self.planner.name) is self:
-            del self.far.wires[self.planner.name]
+        if self.far.connections.get(self.planner.name) is self:
+            del self.far.connections[self.planner.name]
             self.far.recorder.note(self.far.fleet.clock.now, self.planner.name, "shut")
         self.far.fleet.later(self.far, self.planner, self.planner.shut, self)
 
@@ -40,22 +40,22 @@
     ) -> None:
         self.fleet, self.name, self.zone, self.recorder = fleet, name, zone, recorder
         self.said, self.left = said, left
-        self.wires: dict[str, Line] = {}
+        self.connections: dict[str, Line] = {}
         self.open, self.address = True, name
         self.muted: Callable[[str], bool] = lambda planner: False
 
     def send(self, planner: str, message: m.Message) -> None:
-        if (line := self.wires.get(planner)) and not self.muted(planner):
+        if (line := self.connections.get(planner)) and not self.muted(planner):
             self.recorder.note(self.fleet.clock.now, planner, "out", message)
             self.fleet.later(self, line.planner, line.planner.hears, line, message)
 
     def shut(self) -> None:
-        for line in list(self.wires.values()):
+        for line in list(self.connections.values()):
             line.cut()
             self.left(line.planner.name)
 
     def hears(self, line: Line, message: m.Message) -> None:
-        if self.wires.get(line.planner.name) is line and not self.muted(line.planner.name):
+        if self.connections.get(line.planner.name) is line and not self.muted(line.planner.name):
             self.recorder.note(self.fleet.clock.now, line.planner.name, "in", message)
             self.said(line.planner.name, message)
 
@@ -64,9 +64,9 @@
         if not self.open:
             return False
         if not self.muted(line.planner.name):
-            if old := self.wires.get(line.planner.name):
+            if old := self.connections.get(line.planner.name):
                 self.fleet.later(self, old.planner, old.planner.shut, old)
-            self.wires[line.planner.name] = line
+            self.connections[line.planner.name] = line
             self.recorder.note(self.fleet.clock.now, line.planner.name, "open")
             self.fleet.later(self, line.planner, line.planner.welcomed, line)
         return True
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -70,7 +70,7 @@
 
     def _dial(self, machine: str) -> None:
         self._hang_up(machine)
-        far = self.fleet.hosts[machine].door
+        far = self.fleet.hosts[machine].server
         self.fleet.numbers += 1
         line = self.lines[machine] = Line(far, self, self.fleet.numbers)
         self.fleet.later(far, self, self._arrives, line, machine)
@@ -114,8 +114,8 @@
             self.fleet.later(line.far, self, self._hung_up, line)
 
     def _hung_up(self, line: Line) -> None:
-        if line.far.wires.get(self.name) is line:
-            del line.far.wires[self.name]
+        if line.far.connections.get(self.name) is line:
+            del line.far.connections[self.name]
             line.far.recorder.note(self.clock.now, self.name, "shut")
             line.far.left(self.name)
 
@@ -134,7 +134,7 @@
     def _follow(self) -> None:
         if not self.up or self.list_line is not None:
             return
-        far = self.fleet.list_host.door
+        far = self.fleet.list_host.server
         self.fleet.numbers += 1
         line = self.list_line = Line(far, self, self.fleet.numbers)
         if not far.reached(line):
--- a/hazelhold/fleetconfig/connection.py
+++ b/hazelhold/fleetconfig/connection.py
@@ -9,7 +9,7 @@
 from hazelhold.fleetconfig.codec import MAX_MESSAGE, MessageError
 from hazelhold.fleetconfig.messages import VERSION, ConfigMessage, Greeting, GreetingAnswer
 from hazelhold.protocol.frames import FrameError, frame
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 
 GREETING = 2.0  # seconds for a greeting or its answer
 SEND_BYTES = 4 << 20  # what may wait for a peer that reads slowly; past it the connection is cut
@@ -28,7 +28,7 @@
             raise FrameError(wrong.code, wrong.text) from None
 
 
-class Connection(Wire):
+class Connection(MessageConnection):
     """One side of a connection. `name` is the other side's, once greetings were exchanged."""
 
     def __init__(self, stream: trio.abc.Stream, now: Callable[[], int]) -> None:
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -16,7 +16,7 @@
 from hazelhold.membership.messages import VERSION
 from hazelhold.membership.rows import ALIVE, Row
 from hazelhold.protocol.record import Recorder
-from hazelhold.service.net import Net, Port
+from hazelhold.service.net import DatagramPort, Net
 
 WARNINGS = ("suspected", "gone", "refuted", "alone", "life_raised")
 
@@ -63,7 +63,7 @@
         self.name, self.config, self.net, self.recorder = name, config, net, recorder
         self.log = structlog.get_logger().bind(planner=name)
         self.core: Core | None = None
-        self.port: Port | None = None
+        self.port: DatagramPort | None = None
         self.notified = trio.Event()
         self.beside: Callable[[], dict[str, str]] = dict  # what else `hazelhold members` shows
 
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -132,7 +132,7 @@
 
     def was_read(self, size: int) -> None:
         """Notes since when what was read may have waited. What a short read has left came no later."""
-        self.arrival.came()
+        self.arrival.data_arrived()
         if size < READ and (self.arrival.waited() < READ_SOON or not self.unread()):
             self.arrival.emptied()
 
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -24,7 +24,7 @@
 from hazelhold.platform.machine_links import MachineLinks
 from hazelhold.platform.owner_door import OwnerDoor
 from hazelhold.protocol import messages as m
-from hazelhold.service.arrival_time import beat
+from hazelhold.service.arrival_time import poll_heartbeat
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
 
@@ -90,7 +90,7 @@
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
             self.nursery = self.links.nursery = nursery
-            nursery.start_soon(beat)
+            nursery.start_soon(poll_heartbeat)
             for item in self.start.known.items:
                 try:
                     self._hear_discovery([self._event(item)])
--- a/hazelhold/rehearse/alone.py
+++ b/hazelhold/rehearse/alone.py
@@ -11,7 +11,7 @@
 from hazelhold.protocol.frames import FrameError
 from hazelhold.rehearse.environment import Environment
 from hazelhold.rehearse.troubles import plan
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import TcpNet
 
 OWNERS_PART = ("burst", "rejoin")
@@ -48,9 +48,9 @@
     return dict(counts)
 
 
-async def _enlist(net: TcpNet, address: str, nursery: trio.Nursery) -> Wire:
+async def _enlist(net: TcpNet, address: str, nursery: trio.Nursery) -> MessageConnection:
     """A connection to the list service on which machines tell of themselves."""
-    wire = Wire(await net.dial(address), m.Codec(m.FROM_LIST), net.now, send_bytes=1 << 24)
+    wire = MessageConnection(await net.dial(address), m.Codec(m.FROM_LIST), net.now, send_bytes=1 << 24)
     nursery.start_soon(wire.write)
     wire.send(m.Hello(role="machine", name="stand-in-machines"))
     await wire.first(m.Welcome, 5.0)
--- a/hazelhold/rehearse/crashes.py
+++ b/hazelhold/rehearse/crashes.py
@@ -72,14 +72,14 @@
         disk = self.disks[fault.planner]
         await trio.sleep(fault.at_s)
         if fault.what == "full":
-            disk.room = 300
+            disk.free_bytes = 300
         else:
-            disk.fails |= dict.fromkeys(
+            disk.error_codes |= dict.fromkeys(
                 FAULTS[fault.what], errno.EROFS if fault.what == "read_only" else errno.EIO
             )
         await trio.sleep(fault.for_s)
-        disk.room = None
-        disk.fails.clear()
+        disk.free_bytes = None
+        disk.error_codes.clear()
 
     async def start(self, number: int) -> None:
         if number in self.running:
@@ -94,7 +94,7 @@
             config, config.seed + self.lives[number], self.net, recorder, disk, votes=self.votes[number]
         )
         do = planner.perform
-        planner.state_writer.do = lambda action: self._do(do, disk, action)
+        planner.state_writer.perform = lambda action: self._do(do, disk, action)
         scope, done = trio.CancelScope(), trio.Event()
         self.running[number] = planner, scope, done
 
@@ -185,4 +185,4 @@
         faults,
         clock=MockClock(autojump_threshold=0),
     )
-    return {**said, "points": points.count, "struck": points.struck}
+    return {**said, "points": points.count, "struck": points.crashes}
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -14,7 +14,7 @@
 from hazelhold.protocol.messages import Enlist, Entry
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.troubles import Target, TroubleStep
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 from hazelhold.standin.list_service import ListHost
 from hazelhold.standin.machines import MachineHost
@@ -36,7 +36,9 @@
         self.recorders: list[Recorder] = []
         self._make_machines()
         r = day.roster
-        self.remote: Wire | None = None  # a list service elsewhere, for machines that stand alone
+        self.remote: MessageConnection | None = (
+            None  # a list service elsewhere, for machines that stand alone
+        )
         self.service = ListService(
             seed,
             net.now(),
@@ -216,7 +218,7 @@
         machine = host.machine
         entry = Entry(
             machine=name,
-            address=host.door.address,
+            address=host.server.address,
             mode=mode,
             kind=machine.profile.kind,
             incarnation=machine.incarnation,
@@ -311,7 +313,7 @@
     def _do_heal(self, name: str, value: int) -> None:
         for host in self.hosts.values():
             for planner in host.cut_from:
-                if wire := host.door.wires.pop(planner, None):
+                if wire := host.server.connections.pop(planner, None):
                     wire.cut()
             host.cut_from = set()
 
--- a/hazelhold/rehearse/wires.py
+++ b/hazelhold/rehearse/wires.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from hazelhold.service.net import Net, Port
+from hazelhold.service.net import DatagramPort, Net
 
 CHUNK = 65_536
 
@@ -113,7 +113,7 @@
         self.nursery.start_soon(self._carry, inner, self.way(a, b), target)
         return inner.address
 
-    async def _carry(self, port: Port, direction: Direction, target: str) -> None:
+    async def _carry(self, port: DatagramPort, direction: Direction, target: str) -> None:
         to = target
         if port.numeric:
             host, _, number = target.rpartition(":")
@@ -130,7 +130,7 @@
         finally:
             port.close()
 
-    async def _later(self, port: Port, body: bytes, to: object, late: float) -> None:
+    async def _later(self, port: DatagramPort, body: bytes, to: object, late: float) -> None:
         await trio.sleep(late)
         port.send(body, to)
 
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -22,7 +22,7 @@
 from hazelhold.replica.proposer import Change as Asked
 from hazelhold.replica.proposer import Done, Proposer, Send
 from hazelhold.replica.votes import Retention, Votes, keep_open_claims
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.service.net import Net
 from hazelhold.state import frames
@@ -85,7 +85,7 @@
 
     def __init__(self, name: str, address: str) -> None:
         self.name, self.address = name, address
-        self.wire: Wire | None = None
+        self.wire: MessageConnection | None = None
         self.waiting: deque[messages.Message] = deque(maxlen=WAITING)
         self.opening = False
         self.used = 0.0
@@ -322,7 +322,7 @@
             pause = min(2 * pause, RETRY[1])
 
     async def _listen(self, far: Far, stream: trio.abc.Stream) -> None:
-        wire = Wire(stream, ANSWERS, self.net.now)
+        wire = MessageConnection(stream, ANSWERS, self.net.now)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wire.write)
             with wire.scope:
@@ -360,7 +360,7 @@
 
     async def _door(self, stream: trio.abc.Stream) -> None:
         """One planner's askings. Whatever is wrong with a connection ends it alone."""
-        wire = Wire(stream, ASKS, self.net.now)
+        wire = MessageConnection(stream, ASKS, self.net.now)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wire.write)
             with wire.scope:
@@ -383,7 +383,7 @@
     def _heard(
         self,
         sender: str,
-        wire: Wire,
+        wire: MessageConnection,
         message: messages.Message | messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
     ) -> None:
         if isinstance(message, Greet):
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -20,7 +20,7 @@
 from hazelhold.replica.sets import Keeper, Sets
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change, drop, put
-from hazelhold.state.store import Found, StateError, Store
+from hazelhold.state.store import StateError, Store, StoreContents
 
 
 class Seat(Struct, array_like=True, frozen=True):
@@ -144,7 +144,7 @@
         self.source = Source(name, self.sets, self.acceptor)
         self.why = "not_opened"  # why these votes are none to give: empty, no_seat or damaged
 
-    def open(self, wall: int, text: str) -> Found:
+    def open(self, wall: int, text: str) -> StoreContents:
         """Reads what was promised. StateError if the folder is another planner's, another set's or in use."""
         seen = self.store.open(wall, text)
         state_table, acceptor = self.store.state_table, self.acceptor
--- a/hazelhold/service/arrival_time.py
+++ b/hazelhold/service/arrival_time.py
@@ -22,18 +22,18 @@
     """
 
     def __init__(self) -> None:
-        self.waits_since = self.looked_at = self.looked_before = trio.current_time()
+        self.poll_began_at = self.last_poll_at = self.previous_poll_at = trio.current_time()
 
     def before_io_wait(self, timeout: float) -> None:
-        self.waits_since = trio.current_time()
+        self.poll_began_at = trio.current_time()
 
     def after_io_wait(self, timeout: float) -> None:
         now = trio.current_time()
-        self.looked_before = self.looked_at
+        self.previous_poll_at = self.last_poll_at
         if timeout <= 0:  # it looked at once, and may have been stopped before it returned
-            self.looked_at = self.waits_since
-        elif now - self.waits_since <= timeout + LATE_WAKE:
-            self.looked_at = now
+            self.last_poll_at = self.poll_began_at
+        elif now - self.poll_began_at <= timeout + LATE_WAKE:
+            self.last_poll_at = now
 
 
 _current: trio.lowlevel.RunVar[LoopClock] = trio.lowlevel.RunVar("loop_clock")
@@ -50,7 +50,7 @@
         return clock
 
 
-async def beat() -> None:
+async def poll_heartbeat() -> None:
     """Lets the loop look for I/O now and then, whatever else it waits for."""
     while True:
         await trio.sleep(HEARTBEAT)
@@ -65,7 +65,7 @@
 
     def __init__(self) -> None:
         self.clock = loop_clock()
-        self.empty_at = self.began_at = self.came_after = trio.current_time()
+        self.empty_at = self.began_at = self.arrived_after = trio.current_time()
 
     def begin(self) -> None:
         self.began_at = trio.current_time()
@@ -73,17 +73,17 @@
     def has_just_begun(self) -> bool:
         """Whether the wait began within two turns of the loop: trio hands on what it reads at once a turn
         later."""
-        return self.began_at >= self.clock.looked_before
+        return self.began_at >= self.clock.previous_poll_at
 
-    def came(self) -> None:
+    def data_arrived(self) -> None:
         """Sets `came_after`: what can be taken now came after this moment."""
-        looked_since = self.clock.looked_before >= self.began_at
-        self.came_after = self.clock.looked_before if looked_since else self.empty_at
+        looked_since = self.clock.previous_poll_at >= self.began_at
+        self.arrived_after = self.clock.previous_poll_at if looked_since else self.empty_at
 
     def emptied(self) -> None:
-        looked_since = self.clock.looked_before >= self.began_at
-        self.empty_at = self.clock.looked_at if looked_since else self.began_at
+        looked_since = self.clock.previous_poll_at >= self.began_at
+        self.empty_at = self.clock.last_poll_at if looked_since else self.began_at
 
     def waited(self) -> float:
         """Seconds for which what came last may have waited at the most."""
-        return trio.current_time() - self.came_after
+        return trio.current_time() - self.arrived_after
--- a/hazelhold/service/connection.py
+++ b/hazelhold/service/connection.py
@@ -99,7 +99,7 @@
                 await self.stream.aclose()
 
 
-class Wire(SendQueue):
+class MessageConnection(SendQueue):
     """One side of a connection that carries frames."""
 
     def __init__(
--- a/hazelhold/service/connection_factory.py
+++ b/hazelhold/service/connection_factory.py
@@ -6,7 +6,7 @@
 from hazelhold.config.planner import LimitsConfig
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 
 
@@ -16,17 +16,21 @@
     def __init__(self, limits: LimitsConfig, net: Net, recorder: Recorder | None, tap: Tap | None) -> None:
         self.limits, self.net, self.recorder, self.tap = limits, net, recorder, tap
 
-    def wire(self, stream: trio.abc.Stream, codec: m.Codec, peer: str = "", frame_bytes: int = 0) -> Wire:
+    def connection(
+        self, stream: trio.abc.Stream, codec: m.Codec, peer: str = "", frame_bytes: int = 0
+    ) -> MessageConnection:
         """A wire on this stream. `frame_bytes`: where the peer may send longer frames than others."""
         longest = max(self.limits.frame_bytes, frame_bytes)
-        return Wire(stream, codec, self.net.now, self.recorder, peer, longest, self.limits.send_bytes)
+        return MessageConnection(
+            stream, codec, self.net.now, self.recorder, peer, longest, self.limits.send_bytes
+        )
 
-    def begin_capture(self, role: str, who: str, wire: Wire, dialled: bool) -> None:
+    def begin_capture(self, role: str, who: str, connection: MessageConnection, dialled: bool) -> None:
         """Gives the wire a connection in the capture, if there is one."""
         if self.tap is not None:
-            wire.trunk = self.tap.trunk(role, who, wire.stream, dialled, self.net.now())
+            connection.trunk = self.tap.trunk(role, who, connection.stream, dialled, self.net.now())
 
-    def end_capture(self, wire: Wire) -> None:
+    def end_capture(self, connection: MessageConnection) -> None:
         """Closes the wire's connection in the capture."""
-        if wire.trunk is not None:
-            wire.trunk.close(self.net.now())
+        if connection.trunk is not None:
+            connection.trunk.close(self.net.now())
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -15,7 +15,7 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import frame
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
 
@@ -45,7 +45,7 @@
         self.engine.pump(now)
         self.carry_out()
 
-    def feed(
+    def deliver(
         self, what: str, now: int | None = None, *, who: str = "", welcome: m.Welcome | None = None
     ) -> None:
         """Tells the engine of something that is no message, by one of its input methods; notes it in the
@@ -60,7 +60,7 @@
         getattr(self.engine, what)(now, *given)
         self.carry_out()
 
-    def state_news(self, what: str, news: object) -> None:
+    def deliver_state_event(self, what: str, news: object) -> None:
         """What the keeper has to tell the engine: the disk's health, an offer that did not leave."""
         now = self.net.now()
         if self.tap is not None:
@@ -69,13 +69,13 @@
         self.carry_out()
         self.ticker.notify()
 
-    def hear(self, what: str, wire: Wire, *given: object) -> None:
+    def deliver_message(self, what: str, connection: MessageConnection, *given: object) -> None:
         """Takes a message of a peer to the engine; what needs no decision goes out before one is made."""
         if self.handed_over:
             return  # the next process hears it: what is not acknowledged is asked again
         now = self.net.now()
-        if wire.trunk is not None:
-            wire.trunk.data(False, frame(wire.body), now)
+        if connection.trunk is not None:
+            connection.trunk.data(False, frame(connection.body), now)
         getattr(self.engine, what)(now, *given)
         self.carry_out()
         self.ticker.notify()
--- a/hazelhold/service/list_link.py
+++ b/hazelhold/service/list_link.py
@@ -8,7 +8,7 @@
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
@@ -23,11 +23,16 @@
         self,
         config: PlannerConfig,
         driver: EngineDriver,
-        wires: ConnectionFactory,
+        connection_factory: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
-        self.config, self.limits, self.driver, self.wires = config, config.limits, driver, wires
+        self.config, self.limits, self.driver, self.connection_factory = (
+            config,
+            config.limits,
+            driver,
+            connection_factory,
+        )
         self.counts, self.log = counts, log
         self.wanted: int | None = None
         self.asked = trio.Event()
@@ -45,45 +50,47 @@
             try:
                 with trio.fail_after(self.limits.hello_ms / 1000):
                     stream = await self.driver.net.dial(self.config.list.address)
-                wire = self.wires.wire(stream, LIST, "list", self.config.list.frame_bytes)
-                self.wires.begin_capture("list", "list", wire, True)
+                connection = self.connection_factory.connection(
+                    stream, LIST, "list", self.config.list.frame_bytes
+                )
+                self.connection_factory.begin_capture("list", "list", connection, True)
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(wire.write)
-                    with wire.scope:
-                        await self._hear_list(wire, nursery)
-                    wire.finish()
-                    self.wires.end_capture(wire)
+                    nursery.start_soon(connection.write)
+                    with connection.scope:
+                        await self._hear_list(connection, nursery)
+                    connection.finish()
+                    self.connection_factory.end_capture(connection)
                     nursery.cancel_scope.cancel()
             except (OSError, trio.TooSlowError) as wrong:
                 self.log.debug("list_unreachable", reason=str(wrong))
-            self.driver.feed("list_failed")
+            self.driver.deliver("list_failed")
             self.wanted = self.driver.engine.list_version if not self.config.list.asked else None
             self.driver.ticker.notify()
             await trio.sleep(RETRY_S)
 
-    async def _hear_list(self, wire: Wire, nursery: trio.Nursery) -> None:
+    async def _hear_list(self, connection: MessageConnection, nursery: trio.Nursery) -> None:
         try:
-            wire.send(m.Hello(role="planner", name=self.config.name))
-            await wire.first(m.Welcome, self.limits.hello_ms / 1000)
-            wire.captured()
-            nursery.start_soon(self._send_asks, wire)
-            for message in wire.rest():
-                self._list_said(wire, message)
-            async for message in wire.messages():
-                self._list_said(wire, message)
+            connection.send(m.Hello(role="planner", name=self.config.name))
+            await connection.first(m.Welcome, self.limits.hello_ms / 1000)
+            connection.captured()
+            nursery.start_soon(self._send_asks, connection)
+            for message in connection.rest():
+                self._list_said(connection, message)
+            async for message in connection.messages():
+                self._list_said(connection, message)
         except FrameError as wrong:
             self.counts["list_" + wrong.code] += 1
             self.log.info("list_left", code=wrong.code, reason=wrong.text)
 
-    async def _send_asks(self, wire: Wire) -> None:
+    async def _send_asks(self, connection: MessageConnection) -> None:
         while True:
             if self.wanted is not None:
-                wire.send(m.Watch(since=self.wanted))
+                connection.send(m.Watch(since=self.wanted))
                 self.wanted = None
             await self.asked.wait()
             self.asked = trio.Event()
 
-    def _list_said(self, wire: Wire, message: m.Message) -> None:
+    def _list_said(self, connection: MessageConnection, message: m.Message) -> None:
         if isinstance(message, m.Fault | m.Bye):
             raise FrameError("list_left", "the list service ended the connection")
-        self.driver.hear("list_said", wire, message)
+        self.driver.deliver_message("list_said", connection, message)
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -8,7 +8,7 @@
 from hazelhold.engine.cases import Dial
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
@@ -23,21 +23,21 @@
         self,
         name: str,
         driver: EngineDriver,
-        wires: ConnectionFactory,
+        connection_factory: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
-        self.name, self.driver, self.wires = name, driver, wires
+        self.name, self.driver, self.connection_factory = name, driver, connection_factory
         self.counts, self.log = counts, log
-        self.machines: dict[str, tuple[trio.CancelScope, Wire | None]] = {}
+        self.machines: dict[str, tuple[trio.CancelScope, MessageConnection | None]] = {}
 
-    def wire(self, machine: str) -> Wire | None:
+    def connection(self, machine: str) -> MessageConnection | None:
         """The wire to a machine that has welcomed this planner."""
         return self.machines.get(machine, (None, None))[1]
 
-    def open_wires(self) -> list[Wire]:
+    def open_connections(self) -> list[MessageConnection]:
         """The wires to all machines that have welcomed this planner."""
-        return [wire for _, wire in self.machines.values() if wire]
+        return [connection for _, connection in self.machines.values() if connection]
 
     def dial(self, action: Dial, nursery: trio.Nursery) -> None:
         """Opens a link in place of any that there is."""
@@ -48,9 +48,9 @@
 
     def hang_up(self, machine: str) -> None:
         """Ends a machine's link, if there is one, at once."""
-        scope, wire = self.machines.pop(machine, (None, None))
-        if wire is not None:
-            wire.cut()
+        scope, connection = self.machines.pop(machine, (None, None))
+        if connection is not None:
+            connection.cut()
         if scope is not None:
             scope.cancel()
 
@@ -61,45 +61,45 @@
             try:
                 with trio.fail_after(dial.span / 1e6):
                     stream = await self.driver.net.dial(dial.address)
-                wire = self.wires.wire(stream, MACHINES, name)
-                self.wires.begin_capture("machine", name, wire, True)
+                connection = self.connection_factory.connection(stream, MACHINES, name)
+                self.connection_factory.begin_capture("machine", name, connection, True)
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(wire.write)
-                    with wire.scope:
+                    nursery.start_soon(connection.write)
+                    with connection.scope:
                         try:
-                            wire.send(m.Hello(role="planner", name=self.name))
-                            welcome = await wire.first(m.Welcome, dial.span / 1e6)
+                            connection.send(m.Hello(role="planner", name=self.name))
+                            welcome = await connection.first(m.Welcome, dial.span / 1e6)
                             up = True
-                            self.machines[name] = scope, wire
-                            wire.note("open", None)
-                            wire.captured()
-                            self.driver.feed("link_up", who=name, welcome=welcome)
+                            self.machines[name] = scope, connection
+                            connection.note("open", None)
+                            connection.captured()
+                            self.driver.deliver("link_up", who=name, welcome=welcome)
                             self.driver.ticker.notify()
-                            await self._hear_machine(name, wire)
+                            await self._hear_machine(name, connection)
                         except FrameError as wrong:
                             self.counts["machine_" + wrong.code] += 1
                             self.log.info("machine_left", machine=name, code=wrong.code, reason=wrong.text)
-                    wire.finish()
-                    wire.note("shut", None)
-                    self.wires.end_capture(wire)
+                    connection.finish()
+                    connection.note("shut", None)
+                    self.connection_factory.end_capture(connection)
             except (OSError, trio.TooSlowError) as wrong:
                 self.counts["dials_failed"] += 1
                 self.log.debug("dial_failed", machine=name, address=dial.address, reason=str(wrong))
         if scope.cancelled_caught or self.machines.get(name, (None,))[0] is not scope:
             return
         del self.machines[name]
-        self.driver.feed("link_down" if up else "link_failed", who=name)
+        self.driver.deliver("link_down" if up else "link_failed", who=name)
         self.driver.ticker.notify()
 
-    async def _hear_machine(self, name: str, wire: Wire) -> None:
-        for message in wire.rest():
-            self._machine_said(name, wire, message)
-        async for message in wire.messages():
+    async def _hear_machine(self, name: str, connection: MessageConnection) -> None:
+        for message in connection.rest():
+            self._machine_said(name, connection, message)
+        async for message in connection.messages():
             if isinstance(message, m.Bye):
                 return
-            self._machine_said(name, wire, message)
+            self._machine_said(name, connection, message)
 
-    def _machine_said(self, name: str, wire: Wire, message: m.Message) -> None:
+    def _machine_said(self, name: str, connection: MessageConnection, message: m.Message) -> None:
         if isinstance(message, m.Fault):
             raise FrameError(message.code, message.text)
-        self.driver.hear("machine_said", wire, name, message)
+        self.driver.deliver_message("machine_said", connection, name, message)
--- a/hazelhold/service/net.py
+++ b/hazelhold/service/net.py
@@ -19,7 +19,7 @@
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 
-class Port(Protocol):
+class DatagramPort(Protocol):
     """Where datagrams come and go. What cannot be sent at once is dropped: datagrams may be lost anyway."""
 
     address: str
@@ -96,13 +96,13 @@
     def __init__(self, net: "MemoryNet", address: str) -> None:
         self.net, self.address = net, address
         self.inbox: deque[tuple[bytes, str]] = deque(maxlen=4096)
-        self.came = trio.Event()
+        self.data_arrived = trio.Event()
 
     async def readable(self) -> None:
         await trio.lowlevel.checkpoint()
         while not self.inbox:
-            self.came = trio.Event()
-            await self.came.wait()
+            self.data_arrived = trio.Event()
+            await self.data_arrived.wait()
 
     def pending(self) -> Iterator[tuple[bytes, str]]:
         while self.inbox:
@@ -114,7 +114,7 @@
 
     def take(self, body: bytes, source: str) -> None:
         self.inbox.append((body, source))
-        self.came.set()
+        self.data_arrived.set()
 
     def close(self) -> None:
         if self.net.ports.get(self.address) is self:
@@ -136,7 +136,7 @@
         self, address: str, handler: Handler, nursery: trio.Nursery, at_once: int = 1
     ) -> str: ...
 
-    async def port(self, address: str) -> Port: ...
+    async def port(self, address: str) -> DatagramPort: ...
 
 
 ACCEPT_DELAY = "hazelhold_accept_delay"
@@ -168,7 +168,7 @@
                 queue.begin()
                 await trio.lowlevel.wait_readable(listener)
                 if queue_empty:  # else some have waited since the last time already
-                    queue.came()
+                    queue.data_arrived()
                 queue_empty = False
                 try:
                     for _ in range(at_once):
@@ -239,7 +239,7 @@
         nursery.start_soon(serve, listener, handler, at_once)
         return f"{bound[0]}:{bound[1]}"
 
-    async def port(self, address: str) -> Port:
+    async def port(self, address: str) -> DatagramPort:
         await trio.lowlevel.checkpoint()
         return UdpPort(*split_address(address))
 
@@ -249,7 +249,7 @@
 
     def __init__(self) -> None:
         self.ports: dict[str, MemoryPort] = {}
-        self.doors: dict[str, tuple[Handler, trio.Nursery]] = {}
+        self.listeners: dict[str, tuple[Handler, trio.Nursery]] = {}
         self.numbers = 0
 
     def now(self) -> int:
@@ -263,11 +263,11 @@
 
     async def dial(self, address: str) -> trio.abc.Stream:
         await trio.lowlevel.checkpoint()
-        if address not in self.doors:
+        if address not in self.listeners:
             raise OSError(f"nobody listens at {address}")
         from trio.testing import memory_stream_pair  # not above: it brings megabytes that sockets do without
 
-        handler, nursery = self.doors[address]
+        handler, nursery = self.listeners[address]
         mine, theirs = memory_stream_pair()
         nursery.start_soon(handler, theirs)
         return mine
@@ -278,11 +278,11 @@
         if address.endswith(":0"):
             self.numbers += 1
             address = f"{address[:-2]}:{self.numbers}"
-        self.doors[address] = handler, nursery
+        self.listeners[address] = handler, nursery
         nursery.start_soon(self._leave, address, handler)
         return address
 
-    async def port(self, address: str) -> Port:
+    async def port(self, address: str) -> DatagramPort:
         await trio.lowlevel.checkpoint()
         if address.endswith(":0"):
             self.numbers += 1
@@ -298,5 +298,5 @@
         try:
             await trio.sleep_forever()
         finally:
-            if self.doors.get(address, (None,))[0] is handler:
-                del self.doors[address]
+            if self.listeners.get(address, (None,))[0] is handler:
+                del self.listeners[address]
--- a/hazelhold/service/owner_server.py
+++ b/hazelhold/service/owner_server.py
@@ -10,7 +10,7 @@
 from hazelhold.engine.advice import Doorman
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
@@ -25,13 +25,18 @@
         config: PlannerConfig,
         seed: int,
         driver: EngineDriver,
-        wires: ConnectionFactory,
+        connection_factory: ConnectionFactory,
         counts: Counter[str],
         log: structlog.stdlib.BoundLogger,
     ) -> None:
-        self.config, self.limits, self.driver, self.wires = config, config.limits, driver, wires
+        self.config, self.limits, self.driver, self.connection_factory = (
+            config,
+            config.limits,
+            driver,
+            connection_factory,
+        )
         self.counts, self.log = counts, log
-        self.owners: dict[str, Wire] = {}
+        self.owners: dict[str, MessageConnection] = {}
         self.connections = self.greeting = 0  # open ones, and those before their Hello
         self.doorman = Doorman(
             config.limits.handshakes_a_second,
@@ -43,79 +48,87 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """One owner's connection, from its Hello to its end. Whatever is wrong with it ends it alone."""
-        wire = self.wires.wire(stream, OWNERS)
+        connection = self.connection_factory.connection(stream, OWNERS)
         self.connections += 1
         later = self.doorman.admits(self.driver.net.now(), self.greeting)
         self.greeting += 1
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(wire.write)
+                nursery.start_soon(connection.write)
                 if self.connections > self.limits.connections:
                     limit = self.limits.connections
-                    self._refuse(wire, FrameError("too_many", f"{limit} connections are open"))
+                    self._refuse(connection, FrameError("too_many", f"{limit} connections are open"))
                 elif later:
                     self.counts["connections_put_off"] += 1
-                    wire.finish(m.Fault(code="busy", text="come back later", again_after=later))
+                    connection.finish(m.Fault(code="busy", text="come back later", again_after=later))
                 else:
-                    with wire.scope:
-                        await self._serve_owner(wire)
-                wire.finish()
+                    with connection.scope:
+                        await self._serve_owner(connection)
+                connection.finish()
         finally:
             self.connections -= 1
-            self._greeted(wire)
+            self._greeted(connection)
 
     def return_window(self) -> int:
         """Microseconds over which owners should spread their return, were they all to lose this planner."""
         return self.doorman.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
 
-    def _greeted(self, wire: Wire) -> None:
+    def _greeted(self, connection: MessageConnection) -> None:
         """A handshake is over, one way or the other."""
-        if not wire.greeted:
-            wire.greeted = True
+        if not connection.greeted:
+            connection.greeted = True
             self.greeting -= 1
 
-    async def _serve_owner(self, wire: Wire) -> None:
+    async def _serve_owner(self, connection: MessageConnection) -> None:
         name = ""
         try:
-            hello = await wire.first(m.Hello, self.limits.hello_ms / 1000)
+            hello = await connection.first(m.Hello, self.limits.hello_ms / 1000)
             if hello.role != "owner":
                 raise FrameError("wrong_role", f"this door is for owners, not for a {hello.role}")
-            self._greeted(wire)
-            name = wire.peer = hello.name
+            self._greeted(connection)
+            name = connection.peer = hello.name
             if old := self.owners.get(name):
                 old.finish(m.Bye(reason="replaced"))
                 old.scope.cancel()
-            self.owners[name] = wire
-            wire.note("open", None)
-            self.wires.begin_capture("owner", name, wire, False)
-            wire.captured()
-            wire.send(m.Welcome(name=self.config.name, spread=self.return_window()))
+            self.owners[name] = connection
+            connection.note("open", None)
+            self.connection_factory.begin_capture("owner", name, connection, False)
+            connection.captured()
+            connection.send(m.Welcome(name=self.config.name, spread=self.return_window()))
             self.log.debug("owner_here", owner=name)
-            for message in wire.rest():
-                self._owner_said(name, wire, message)
-            async for message in wire.messages():
+            for message in connection.rest():
+                self._owner_said(name, connection, message)
+            async for message in connection.messages():
                 if isinstance(message, m.Bye):
                     break
-                self._owner_said(name, wire, message)
+                self._owner_said(name, connection, message)
         except FrameError as wrong:
-            self._refuse(wire, wrong)
+            self._refuse(connection, wrong)
         finally:
-            if name and self.owners.get(name) is wire:
+            if name and self.owners.get(name) is connection:
                 del self.owners[name]
-            wire.note("shut", None)
-            self.wires.end_capture(wire)
+            connection.note("shut", None)
+            self.connection_factory.end_capture(connection)
 
-    def _owner_said(self, name: str, wire: Wire, message: m.Message) -> None:
+    def _owner_said(self, name: str, connection: MessageConnection, message: m.Message) -> None:
         if isinstance(message, m.Hello):
             raise FrameError("second_hello", "a connection has one Hello")
-        self.driver.hear("owner_said", wire, name, message)
+        self.driver.deliver_message("owner_said", connection, name, message)
 
-    def _refuse(self, wire: Wire, wrong: FrameError) -> None:
-        if self.wires.tap is not None:  # what was wrong is worth keeping, too
-            if wire.trunk is None:
-                self.wires.begin_capture("refused", wire.peer or "unknown", wire, False)
-            told = wire.raw if wrong.code.startswith("frame") else frame(wire.body) if wire.body else b""
-            wire.trunk.data(False, told, self.driver.net.now())
+    def _refuse(self, connection: MessageConnection, wrong: FrameError) -> None:
+        if self.connection_factory.tap is not None:  # what was wrong is worth keeping, too
+            if connection.trunk is None:
+                self.connection_factory.begin_capture(
+                    "refused", connection.peer or "unknown", connection, False
+                )
+            told = (
+                connection.raw
+                if wrong.code.startswith("frame")
+                else frame(connection.body)
+                if connection.body
+                else b""
+            )
+            connection.trunk.data(False, told, self.driver.net.now())
         self.counts["refused_" + wrong.code] += 1
-        self.log.warning("connection_refused", code=wrong.code, reason=wrong.text, peer=wire.peer)
-        wire.finish(m.Fault(code=wrong.code, text=wrong.text))
+        self.log.warning("connection_refused", code=wrong.code, reason=wrong.text, peer=connection.peer)
+        connection.finish(m.Fault(code=wrong.code, text=wrong.text))
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -21,7 +21,7 @@
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 from hazelhold.service.list_link import ListLink
@@ -82,10 +82,10 @@
         config = self.config
         batch_s = config.limits.batch_ms / 1000
         self.driver = EngineDriver(self.engine, self.net, self.tap, batch_s, self.perform)
-        wires = ConnectionFactory(config.limits, self.net, self.recorder, self.tap)
-        self.owner_server = OwnerServer(config, seed, self.driver, wires, self.counts, self.log)
-        self.links = MachineLinks(config.name, self.driver, wires, self.counts, self.log)
-        self.list_link = ListLink(config, self.driver, wires, self.counts, self.log)
+        connection_factory = ConnectionFactory(config.limits, self.net, self.recorder, self.tap)
+        self.owner_server = OwnerServer(config, seed, self.driver, connection_factory, self.counts, self.log)
+        self.links = MachineLinks(config.name, self.driver, connection_factory, self.counts, self.log)
+        self.list_link = ListLink(config, self.driver, connection_factory, self.counts, self.log)
 
     def _make_members(self) -> None:
         """Membership, if the planner's file has it on."""
@@ -138,11 +138,11 @@
                 self.engine,
                 self.net.now,
                 self.perform,
-                self.driver.state_news,
+                self.driver.deliver_state_event,
             )
 
     @property
-    def owners(self) -> dict[str, Wire]:
+    def owners(self) -> dict[str, MessageConnection]:
         """The wires of the owners that are connected, by name."""
         return self.owner_server.owners
 
@@ -224,10 +224,10 @@
     def _send(self, action: Send) -> None:
         """Queues a message; one that cannot leave is counted and noted."""
         if action.role == "owner":
-            wire = self.owners.get(action.peer)
+            connection = self.owners.get(action.peer)
         else:
-            wire = self.links.wire(action.peer)
-        if wire is None or not wire.send(action.message):
+            connection = self.links.connection(action.peer)
+        if connection is None or not connection.send(action.message):
             self.counts["unsent"] += 1
             if self.tap is not None:
                 self.tap.note(
--- a/hazelhold/service/recovery.py
+++ b/hazelhold/service/recovery.py
@@ -9,7 +9,7 @@
 from hazelhold.service.driver import EngineDriver
 from hazelhold.service.state_writer import StateWriter
 from hazelhold.state.images import ENCODER
-from hazelhold.state.store import Found, InUseError, StateError
+from hazelhold.state.store import InUseError, StateError, StoreContents
 
 HAND_OVER_S = 10  # seconds that a living process has to hand over
 LOOK_S = 0.002  # seconds between looks whether it has
@@ -52,7 +52,7 @@
 
 async def _take_over(
     state_writer: StateWriter, driver: EngineDriver, pid: int, text: str, log: structlog.stdlib.BoundLogger
-) -> Found:
+) -> StoreContents:
     """Asks the process that has the state to hand over, and waits for it, ten seconds at most."""
     os.kill(pid, signal.SIGUSR2)
     log.info("taking_over", pid=pid)
--- a/hazelhold/service/shutdown.py
+++ b/hazelhold/service/shutdown.py
@@ -5,7 +5,7 @@
 import trio
 
 from hazelhold.protocol import messages as m
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 
 if TYPE_CHECKING:
     from hazelhold.service.planner import Planner
@@ -19,7 +19,7 @@
 async def stop(planner: "Planner") -> None:
     """Takes nothing more, answers what it holds, and waits for what is out, for as long as is stated."""
     driver, engine = planner.driver, planner.engine
-    driver.feed("stop")
+    driver.deliver("stop")
     planner.log.info("stopping", unanswered=engine.unanswered())
     driver.ticker.notify()
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
@@ -27,14 +27,14 @@
             await trio.sleep(POLL_S)
     if planner.members is not None:
         await planner.members.leave()
-    driver.feed("stop_now")
+    driver.deliver("stop_now")
     spread = planner.owner_server.return_window()
     if planner.state_writer is not None:
         with trio.move_on_after(KEEP_S):
             await planner.state_writer.drained()
             await planner.state_writer.last_try()
-    for wire in _wires(planner):
-        wire.finish(m.Bye(reason="stopping", spread=spread))
+    for connection in _connections(planner):
+        connection.finish(m.Bye(reason="stopping", spread=spread))
     with trio.move_on_after(FAREWELL_S):
         while any(w.queue for w in planner.owners.values()):
             await trio.sleep(POLL_S)
@@ -54,8 +54,8 @@
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
         await planner.state_writer.drained()
     spread = planner.owner_server.doorman.window(0, len(planner.owners))
-    for wire in _wires(planner):
-        wire.finish(m.Bye(reason="hand_over", spread=spread))
+    for connection in _connections(planner):
+        connection.finish(m.Bye(reason="hand_over", spread=spread))
     await trio.sleep(SETTLE_S)
     if planner.tap is not None:
         planner.tap.writer.end()  # others may still speak while the rest is written
@@ -63,6 +63,6 @@
     planner.log.info("handed_over", unanswered=engine.unanswered(), **engine.counts)
 
 
-def _wires(planner: "Planner") -> list[Wire]:
+def _connections(planner: "Planner") -> list[MessageConnection]:
     """Of all owners, then of all machines."""
-    return [*planner.owners.values(), *planner.links.open_wires()]
+    return [*planner.owners.values(), *planner.links.open_connections()]
--- a/hazelhold/service/state_writer.py
+++ b/hazelhold/service/state_writer.py
@@ -22,7 +22,7 @@
 from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.state import frames
 from hazelhold.state.images import Change
-from hazelhold.state.store import Found, Store
+from hazelhold.state.store import Store, StoreContents
 
 LOST = OSError("the disk has failed")
 
@@ -37,10 +37,10 @@
         engine: Engine,
         now: Callable[[], int],
         do: Callable[[Action], None],
-        feed: Callable[..., None],
+        deliver: Callable[..., None],
     ) -> None:
         self.store, self.config, self.engine = store, config, engine
-        self.now, self.do, self.feed = now, do, feed
+        self.now, self.perform, self.deliver = now, do, deliver
         self.queue: deque[tuple[list[Action], list[Change]]] = deque()  # emptied by every commit
         self.held_back: list[tuple[int, Action]] = []  # answers, with when to send them all the same
         self.busy = self.failed = False
@@ -49,7 +49,7 @@
         self.log = structlog.get_logger().bind(planner=store.planner)
         self.commits = self.failures = 0
 
-    def open(self, wall: int, text: str) -> Found:
+    def open(self, wall: int, text: str) -> StoreContents:
         """Reads what was kept, brings the engine there and begins a new generation. StateError if the folder
         must not be used; a disk that cannot be written is no reason not to start."""
         found = self.store.open(wall, text)
@@ -153,7 +153,7 @@
             self.late = []
             self.failures += 1
             self.log.error("state_failed", reason=str(wrong))
-            self.feed("state_kept", False)
+            self.deliver("state_kept", False)
 
     def _harmless(self, actions: list[Action]) -> list[Action]:
         """The actions that may be carried out though what they rest on is not safe."""
@@ -161,7 +161,7 @@
         for action in actions:
             message = action.message if isinstance(action, Send) else None
             if isinstance(message, m.Offer) and self._harmful(message.product):
-                self.feed("offer_held_back", message)
+                self.deliver("offer_held_back", message)
             elif (
                 isinstance(message, m.TurnedBack | m.BrokenOff)
                 and (until := self._until(message)) > self.wall()
@@ -185,7 +185,7 @@
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
-            self.do(action)
+            self.perform(action)
 
     async def tend(self) -> None:
         """Keeps what was learned, and tries a failed disk again."""
@@ -229,7 +229,7 @@
             return
         self.failed = False
         self.log.warning("state_works_again")
-        self.feed("state_kept", True)
+        self.deliver("state_kept", True)
 
     def release(self, wall: int) -> None:
         """Sends answers that were held back, once they are safe or their guest's patience ends."""
--- a/hazelhold/standin/disk.py
+++ b/hazelhold/standin/disk.py
@@ -17,14 +17,14 @@
 class Points:
     """Counts what happens; `strike` are the numbers at which the process that does it dies."""
 
-    def __init__(self, strike: set[int], seed: int) -> None:
-        self.strike, self.count, self.random = strike, 0, Random(f"points/{seed}")
-        self.struck: list[str] = []
+    def __init__(self, crash_at: set[int], seed: int) -> None:
+        self.crash_at, self.count, self.random = crash_at, 0, Random(f"points/{seed}")
+        self.crashes: list[str] = []
 
     def reached(self, what: str) -> bool:
         self.count += 1
-        if self.count in self.strike:
-            self.struck.append(f"{self.count}: {what}")
+        if self.count in self.crash_at:
+            self.crashes.append(f"{self.count}: {what}")
             return True
         return False
 
@@ -37,19 +37,19 @@
     def __init__(self, points: Points) -> None:
         self.points = points
         self.safe: dict[str, bytes] = {}
-        self.loose: dict[str, bytes] = {}  # written, not synced
-        self.fails: dict[str, int] = {}
-        self.room: int | None = None  # bytes that may still be written
-        self.holder = ""
+        self.unsynced: dict[str, bytes] = {}  # written, not synced
+        self.error_codes: dict[str, int] = {}
+        self.free_bytes: int | None = None  # bytes that may still be written
+        self.lock_holder = ""
         self.dead = False
         self.ops = 0
 
     def crash(self) -> None:
         """The process is gone: of what was not synced a random part stays."""
-        for name, data in self.loose.items():
+        for name, data in self.unsynced.items():
             self.safe[name] = self.safe.get(name, b"") + data[: self.points.random.randint(0, len(data))]
-        self.loose.clear()
-        self.holder, self.dead = "", False
+        self.unsynced.clear()
+        self.lock_holder, self.dead = "", False
 
     def _op(self, what: str, name: str = "") -> None:
         self.ops += 1
@@ -58,36 +58,36 @@
         if self.points.reached(f"{what} {name}"):
             self.dead = True
             raise Killed(what)
-        if what in self.fails:
-            raise OSError(self.fails[what], os.strerror(self.fails[what]))
+        if what in self.error_codes:
+            raise OSError(self.error_codes[what], os.strerror(self.error_codes[what]))
 
     def names(self) -> list[str]:
-        return sorted(self.safe.keys() | self.loose.keys())
+        return sorted(self.safe.keys() | self.unsynced.keys())
 
     def read(self, name: str) -> bytes:
         self._op("read", name)
         if name not in self.names():
             raise FileNotFoundError(errno.ENOENT, "No such file", name)
-        return self.safe.get(name, b"") + self.loose.get(name, b"")
+        return self.safe.get(name, b"") + self.unsynced.get(name, b"")
 
     def write(self, name: str, data: bytes) -> None:
-        if self.room is not None and len(data) > self.room:  # a full disk takes a part
-            self.loose[name] = self.loose.get(name, b"") + data[: self.room]
-            self.room = 0
+        if self.free_bytes is not None and len(data) > self.free_bytes:  # a full disk takes a part
+            self.unsynced[name] = self.unsynced.get(name, b"") + data[: self.free_bytes]
+            self.free_bytes = 0
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         try:
             self._op("write", name)
         except Killed:  # amid the write
             part = data[: self.points.random.randint(0, len(data))]
-            self.loose[name] = self.loose.get(name, b"") + part
+            self.unsynced[name] = self.unsynced.get(name, b"") + part
             raise
-        if self.room is not None:
-            self.room -= len(data)
-        self.loose[name] = self.loose.get(name, b"") + data
+        if self.free_bytes is not None:
+            self.free_bytes -= len(data)
+        self.unsynced[name] = self.unsynced.get(name, b"") + data
 
     def sync(self, name: str) -> None:
         self._op("sync", name)
-        self.safe[name] = self.safe.get(name, b"") + self.loose.pop(name, b"")
+        self.safe[name] = self.safe.get(name, b"") + self.unsynced.pop(name, b"")
 
     def rename(self, old: str, new: str) -> None:
         self._op("rename", new)
@@ -96,16 +96,16 @@
     def remove(self, name: str) -> None:
         self._op("remove", name)
         self.safe.pop(name, None)
-        self.loose.pop(name, None)
+        self.unsynced.pop(name, None)
 
     def lock(self, text: str) -> bool:
-        if self.holder:
+        if self.lock_holder:
             return False
-        self.holder = text
+        self.lock_holder = text
         return True
 
     def owner(self) -> str:
-        return self.holder
+        return self.lock_holder
 
     def unlock(self) -> None:
-        self.holder = ""
+        self.lock_holder = ""
--- a/hazelhold/standin/list_service.py
+++ b/hazelhold/standin/list_service.py
@@ -7,7 +7,7 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.standin.server import Door
+from hazelhold.standin.server import StandInServer
 
 CODEC = m.Codec(m.TO_LIST)
 
@@ -18,21 +18,21 @@
     def __init__(self, net: Net, service: ListService, recorder: Recorder) -> None:
         self.net, self.service = net, service
         self.known: set[str] = set()  # machines that have enlisted; as many as there are machines
-        self.door = Door(
+        self.server = StandInServer(
             net, "list", "list", CODEC, recorder, lambda: m.Welcome(name="list"), self._said, service.left
         )
         self.ticker = Ticker(net.now, lambda now: service.next_at(), self._work)
 
     async def run(self, address: str, nursery: trio.Nursery) -> str:
         nursery.start_soon(self.ticker.run)
-        return await self.door.serve(address, nursery)
+        return await self.server.serve(address, nursery)
 
     def set_down(self, down: bool) -> None:
         self.service.down = down
-        self.door.open = not down
+        self.server.open = not down
         if down:
             self.service.watchers.clear()
-            self.door.shut()
+            self.server.shut()
 
     def _said(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
@@ -50,4 +50,4 @@
         self.service.advance(now)
         out, self.service.out = self.service.out, []
         for planner, message in out:
-            self.door.send(planner, message)
+            self.server.send(planner, message)
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -7,7 +7,7 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.standin.server import Door
+from hazelhold.standin.server import StandInServer
 
 CODEC = m.Codec(m.TO_MACHINE)
 
@@ -30,8 +30,8 @@
         self.net, self.machine, self.zone, self.cell = net, machine, zone, cell
         self.clock_off = clock_off  # this machine's clock against everybody else's, in microseconds
         self.recorder = recorder
-        self.door = Door(net, machine.name, "machine", CODEC, recorder, self._welcome, self._said)
-        self.door.muted = lambda planner: self.machine.faults.silent or planner in self.cut_from
+        self.server = StandInServer(net, machine.name, "machine", CODEC, recorder, self._welcome, self._said)
+        self.server.muted = lambda planner: self.machine.faults.silent or planner in self.cut_from
         self.cut_from: set[str] = set()
         self.ticker = Ticker(self.now, lambda now: machine.next_at(), self._work)
         self.note("up")
@@ -41,7 +41,7 @@
 
     async def run(self, address: str, nursery: trio.Nursery) -> str:
         nursery.start_soon(self.ticker.run)
-        return await self.door.serve(address, nursery)
+        return await self.server.serve(address, nursery)
 
     def note(self, what: str, guests: list[tuple[str, int]] | None = None) -> None:
         fact = Fact(
@@ -58,8 +58,8 @@
             return
         lost = self.machine.went_down()
         self.note(what, [(g.offer.guest, int(g.served)) for g in lost])
-        self.door.open = False
-        self.door.shut()
+        self.server.open = False
+        self.server.shut()
 
     def come_up(self) -> None:
         """It is back, cold and empty."""
@@ -67,8 +67,8 @@
             return  # pushed over, it stays down
         self.machine.faults.silent = False
         self.machine.came_up(self.now())
-        self.door.open = True
-        self.door.shut()
+        self.server.open = True
+        self.server.shut()
         self.note("up")
         self.ticker.notify()
 
@@ -106,8 +106,8 @@
     def _deliver(self) -> None:
         out, self.machine.out = self.machine.out, []
         for planner, message in out:
-            if planner in self.door.wires:
-                self.door.send(planner, message)
+            if planner in self.server.connections:
+                self.server.send(planner, message)
             else:  # nobody listens; what happened, happened
                 self.recorder.note(self.net.now(), planner, "unheard", message)
         if self.machine.fell_over and self.machine.up:
--- a/hazelhold/standin/senders.py
+++ b/hazelhold/standin/senders.py
@@ -6,7 +6,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.protocol.record import Recorder
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
 
@@ -18,7 +18,7 @@
 
     def __init__(self, net: Net, model: OwnerModel, addresses: dict[str, str], recorder: Recorder) -> None:
         self.net, self.model, self.addresses, self.recorder = net, model, addresses, recorder
-        self.wires: dict[str, Wire] = {}
+        self.connections: dict[str, MessageConnection] = {}
         self.ticker = Ticker(net.now, lambda now: model.next_at(), self._work)
 
     async def run(self) -> None:
@@ -33,36 +33,38 @@
         while True:
             try:
                 stream = await self.net.dial(self.addresses[planner])
-                wire = Wire(stream, CODEC, self.net.now, self.recorder, planner, send_bytes=1 << 24)
+                connection = MessageConnection(
+                    stream, CODEC, self.net.now, self.recorder, planner, send_bytes=1 << 24
+                )
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(wire.write)
-                    with wire.scope:
-                        wait = await self._listen(planner, wire, wait)
-                    wire.finish()
+                    nursery.start_soon(connection.write)
+                    with connection.scope:
+                        wait = await self._listen(planner, connection, wait)
+                    connection.finish()
             except OSError:
                 pass
             await trio.sleep(wait * self.model.random.uniform(0.5, 1.5))
             wait = min(1.0, wait * 2)
 
-    async def _listen(self, planner: str, wire: Wire, wait: float) -> float:
+    async def _listen(self, planner: str, connection: MessageConnection, wait: float) -> float:
         try:
-            wire.send(m.Hello(role="owner", name=self.model.name))
-            await wire.first(m.Welcome, 5.0)
+            connection.send(m.Hello(role="owner", name=self.model.name))
+            await connection.first(m.Welcome, 5.0)
             wait = 0.05
-            self.wires[planner] = wire
-            wire.note("open", None)
+            self.connections[planner] = connection
+            connection.note("open", None)
             self.model.connected(self.net.now(), planner)
             self.ticker.notify()
-            for message in wire.rest():
+            for message in connection.rest():
                 self._said(planner, message)
-            async for message in wire.messages():
+            async for message in connection.messages():
                 self._said(planner, message)
         except FrameError:
             pass
         finally:
-            if self.wires.get(planner) is wire:
-                del self.wires[planner]
-                wire.note("shut", None)
+            if self.connections.get(planner) is connection:
+                del self.connections[planner]
+                connection.note("shut", None)
                 self.model.disconnected(self.net.now(), planner)
                 self.ticker.notify()
         return wait
@@ -77,5 +79,5 @@
         self.model.advance(now)
         out, self.model.out = self.model.out, []
         for planner, message in out:
-            if wire := self.wires.get(planner):
-                wire.send(message)
+            if connection := self.connections.get(planner):
+                connection.send(message)
--- a/hazelhold/state/frames.py
+++ b/hazelhold/state/frames.py
@@ -33,10 +33,10 @@
 
     header: Header | None
     batches: list[list[Change]]
-    sound: int  # bytes
+    valid_bytes: int  # bytes
     size: int
-    trouble: str = ""  # empty, torn or damaged
-    why: str = ""
+    error: str = ""  # empty, torn or damaged
+    error_detail: str = ""
 
 
 def pack(body: bytes) -> bytes:
@@ -54,10 +54,10 @@
 def scan(data: bytes) -> Scan:
     """Reads up to the first frame that is not sound."""
     at, found, head = 0, [], None
-    trouble = why = ""
+    error = error_detail = ""
     while at < len(data):
-        trouble, why, body, end = _frame(data, at)
-        if trouble:
+        error, error_detail, body, end = _frame(data, at)
+        if error:
             break
         try:
             if head is None:
@@ -65,12 +65,12 @@
             else:
                 found.append(BATCH.decode(body))
         except (msgspec.MsgspecError, UnicodeDecodeError) as wrong:
-            trouble, why = "damaged", str(wrong)
+            error, error_detail = "damaged", str(wrong)
             break
         at = end
-    if trouble == "torn" and data.find(MARK, at + 1) >= 0:
-        trouble, why = "damaged", "a length that leads past later frames"
-    return Scan(head, found, at, len(data), trouble, f"at byte {at}: {why}" if trouble else "")
+    if error == "torn" and data.find(MARK, at + 1) >= 0:
+        error, error_detail = "damaged", "a length that leads past later frames"
+    return Scan(head, found, at, len(data), error, f"at byte {at}: {error_detail}" if error else "")
 
 
 def _frame(data: bytes, at: int) -> tuple[str, str, bytes, int]:
--- a/hazelhold/state/store.py
+++ b/hazelhold/state/store.py
@@ -36,7 +36,7 @@
         self.pid = pid
 
 
-class Found(NamedTuple):
+class StoreContents(NamedTuple):
     """What recovery found. `complete` is False if something that a peer may have seen can be missing."""
 
     state_table: StateTable
@@ -72,18 +72,20 @@
     return found
 
 
-def read(disk: Disk, planner: str = "", kinds: Mapping[str, type[Struct]] = KINDS) -> Found:
+def read(disk: Disk, planner: str = "", kinds: Mapping[str, type[Struct]] = KINDS) -> StoreContents:
     """What a folder holds; harmless beside a running planner. StateError if it is of another planner or of a
     newer program."""
     names, notes, state_table = disk.names(), [], StateTable(kinds)
     snapshots, logs = numbered(names, "snapshot"), numbered(names, "log")
     if not snapshots and not logs:
-        return Found(state_table, not any(n.startswith(("snapshot", "log")) for n in names), True, 0, notes)
+        return StoreContents(
+            state_table, not any(n.startswith(("snapshot", "log")) for n in names), True, 0, notes
+        )
     base, complete, batches = 0, True, 0
     for number in reversed(snapshots):
         scan = _scan(disk, f"snapshot-{number}", planner)
-        if scan.header is None or scan.trouble:
-            notes.append(f"snapshot-{number}: {scan.trouble or 'empty'} {scan.why}")
+        if scan.header is None or scan.error:
+            notes.append(f"snapshot-{number}: {scan.error or 'empty'} {scan.error_detail}")
             continue
         base = number
         for changes in scan.batches:
@@ -104,11 +106,11 @@
         for changes in scan.batches:
             state_table.apply(changes)
         batches += len(scan.batches)
-        if scan.trouble:
-            notes.append(f"log-{number}: {scan.trouble} {scan.why}")
-            complete = complete and scan.trouble == "torn"
+        if scan.error:
+            notes.append(f"log-{number}: {scan.error} {scan.error_detail}")
+            complete = complete and scan.error == "torn"
     top = max([*snapshots, *logs])
-    return Found(state_table, complete, False, top, notes, batches)
+    return StoreContents(state_table, complete, False, top, notes, batches)
 
 
 class Store:
@@ -124,7 +126,7 @@
         self.written = self.snapshot_bytes = 0  # in this generation's log, in its snapshot
         self.syncs = self.bytes = self.generations = 0  # in all
 
-    def open(self, now: int, text: str) -> Found:
+    def open(self, now: int, text: str) -> StoreContents:
         """Takes the folder and reads what is there. InUseError if another process has it, StateError if it is
         not this planner's or of a newer program. Nothing is written; `begin` does that."""
         if not self.disk.lock(text):
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -23,7 +23,7 @@
 from hazelhold.rehearse.run import audit_rules, copy_up, planner_configs, wire_up
 from hazelhold.rehearse.runners import ProcessRunner
 from hazelhold.rehearse.wires import Wires
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import TcpNet
 
 DAY = Path(__file__).parents[2] / "examples" / "copies-day.json5"
@@ -38,11 +38,11 @@
         self.name, self.net, self.door = name, net, door
         self.said: list[m.Message] = []
         self.more = trio.Event()
-        self.wire: Wire | None = None
+        self.wire: MessageConnection | None = None
 
     async def run(self, task_status: trio.TaskStatus) -> None:
         stream = await self.net.dial(self.door)
-        self.wire = Wire(stream, ANSWERS, self.net.now)
+        self.wire = MessageConnection(stream, ANSWERS, self.net.now)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.wire.write)
             self.wire.send(m.Hello(role="owner", name=self.name))
--- a/tests/test_copies_host.py
+++ b/tests/test_copies_host.py
@@ -141,11 +141,11 @@
     async def story(made: Trio) -> None:
         await made.all_vote()
         for name in ("p1", "p2"):
-            made.disks[name].fails = {"write": 5, "sync": 5, "rename": 5}
+            made.disks[name].error_codes = {"write": 5, "sync": 5, "rename": 5}
         outcome, _, reason = await made.agree("p0", "claim/g", take("p0", 1))
         assert (outcome, reason) == ("refused", "no_majority")
         assert all(made.parts[n].vault.failures == 1 for n in ("p1", "p2"))
-        made.disks["p1"].fails = {}
+        made.disks["p1"].error_codes = {}
         await made.until(lambda: not made.parts["p1"].vault.failed)
         assert (await made.agree("p0", "claim/g", take("p0", 2)))[0] == "agreed"
 
@@ -158,14 +158,14 @@
         for number in range(3):
             assert (await made.agree("p0", f"claim/g{number}", take("p0", number)))[0] == "agreed"
         made.scopes["p1"].cancel()
-        await made.until(lambda: made.disks["p1"].holder == "")
+        await made.until(lambda: made.disks["p1"].lock_holder == "")
         made.disks["p1"].safe.clear()
         await made.start("p1")
-        made.disks["p1"].fails = {"write": 5}
+        made.disks["p1"].error_codes = {"write": 5}
         await made.until(lambda: made.parts["p1"].vault.failures > 0 and made.parts["p1"].votes.joiner.over())
         await trio.sleep(3)
         assert not made.parts["p1"].votes.acceptor.voting
-        made.disks["p1"].fails = {}
+        made.disks["p1"].error_codes = {}
         await made.all_vote()
         made.scopes["p2"].cancel()
         assert (await made.agree("p0", "claim/after", take("p0", 9)))[0] == "agreed"
@@ -259,7 +259,7 @@
     found(disk, "p0", CONFIGS["p0"], 0)
     with pytest.raises(StateError, match=why):
         Votes(disk, "p0", replace(CONFIGS["p0"], **change), 1).open(0, "p0 1")
-    assert Seat("p0", "hazelhold", 1, "x").planner == "p0" and disk.holder == ""
+    assert Seat("p0", "hazelhold", 1, "x").planner == "p0" and disk.lock_holder == ""
 
 
 def test_the_configuration_names_all_that_is_wrong() -> None:
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -249,17 +249,17 @@
         owner, machine = await rig.owner(), rig.machines["a"]
         await owner.say(set_up(1))
         await trio.sleep(0.5)
-        door = rig.net.doors["a:1"]
+        door = rig.net.listeners["a:1"]
         rig.planner.links.peer("a").reset = reset
         if not reset:
-            del rig.net.doors["a:1"]
+            del rig.net.listeners["a:1"]
         await machine.streams[-1].aclose()
         await trio.sleep(0.5)
         if reset:
             of_another = {"op": "info", "call": f"{2:016x}", "with": {"note": "up"}}
             await machine.say(machine.streams[-1], of_another)
         await trio.sleep(0.3)
-        rig.net.doors["a:1"] = door
+        rig.net.listeners["a:1"] = door
         trio.lowlevel.current_clock().jump(seconds)
         await trio.sleep(8.0)
         heard.extend(owner.of(1)[1:])
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -222,9 +222,9 @@
         loop = LoopClock()
         trio.lowlevel.add_instrument(loop)
         await trio.sleep(0.01)
-        assert trio.current_time() - loop.looked_before < 0.1
+        assert trio.current_time() - loop.previous_poll_at < 0.1
         trio.lowlevel.current_clock().jump(2.0)
-        assert trio.current_time() - loop.looked_before >= 2.0
+        assert trio.current_time() - loop.previous_poll_at >= 2.0
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -243,7 +243,7 @@
             loop.after_io_wait(0.05)
             loop.before_io_wait(0.0)
             loop.after_io_wait(0.0)
-            assert trio.current_time() - loop.looked_before == pytest.approx(age if late else 0.0)
+            assert trio.current_time() - loop.previous_poll_at == pytest.approx(age if late else 0.0)
 
     trio.run(run, clock=trio.testing.MockClock())
 
@@ -258,7 +258,7 @@
         loop.after_io_wait(0.0)
         loop.before_io_wait(0.0)
         loop.after_io_wait(0.0)
-        assert trio.current_time() - loop.looked_before == pytest.approx(0.3)
+        assert trio.current_time() - loop.previous_poll_at == pytest.approx(0.3)
 
     trio.run(run, clock=trio.testing.MockClock())
 
@@ -271,7 +271,7 @@
         with near, far:
             near.setblocking(False)
             peer = OwnerPeer("c1", trio.SocketStream(trio.socket.from_stdlib_socket(near)), 1 << 16, 0.0)
-            peer.arrival.empty_at = peer.arrival.clock.looked_at = trio.current_time() - 0.4
+            peer.arrival.empty_at = peer.arrival.clock.last_poll_at = trio.current_time() - 0.4
             far.send(bytes(100))
             peer.read_begins()
             near.recv(40)
--- a/tests/test_fleetconfig_host.py
+++ b/tests/test_fleetconfig_host.py
@@ -30,7 +30,7 @@
 from hazelhold.protocol.frames import frame
 from hazelhold.replica.sets import Keeper, Sets
 from hazelhold.replica.votes import vouch
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import TcpNet
 from hazelhold.state.store import StateError
 from tests.fleetconfig_rig import DEPLOYMENT, Fleet, disk, items, with_fleet
@@ -46,7 +46,7 @@
 async def rejection(fleet: Fleet, planner: str, customer: str) -> str:
     """The code with which this planner refuses a task of this customer; empty if it takes it."""
     stream = await fleet.net.dial(f"door-{planner}")
-    wire = Wire(stream, OWNER, fleet.net.now)
+    wire = MessageConnection(stream, OWNER, fleet.net.now)
     code = ""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wire.write)
@@ -334,7 +334,7 @@
 def test_a_planner_whose_disk_fails_puts_revisions_in_force_all_the_same() -> None:
     async def test(fleet: Fleet) -> None:
         await fleet.in_force(await fleet.committed(customers__a={}))
-        fleet.disks["p1"].fails = {"write": errno.ENOSPC, "sync": errno.ENOSPC}
+        fleet.disks["p1"].error_codes = {"write": errno.ENOSPC, "sync": errno.ENOSPC}
         await fleet.in_force(await fleet.committed(customers__b={}))
         await fleet.in_force(await fleet.committed(customers__c={}))
         assert await rejection(fleet, "p1", "c") == ""
@@ -646,7 +646,7 @@
     """Whether c1 tells the others of a revision as stored while its disk fails."""
     before = await fleet.committed(customers__first={})
     await fleet.until(lambda: fleet.controls["c1"].peers.stored == before)
-    fleet.disks["c1"].fails = {"write": errno.ENOSPC, "sync": errno.ENOSPC}
+    fleet.disks["c1"].error_codes = {"write": errno.ENOSPC, "sync": errno.ENOSPC}
     number = await fleet.committed(customers__acme={})
     await fleet.in_force(number)
     status = await fleet.status_when(lambda said: said.counts["disk_failures"] > 0)
@@ -659,7 +659,7 @@
     async def test(fleet: Fleet) -> None:
         assert not await tells_what_a_failing_disk_did_not_take(fleet)
         number = fleet.controls["c1"].core.position.number
-        fleet.disks["c1"].fails = {}
+        fleet.disks["c1"].error_codes = {}
         await fleet.status_when(lambda said: said.counts["stored"] == number)
         await fleet.kill("c1")
         await fleet.start("c1")
@@ -719,7 +719,7 @@
 
 def test_a_follower_that_reads_nothing_is_held_one_message_and_left_and_others_go_on() -> None:
     async def test(fleet: Fleet) -> None:
-        door, (host, nursery) = fleet.controls["c1"].door, fleet.net.doors[fleet.seats[0].address]
+        door, (host, nursery) = fleet.controls["c1"].door, fleet.net.listeners[fleet.seats[0].address]
         mine, theirs = lockstep_stream_pair()  # what is sent waits until it is read
         nursery.start_soon(host, theirs)
         await mine.send_all(packed(FOLLOWER))
--- a/tests/test_fleetconfig_store.py
+++ b/tests/test_fleetconfig_store.py
@@ -334,13 +334,13 @@
             nursery.start_soon(writer.run)
             step(1)
             await trio.sleep(0.1)
-            on.fails = {what: errno.EIO, "rename": errno.EIO}
+            on.error_codes = {what: errno.EIO, "rename": errno.EIO}
             step(2)
             await trio.sleep(3.5)
             step(3)
             await trio.sleep(3.5)
             assert safe == [1] and writer.failed and writer.failures == 1
-            on.fails = {}
+            on.error_codes = {}
             await trio.sleep(2)
             step(4)
             await trio.sleep(0.1)
@@ -355,7 +355,7 @@
 def test_a_writer_whose_disk_never_worked_begins_once_it_does() -> None:
     async def story() -> None:
         on = disk()
-        on.fails = {"write": errno.EROFS}
+        on.error_codes = {"write": errno.EROFS}
         store, _ = opened(on)
         writer = StoreWriter(store, MemoryNet(), 2000, 500)
         writer.begin()
@@ -365,7 +365,7 @@
             writer.take(store.append(REVISIONS[:2]), lambda: safe.append(2))
             await trio.sleep(2)
             assert safe == []
-            on.fails = {}
+            on.error_codes = {}
             await trio.sleep(1)
             assert safe == [2]
             nursery.cancel_scope.cancel()
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -22,7 +22,7 @@
         there = [guest for guest in range(1, 9) if rig.offers(guest) == ["a"]]
         assert there
         rig.machines["a"].silent = True  # its connection stays open and silent, new ones never come up
-        rig.net.doors["a:1"] = (never, rig.nursery)
+        rig.net.listeners["a:1"] = (never, rig.nursery)
         silent_at = trio.current_time()
         await owner.say(*(set_up(guest) for guest in range(11, 31)))
         await trio.sleep(7.9 - (trio.current_time() - silent_at))
@@ -134,7 +134,7 @@
             await trio.sleep(0.01)
         machine.silent, machine.closes = True, then == "closes on"
         if then == "takes none":
-            rig.net.doors["a:1"] = (never, rig.nursery)
+            rig.net.listeners["a:1"] = (never, rig.nursery)
             await machine.streams[-1].aclose()
         await trio.sleep(7.9)
         assert owner.of(1) == [*PLACED, (END, 41)]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -72,7 +72,7 @@
     on.safe["log-1"] = frames.header(frames.Header(99, "p0", 1, "log")) + on.safe["log-1"]
     with pytest.raises(store.StateError, match="format 99; this program reads format 1"):
         store.Store(on, "p0").open(0, "p0 2")
-    assert on.safe["snapshot-1"] == before["snapshot-1"] and not on.holder
+    assert on.safe["snapshot-1"] == before["snapshot-1"] and not on.lock_holder
 
 
 def test_an_older_format_is_brought_up_to_this_one(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -15,7 +15,7 @@
 from hazelhold.config.day import read_day
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.crashes import play_crashes
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import MemoryNet
 from hazelhold.service.planner import Planner
 from hazelhold.standin.disk import FaultyDisk, Points
@@ -36,7 +36,7 @@
         with trio.fail_after(300):
             async with trio.open_nursery() as nursery:
                 await nursery.start(planner.run)
-                wire = Wire(await net.dial("door"), m.Codec(m.TO_OWNER), net.now)
+                wire = MessageConnection(await net.dial("door"), m.Codec(m.TO_OWNER), net.now)
                 nursery.start_soon(wire.write)
                 wire.send(m.Hello(role="owner", name="o"))
                 await wire.first(m.Welcome, 5)
@@ -69,15 +69,15 @@
     async def test(planner: Planner, ask: Callable, said: list) -> None:
         assert await ask("g1", "once") == "held:"
         if fault == "full":
-            on.room = 20
+            on.free_bytes = 20
         else:
-            on.fails[fault] = code
+            on.error_codes[fault] = code
         assert await ask("g2", "plain") == "held:" and not planner.engine.kept_well
         assert await ask("g3", "once") == "rejected:not_kept"
         await trio.sleep(3)  # g1 gets its answer in time though it cannot be kept
         assert [a.guest for a in said if isinstance(a, m.TurnedBack)] == ["g1", "g2"]
-        on.fails.clear()
-        on.room = None
+        on.error_codes.clear()
+        on.free_bytes = None
         await trio.sleep(2)
         assert planner.engine.kept_well and await ask("g4", "once") == "held:"
         on.crash()
@@ -88,7 +88,7 @@
 
 def test_a_planner_starts_on_a_disk_that_cannot_be_written() -> None:
     on = disk()
-    on.fails["write"] = errno.EROFS
+    on.error_codes["write"] = errno.EROFS
 
     async def test(planner: Planner, ask: Callable, said: list) -> None:
         assert await ask("g1", "once") == "rejected:not_kept" and await ask("g2", "plain") == "held:"
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -16,7 +16,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.emulate.town import BIN, SECOND, Demand, Town
 from hazelhold.protocol import messages as m
-from hazelhold.service.connection import Wire
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import MemoryNet
 from tests.helpers import MS, EngineHarness, planner_config
 
@@ -105,7 +105,7 @@
 
 
 def beside(
-    scripts: dict[str, Callable[[Wire, m.Message], None]],
+    scripts: dict[str, Callable[[MessageConnection, m.Message], None]],
     test: Callable[[object, MemoryNet], Awaitable[None]],
     policy: ClientPolicy | None = None,
 ) -> None:
@@ -115,7 +115,7 @@
         net = MemoryNet()
 
         async def serve(stream: trio.abc.Stream, name: str) -> None:
-            wire = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
+            wire = MessageConnection(stream, m.Codec(m.FROM_OWNER), net.now)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wire.write)
                 with wire.scope:
@@ -141,11 +141,11 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-def silent(wire: Wire, said: m.Message) -> None:
+def silent(wire: MessageConnection, said: m.Message) -> None:
     """Accepts all and answers nothing: a planner that hangs, or a connection whose other end is gone."""
 
 
-def placing(wire: Wire, said: m.Message) -> None:
+def placing(wire: MessageConnection, said: m.Message) -> None:
     if isinstance(said, m.Submit):
         wire.send(m.Held(guest=said.guest, ask=said.ask))
         wire.send(m.Placed(guest=said.guest, ask=said.ask, machine="m"))
@@ -153,7 +153,7 @@
         wire.send(m.State(guest=said.guest, ask=said.ask, state="running", machine="m"))
 
 
-def halving(wire: Wire, said: m.Message) -> None:
+def halving(wire: MessageConnection, said: m.Message) -> None:
     """Answers for half its guests."""
     if isinstance(said, m.Submit) and int(said.guest[1:]) % 2:
         placing(wire, said)
@@ -188,8 +188,8 @@
 def test_an_answer_lost_on_the_way_is_asked_for_and_no_exclusive_guest_goes_elsewhere() -> None:
     asked: dict[str, int] = {"p": 0, "q": 0}
 
-    def lossy(name: str) -> Callable[[Wire, m.Message], None]:
-        def say(wire: Wire, said: m.Message) -> None:
+    def lossy(name: str) -> Callable[[MessageConnection, m.Message], None]:
+        def say(wire: MessageConnection, said: m.Message) -> None:
             asked[name] += isinstance(said, m.Submit)
             if isinstance(said, m.Submit):
                 wire.send(m.Held(guest=said.guest, ask=said.ask))
@@ -217,7 +217,7 @@
 
     async def run() -> None:
         net, off = MemoryNet(), Off()
-        off.doors = net.doors
+        off.listeners = net.listeners
         async with trio.open_nursery() as nursery:
             await nursery.start(Planner(planner_config(), 1, net).run)
             async with open_client("c", {"p": "door"}, net=off, seed=1) as client:
@@ -248,7 +248,7 @@
         asked = []
 
         async def door(stream: trio.abc.Stream) -> None:
-            wire = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
+            wire = MessageConnection(stream, m.Codec(m.FROM_OWNER), net.now)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wire.write)
                 with wire.scope:
