--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -49,12 +49,12 @@
         self.chief = Notes("rehearsal", "rehearsal", self.crossings)
         for name, host in self.hosts.items():
             host.ticker = Wake(self.clock, host.now, lambda now, h=host: h.machine.next_at(), host._work)
-            door = FarDoor(self, name, host.zone, host.recorder, host._said)
+            door = FarDoor(self, name, host.zone, host.recorder, host._received)
             door.muted = host.server.muted
             host.server = door
         lister = self.list_host
         lister.ticker = Wake(self.clock, self.net.now, lambda now: self.service.next_at(), lister._work)
-        lister.server = FarDoor(self, "list", -1, lister.server.recorder, lister._said, self.service.left)
+        lister.server = FarDoor(self, "list", -1, lister.server.recorder, lister._received, self.service.left)
 
     def recorder(self, by: str, role: str) -> Notes:
         return Notes(by, role, self.crossings)
--- a/hazelhold/service/__init__.py
+++ b/hazelhold/service/__init__.py
@@ -1,1 +1,1 @@
-"""The planner as a process: trio, connections, timers, logs."""
+"""The planner process: connections, timers, state persistence and logs, on trio."""
--- a/hazelhold/service/arrival_time.py
+++ b/hazelhold/service/arrival_time.py
@@ -1,24 +1,26 @@
-"""How long bytes and connections may have waited before this process took them.
+"""Upper bounds on how long bytes and connections waited before this process took them.
 
-A client's time runs from when it sent its request, not from when the request was read: the process may have
-been stopped or starved meanwhile. No portable call tells when bytes came, so the bound is the last moment at
-which they were surely not there: when the socket was found empty, or when the loop waited for it in vain.
+An owner's deadline runs from when it sent its submission, not from when the submission was read: the process
+may have been stopped or starved of CPU in between. No portable call reports when bytes arrived, so the bound
+is the last time at which they were certainly not there yet: when the socket was found empty, or when the
+event loop polled it without result.
 """
 
 import trio
 
 LATE_WAKE = 0.02
-"""Seconds past its end at which a wait for I/O is taken for one that did not look."""
+"""Seconds past its timeout at which a wait for I/O counts as one that did not poll the descriptors."""
 
 HEARTBEAT = 0.05
-"""Seconds between looks for I/O at the most, so that a wait which did not look hides little."""
+"""Maximum seconds between two polls for I/O; limits what a wait that did not poll can hide."""
 
 
 class LoopClock(trio.abc.Instrument):
-    """Notes when the loop looked for what can be read. Seconds of trio's clock.
+    """Records when the event loop last polled for readable descriptors, in seconds of trio's clock.
 
-    A wait that was interrupted (EINTR) past its end returns without another look, as `epoll.poll` does after
-    a SIGCONT: what came meanwhile is reported by the next wait only. So a wait that ended late is no look.
+    A wait that was interrupted (EINTR) past its timeout returns without polling again, as `epoll.poll` does
+    after a SIGCONT: what arrived meanwhile is reported only by the next wait. So a wait that ended late does
+    not count as a poll.
     """
 
     def __init__(self) -> None:
@@ -30,7 +32,7 @@
     def after_io_wait(self, timeout: float) -> None:
         now = trio.current_time()
         self.previous_poll_at = self.last_poll_at
-        if timeout <= 0:  # it looked at once, and may have been stopped before it returned
+        if timeout <= 0:  # polled when called; the process may have been stopped before it returned
             self.last_poll_at = self.poll_began_at
         elif now - self.poll_began_at <= timeout + LATE_WAKE:
             self.last_poll_at = now
@@ -40,7 +42,7 @@
 
 
 def loop_clock() -> LoopClock:
-    """The clock of the running loop; installed by the first call."""
+    """Returns the clock of the running loop; the first call installs it."""
     try:
         return _current.get()
     except LookupError:
@@ -51,16 +53,16 @@
 
 
 async def poll_heartbeat() -> None:
-    """Lets the loop look for I/O now and then, whatever else it waits for."""
+    """Makes the loop poll for I/O at least every `HEARTBEAT` seconds, whatever else it waits for."""
     while True:
         await trio.sleep(HEARTBEAT)
 
 
 class EmptySince:
-    """When a socket, or the queue of a listener, was last known to hold nothing.
+    """Tracks when a socket, or the accept queue of a listener, was last known to be empty.
 
-    `begin` is called before each wait for it, `came` once the wait has brought something, `emptied` once that
-    has been taken out whole.
+    Call `begin` before each wait for data, `data_arrived` once the wait has returned some, and `emptied` once
+    all of it has been read.
     """
 
     def __init__(self) -> None:
@@ -71,19 +73,19 @@
         self.began_at = trio.current_time()
 
     def has_just_begun(self) -> bool:
-        """Whether the wait began within two turns of the loop: trio hands on what it reads at once a turn
-        later."""
+        """Returns whether the wait began within two iterations of the loop: trio delivers data that is ready
+        at once one iteration later."""
         return self.began_at >= self.clock.previous_poll_at
 
     def data_arrived(self) -> None:
-        """Sets `came_after`: what can be taken now came after this moment."""
-        looked_since = self.clock.previous_poll_at >= self.began_at
-        self.arrived_after = self.clock.previous_poll_at if looked_since else self.empty_at
+        """Sets `arrived_after`: what can be read now arrived after this time."""
+        polled_since = self.clock.previous_poll_at >= self.began_at
+        self.arrived_after = self.clock.previous_poll_at if polled_since else self.empty_at
 
     def emptied(self) -> None:
-        looked_since = self.clock.previous_poll_at >= self.began_at
-        self.empty_at = self.clock.last_poll_at if looked_since else self.began_at
+        polled_since = self.clock.previous_poll_at >= self.began_at
+        self.empty_at = self.clock.last_poll_at if polled_since else self.began_at
 
     def waited(self) -> float:
-        """Seconds for which what came last may have waited at the most."""
+        """Returns the maximum number of seconds for which the last data may have waited."""
         return trio.current_time() - self.arrived_after
--- a/hazelhold/service/connection.py
+++ b/hazelhold/service/connection.py
@@ -1,4 +1,4 @@
-"""A connection that carries frames: reads messages, writes from a bounded queue, notes what crossed."""
+"""A connection that carries frames: reads messages, writes from a bounded queue, records both."""
 
 from collections.abc import AsyncIterator, Iterator
 
@@ -9,26 +9,27 @@
 from hazelhold.protocol.messages import VERSION, Codec, Fault, Hello, Message, Welcome, encode
 from hazelhold.protocol.record import Recorder
 
-READ = 1 << 16
+READ_BYTES = 1 << 16
 
 
 class SendQueue:
-    """What leaves by one connection. Putting something in never waits: a peer that reads nothing fills its
-    own queue, and is cut off when that is full, while everybody else goes on."""
+    """The outgoing bytes of one connection. `put` never blocks: a peer that does not read fills its own queue
+    and is disconnected when that is full, without effect on other connections."""
 
     def __init__(self, stream: trio.abc.Stream, send_bytes: int = 1 << 20) -> None:
         self.stream, self.send_bytes = stream, send_bytes
         self.queue = bytearray()
         self.more = trio.Event()
         self.closing = False
-        self.reset = False  # the peer's side did not close in order
-        self.sending = False  # bytes were taken out and have not all left
-        self.sending_from = 0.0  # since when
-        self.scope = trio.CancelScope()  # the reading side; cancelled when the connection is to end
-        self.writing = trio.CancelScope()  # the writing side; bounds a peer that reads nothing
+        self.reset = False  # the peer did not close the connection properly
+        self.sending = False  # bytes were taken from the queue and not all are written
+        self.sending_from = 0.0  # trio time at which that write began
+        self.scope = trio.CancelScope()  # the reader; cancelled to end the connection
+        self.writing = trio.CancelScope()  # the writer; its deadline limits a peer that does not read
 
     def put(self, data: bytes) -> bool:
-        """Queues bytes; False if the connection is ending, or just ended because its queue is full."""
+        """Queues bytes; returns False if the connection is ending, or was just ended because its queue is
+        full."""
         if self.closing:
             return False
         if len(self.queue) + len(data) > self.send_bytes:
@@ -39,7 +40,7 @@
         return True
 
     def leaving(self) -> bytes:
-        """What is to be written next, taken out of the queue; empty if there is nothing."""
+        """Takes the bytes to write next out of the queue; empty if there are none."""
         data = bytes(self.queue)
         self.queue.clear()
         return data
@@ -48,34 +49,34 @@
         return bool(self.queue)
 
     def unsent(self) -> bool:
-        """Whether bytes wait or are on their way out."""
+        """Returns whether bytes are queued or being written."""
         return self.sending or self.waits()
 
     def left(self, data: bytes) -> None:
-        """All of these bytes were written."""
+        """Called once all of these bytes are written."""
 
     async def read_out(self) -> None:
-        """Waits for what the peer still said, once nothing can be written to it any more."""
+        """Called when writing has failed: a subclass may read what the peer sent before."""
 
     def cut(self) -> None:
-        """Ends the connection without ceremony."""
+        """Ends the connection immediately; queued bytes are lost."""
         self.closing = True
         self.scope.cancel()
         self.writing.cancel()
 
     def drop(self) -> None:
-        """Closes at once what nothing waits for."""
-        if (held := getattr(self.stream, "socket", None)) is not None:
-            held.close()
+        """Closes the socket at once, without waiting for the writer."""
+        if (socket := getattr(self.stream, "socket", None)) is not None:
+            socket.close()
 
     def end(self) -> None:
-        """Ends the connection after what is queued has gone; a second at most."""
+        """Ends the connection once the queue is written, or after one second."""
         self.closing = True
         self.writing.deadline = min(self.writing.deadline, trio.current_time() + 1.0)
         self.more.set()
 
     async def write(self) -> None:
-        """Writes what is queued until the connection ends; then closes the stream."""
+        """Writes the queue until the connection ends; then closes the stream."""
         try:
             with self.writing:
                 while not self.closing or self.waits():
@@ -88,9 +89,9 @@
                         self.left(data)
                     if self.closing:
                         break
-        except (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError) as wrong:
+        except (trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError) as error:
             self.closing = True
-            self.reset = self.reset or isinstance(wrong, trio.BrokenResourceError)
+            self.reset = self.reset or isinstance(error, trio.BrokenResourceError)
             await self.read_out()
         finally:
             self.closing = True
@@ -100,7 +101,7 @@
 
 
 class MessageConnection(SendQueue):
-    """One side of a connection that carries frames."""
+    """One side of a connection that carries messages in frames."""
 
     def __init__(
         self,
@@ -116,12 +117,13 @@
         self.codec, self.now = codec, now
         self.recorder, self.peer = recorder, peer
         self.reader = FrameReader(frame_bytes)
-        self.trunk: Trunk | None = None  # this connection in the capture
-        self.body = b""  # of the message that was read last
-        self.raw = b""  # what was read last, whatever it is
+        self.trunk: Trunk | None = None  # this connection in the capture, if it is captured
+        self.body = b""  # body of the last message read
+        self.raw = b""  # bytes of the last read
 
     def send(self, message: Message) -> bool:
-        """Queues a message; False if the wire is ending, or just ended because its queue is full."""
+        """Queues a message; returns False if the connection is ending, or was just ended because its queue is
+        full."""
         body = encode(message)
         if not self.put(body):
             return False
@@ -131,17 +133,19 @@
         return True
 
     def finish(self, message: Message | None = None) -> None:
-        """Ends the wire after what is queued, and a last message, have gone; a second at most."""
+        """Ends the connection once the queue and a last message are written, or after one second."""
         if message is not None:
             self.send(message)
         self.end()
 
-    def note(self, way: str, message: Message | None) -> None:
+    def note(self, direction: str, message: Message | None) -> None:
+        """Adds a line to the record: "in" or "out" with a message, "open" or "shut" without one."""
         if self.recorder is not None and self.peer:
-            self.recorder.note(self.now(), self.peer, way, message)
+            self.recorder.note(self.now(), self.peer, direction, message)
 
     async def messages(self) -> AsyncIterator[Message]:
-        """What the peer says, until either side ends. FrameError if the peer breaks the protocol."""
+        """Yields the peer's messages until either side ends. Raises FrameError if the peer violates the
+        protocol."""
         while True:
             for body in await self.frames():
                 self.body = body
@@ -155,7 +159,7 @@
 
     async def frames(self) -> list[bytes]:
         try:
-            data = await self.stream.receive_some(READ)
+            data = await self.stream.receive_some(READ_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             data = b""
         if not data:
@@ -166,27 +170,30 @@
         return self.reader.feed(data)
 
     async def first(self, kind: type[Message], seconds: float) -> Message:
-        """The peer's first message, of this kind and within this time, else FrameError."""
+        """Returns the peer's first message; raises FrameError if it is of another kind or does not arrive in
+        time."""
         with trio.move_on_after(seconds):
             while not self.ended:
                 bodies = await self.frames()
                 if bodies:
                     self.body = bodies[0]
                     message = self.codec.decode(self.body)
-                    self.held_back = bodies[1:]
+                    self.read_ahead = bodies[1:]
                     if isinstance(message, Fault):
                         raise FrameError(message.code, message.text, message.again_after)
                     if not isinstance(message, kind):
-                        raise FrameError("wrong_first", f"the first message was no {kind.__name__}")
+                        raise FrameError("wrong_first", f"the first message was not a {kind.__name__}")
                     if isinstance(message, Hello | Welcome) and message.version != VERSION:
-                        raise FrameError("version", f"version {message.version}; spoken here: {VERSION}")
+                        raise FrameError(
+                            "version", f"version {message.version}; this side speaks version {VERSION}"
+                        )
                     return message
-            raise FrameError("ended", "the peer left before its first message")
+            raise FrameError("ended", "the peer disconnected before its first message")
         raise FrameError("no_hello", f"no first message within {seconds:g} s")
 
     def rest(self) -> Iterator[Message]:
-        """What came in one read with the first message."""
-        bodies, self.held_back = self.held_back, []
+        """Yields the messages that were read together with the first one."""
+        bodies, self.read_ahead = self.read_ahead, []
         for body in bodies:
             self.body = body
             message = self.codec.decode(body)
@@ -194,8 +201,8 @@
             yield message
 
     def captured(self) -> None:
-        """Puts the message that was read last into the capture."""
+        """Writes the last message read to the capture."""
         if self.trunk is not None:
             self.trunk.data(False, frame(self.body), self.now())
 
-    held_back: list[bytes] = []
+    read_ahead: list[bytes] = []
--- a/hazelhold/service/connection_factory.py
+++ b/hazelhold/service/connection_factory.py
@@ -1,4 +1,4 @@
-"""Makes a planner's wires, with its limits and its recorder, and has them captured."""
+"""Creates a planner's message connections with its limits and recorder, and captures them."""
 
 import trio
 
@@ -11,26 +11,26 @@
 
 
 class ConnectionFactory:
-    """What all of a planner's connections have in common."""
+    """Creates connections that share a planner's limits, network, recorder and capture."""
 
     def __init__(self, limits: LimitsConfig, net: Net, recorder: Recorder | None, tap: Tap | None) -> None:
         self.limits, self.net, self.recorder, self.tap = limits, net, recorder, tap
 
-    def connection(
+    def create(
         self, stream: trio.abc.Stream, codec: m.Codec, peer: str = "", frame_bytes: int = 0
     ) -> MessageConnection:
-        """A wire on this stream. `frame_bytes`: where the peer may send longer frames than others."""
-        longest = max(self.limits.frame_bytes, frame_bytes)
+        """Returns a connection on this stream. `frame_bytes` raises the maximum frame size for this peer."""
+        max_frame_bytes = max(self.limits.frame_bytes, frame_bytes)
         return MessageConnection(
-            stream, codec, self.net.now, self.recorder, peer, longest, self.limits.send_bytes
+            stream, codec, self.net.now, self.recorder, peer, max_frame_bytes, self.limits.send_bytes
         )
 
     def begin_capture(self, role: str, who: str, connection: MessageConnection, dialled: bool) -> None:
-        """Gives the wire a connection in the capture, if there is one."""
+        """Starts to capture the connection if the planner has a capture. `who` is the peer's name."""
         if self.tap is not None:
             connection.trunk = self.tap.trunk(role, who, connection.stream, dialled, self.net.now())
 
     def end_capture(self, connection: MessageConnection) -> None:
-        """Closes the wire's connection in the capture."""
+        """Ends the connection in the capture."""
         if connection.trunk is not None:
             connection.trunk.close(self.net.now())
--- a/hazelhold/service/disk_timeout.py
+++ b/hazelhold/service/disk_timeout.py
@@ -1,4 +1,4 @@
-"""Calls a store in a thread, and does not wait for ever."""
+"""Disk calls in a worker thread, with a timeout."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,15 @@
 
 
 async def run_with_timeout(
-    store: Store, most_ms: float, call: Callable[..., None], *given: object
+    store: Store, timeout_ms: float, call: Callable[..., None], *arguments: object
 ) -> OSError | None:
-    """What went wrong, or None. A call that takes too long is left to itself: its disk counts as failed."""
-    with trio.move_on_after(most_ms / 1000):
+    """Runs `call` in a thread; returns its error, or None. A call that exceeds `timeout_ms` is abandoned, and
+    the store is marked as unhealthy."""
+    with trio.move_on_after(timeout_ms / 1000):
         try:
-            await trio.to_thread.run_sync(call, *given, abandon_on_cancel=True)
+            await trio.to_thread.run_sync(call, *arguments, abandon_on_cancel=True)
             return None
-        except OSError as wrong:
-            return wrong
+        except OSError as error:
+            return error
     store.healthy = False
-    return OSError(f"the disk took longer than {most_ms:g} ms")
+    return OSError(f"the disk took longer than {timeout_ms:g} ms")
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -1,8 +1,8 @@
-"""Between a planner's connections and its engine: inputs go in and into the capture, actions are carried out.
+"""Connects a planner's network code to its engine: delivers and captures inputs, carries out actions.
 
-What arrives goes straight into the engine; the ticker then pumps it, so that what arrived together is decided
-on together. Before actions are carried out, what they rest on goes to the disk (`keeper`), and what others
-must agree to first goes to them (`copies`).
+Inputs go straight into the engine; the ticker pumps it afterwards, so that inputs that arrive together are
+decided on together. Before actions are carried out, the state that they depend on is written to disk
+(`state_writer`), and proposals that need the agreement of other planners are sent to them (`copies`).
 """
 
 from collections.abc import Callable
@@ -25,8 +25,8 @@
 
 
 class EngineDriver:
-    """Feeds one engine. `perform` carries an action out; `batch_s` is the least time between two pumps, in
-    seconds. The planner sets `keeper` and `copies` if it has them."""
+    """Drives one engine. `perform` carries out an action; `batch_s` is the minimum time between two pumps, in
+    seconds. The planner sets `state_writer` and `copies` if it has them."""
 
     def __init__(
         self, engine: Engine, net: Net, tap: Tap | None, batch_s: float, perform: Callable[[Action], None]
@@ -35,7 +35,7 @@
         self.ticker = Ticker(net.now, engine.next_at, self._work, batch_s)
         self.state_writer: StateWriter | None = None
         self.copies: Copies | None = None
-        self.handed_over = False  # another process has the state: nothing goes in any more
+        self.handed_over = False  # another process owns the state: no input is accepted any more
 
     def _work(self, now: int) -> None:
         if self.handed_over:
@@ -48,40 +48,41 @@
     def deliver(
         self, what: str, now: int | None = None, *, who: str = "", welcome: m.Welcome | None = None
     ) -> None:
-        """Tells the engine of something that is no message, by one of its input methods; notes it in the
+        """Passes an event that is not a message to the engine's input method `what`, and records it in the
         capture."""
         now = self.net.now() if now is None else now
         if self.tap is not None:
-            more = {"who": who} if who else {}
+            fields = {"who": who} if who else {}
             if welcome is not None:
-                more["welcome"] = msgspec.to_builtins(welcome)
-            self.tap.note(now, what, **more)
-        given = [each for each in (who, welcome) if each]
-        getattr(self.engine, what)(now, *given)
+                fields["welcome"] = msgspec.to_builtins(welcome)
+            self.tap.note(now, what, **fields)
+        arguments = [each for each in (who, welcome) if each]
+        getattr(self.engine, what)(now, *arguments)
         self.carry_out()
 
-    def deliver_state_event(self, what: str, news: object) -> None:
-        """What the keeper has to tell the engine: the disk's health, an offer that did not leave."""
+    def deliver_state_event(self, what: str, event: object) -> None:
+        """Passes an event of the state writer to the engine: the disk's health, or an offer that was not
+        sent."""
         now = self.net.now()
         if self.tap is not None:
-            self.tap.note(now, what, news=msgspec.to_builtins(news))
-        getattr(self.engine, what)(now, news)
+            self.tap.note(now, what, news=msgspec.to_builtins(event))
+        getattr(self.engine, what)(now, event)
         self.carry_out()
         self.ticker.notify()
 
-    def deliver_message(self, what: str, connection: MessageConnection, *given: object) -> None:
-        """Takes a message of a peer to the engine; what needs no decision goes out before one is made."""
+    def deliver_message(self, what: str, connection: MessageConnection, *arguments: object) -> None:
+        """Passes a peer's message to the engine; actions that need no decision are carried out at once."""
         if self.handed_over:
-            return  # the next process hears it: what is not acknowledged is asked again
+            return  # peers send what was not acknowledged again, to the next process
         now = self.net.now()
         if connection.trunk is not None:
             connection.trunk.data(False, frame(connection.body), now)
-        getattr(self.engine, what)(now, *given)
+        getattr(self.engine, what)(now, *arguments)
         self.carry_out()
         self.ticker.notify()
 
     def agreed(self, no: int, outcome: str, value: bytes, reason: str) -> None:
-        """How an asking among the planners ended."""
+        """Passes the outcome of proposal `no` among the planners to the engine."""
         if self.handed_over:
             return
         self.engine.agreed(self.net.now(), no, outcome, value, reason)
@@ -89,19 +90,19 @@
         self.ticker.notify()
 
     def carry_out(self) -> None:
-        """Does what the engine wants done; what a failed send causes goes in as an input and is done too."""
+        """Carries out the engine's actions, including those that result from a failed send."""
         if self.state_writer is not None:
             while self.engine.actions or self.engine.keeping.marks:
-                actions, self.engine.actions = self._ask_others(self.engine.actions), []
+                actions, self.engine.actions = self._propose_changes(self.engine.actions), []
                 self.state_writer.take(actions, self.engine.flush(self.net.now()))
             return
         while self.engine.actions:
-            actions, self.engine.actions = self._ask_others(self.engine.actions), []
+            actions, self.engine.actions = self._propose_changes(self.engine.actions), []
             for action in actions:
                 self.perform(action)
 
-    def _ask_others(self, actions: list[Action]) -> list[Action]:
-        """Begins the askings among these actions, which wait for nothing; returns the others."""
+    def _propose_changes(self, actions: list[Action]) -> list[Action]:
+        """Starts the proposals among these actions, which need not wait for the disk; returns the others."""
         if self.copies is None:
             return actions
         for action in actions:
--- a/hazelhold/service/list_link.py
+++ b/hazelhold/service/list_link.py
@@ -1,4 +1,4 @@
-"""The link to the list service: dialled again whenever it is gone, asked what the engine wants asked."""
+"""The connection to the list service: reconnects when it is lost, and requests the list for the engine."""
 
 from collections import Counter
 
@@ -12,12 +12,12 @@
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
-LIST = m.Codec(m.FROM_LIST)
+CODEC = m.Codec(m.FROM_LIST)
 RETRY_S = 0.5  # seconds from the end of one connection to the next dial
 
 
 class ListLink:
-    """Follows the list of machines. `wanted`: the version after which changes are asked for, or None."""
+    """Watches the list of machines. `wanted` is the version after which to request changes, or None."""
 
     def __init__(
         self,
@@ -35,62 +35,62 @@
         )
         self.counts, self.log = counts, log
         self.wanted: int | None = None
-        self.asked = trio.Event()
+        self.requested = trio.Event()
 
-    def ask(self, since: int) -> None:
-        """Asks for what changed after this version, on this connection or the next."""
+    def request(self, since: int) -> None:
+        """Requests the changes after this version, on this connection or the next."""
         self.wanted = since
-        self.asked.set()
+        self.requested.set()
 
     async def run(self) -> None:
-        """Keeps a connection to the list service while it can, and asks what the engine wants asked."""
+        """Keeps a connection to the list service open, and sends the engine's requests on it."""
         if not self.config.list.asked:
             self.wanted = 0
         while True:
             try:
                 with trio.fail_after(self.limits.hello_ms / 1000):
                     stream = await self.driver.net.dial(self.config.list.address)
-                connection = self.connection_factory.connection(
-                    stream, LIST, "list", self.config.list.frame_bytes
+                connection = self.connection_factory.create(
+                    stream, CODEC, "list", self.config.list.frame_bytes
                 )
                 self.connection_factory.begin_capture("list", "list", connection, True)
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(connection.write)
                     with connection.scope:
-                        await self._hear_list(connection, nursery)
+                        await self._receive(connection, nursery)
                     connection.finish()
                     self.connection_factory.end_capture(connection)
                     nursery.cancel_scope.cancel()
-            except (OSError, trio.TooSlowError) as wrong:
-                self.log.debug("list_unreachable", reason=str(wrong))
+            except (OSError, trio.TooSlowError) as error:
+                self.log.debug("list_unreachable", reason=str(error))
             self.driver.deliver("list_failed")
             self.wanted = self.driver.engine.list_version if not self.config.list.asked else None
             self.driver.ticker.notify()
             await trio.sleep(RETRY_S)
 
-    async def _hear_list(self, connection: MessageConnection, nursery: trio.Nursery) -> None:
+    async def _receive(self, connection: MessageConnection, nursery: trio.Nursery) -> None:
         try:
             connection.send(m.Hello(role="planner", name=self.config.name))
             await connection.first(m.Welcome, self.limits.hello_ms / 1000)
             connection.captured()
-            nursery.start_soon(self._send_asks, connection)
+            nursery.start_soon(self._send_requests, connection)
             for message in connection.rest():
-                self._list_said(connection, message)
+                self._deliver(connection, message)
             async for message in connection.messages():
-                self._list_said(connection, message)
-        except FrameError as wrong:
-            self.counts["list_" + wrong.code] += 1
-            self.log.info("list_left", code=wrong.code, reason=wrong.text)
+                self._deliver(connection, message)
+        except FrameError as error:
+            self.counts["list_" + error.code] += 1
+            self.log.info("list_left", code=error.code, reason=error.text)
 
-    async def _send_asks(self, connection: MessageConnection) -> None:
+    async def _send_requests(self, connection: MessageConnection) -> None:
         while True:
             if self.wanted is not None:
                 connection.send(m.Watch(since=self.wanted))
                 self.wanted = None
-            await self.asked.wait()
-            self.asked = trio.Event()
+            await self.requested.wait()
+            self.requested = trio.Event()
 
-    def _list_said(self, connection: MessageConnection, message: m.Message) -> None:
+    def _deliver(self, connection: MessageConnection, message: m.Message) -> None:
         if isinstance(message, m.Fault | m.Bye):
             raise FrameError("list_left", "the list service ended the connection")
         self.driver.deliver_message("list_said", connection, message)
--- a/hazelhold/service/net.py
+++ b/hazelhold/service/net.py
@@ -1,6 +1,6 @@
-"""Where connections come from: real sockets, or memory for whole days in virtual time.
+"""Networks: real sockets, or streams in memory for simulations in virtual time.
 
-Both give trio streams and one clock in whole microseconds. Everything above is the same on either.
+Both provide trio streams, datagrams and a clock in whole microseconds, so that all other code runs on either.
 """
 
 import errno
@@ -20,10 +20,10 @@
 
 
 class DatagramPort(Protocol):
-    """Where datagrams come and go. What cannot be sent at once is dropped: datagrams may be lost anyway."""
+    """Sends and receives datagrams. What cannot be sent at once is dropped: datagrams may be lost anyway."""
 
     address: str
-    numeric: bool  # addresses are (IP address, port); else words
+    numeric: bool  # peers' addresses are (IP address, port) pairs rather than names
 
     async def readable(self) -> None: ...
 
@@ -35,17 +35,17 @@
 
 
 SHORTAGES = frozenset((errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN))
-"""Errors of system calls for want of something that others may give back."""
+"""Errors of system calls that lack a resource which may become free again."""
 
-RETRY = 0.05  # seconds after a shortage
+RETRY_S = 0.05  # seconds after a shortage
 ACCEPT_AGAIN = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05)
-"""Seconds after a connection could not be accepted, by how often that failed in a row; then the last."""
+"""Seconds to wait after a failed accept, by the number of failures in a row; the last value repeats."""
 
-LISTEN_TRIES = 20.0  # seconds for which a listening socket is tried to be had
-BACKLOG = 2048  # connections that wait to be accepted
-AT_ONCE = 256  # datagrams taken before others in the process have their turn
-ACCEPTED = 64  # connections taken before others in the process have their turn
-DATAGRAM = 2048  # bytes read of one: more than any planner sends
+LISTEN_TIMEOUT_S = 20.0  # seconds for which opening a listening socket is retried
+BACKLOG = 2048  # connections that may wait to be accepted
+DATAGRAM_BATCH = 256  # datagrams received before other tasks of the process run
+ACCEPT_BATCH = 64  # connections accepted before other tasks of the process run
+DATAGRAM_BYTES = 2048  # maximum bytes read of a datagram: more than any planner sends
 
 
 class UdpPort:
@@ -59,23 +59,23 @@
         try:
             self.socket.setblocking(False)
             self.socket.bind((host, port))
-        except OSError as wrong:
+        except OSError as error:
             self.socket.close()
-            raise OSError(wrong.errno, wrong.strerror, f"{host}:{port}") from None
-        at = self.socket.getsockname()
-        self.address = f"{at[0]}:{at[1]}"
+            raise OSError(error.errno, error.strerror, f"{host}:{port}") from None
+        bound = self.socket.getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
 
     async def readable(self) -> None:
         await trio.lowlevel.wait_readable(self.socket)
 
     def pending(self) -> Iterator[tuple[bytes, Any]]:
-        for _ in range(AT_ONCE):
+        for _ in range(DATAGRAM_BATCH):
             try:
-                yield self.socket.recvfrom(DATAGRAM)
+                yield self.socket.recvfrom(DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an earlier datagram came to nobody: not this one's matter
+                continue  # reports that an earlier datagram was undeliverable; this one is unaffected
 
     def send(self, body: bytes, to: Any) -> bool:  # noqa: ANN401
         try:
@@ -89,7 +89,8 @@
 
 
 class MemoryPort:
-    """Datagrams in memory, at once and in order; `carry` may be replaced by whoever loses or delays them."""
+    """Datagrams in memory, delivered at once and in order; tests replace `MemoryNet.carry` to lose or delay
+    them."""
 
     numeric = False
 
@@ -122,7 +123,7 @@
 
 
 class Net(Protocol):
-    """What the service and the stand-ins need of a network."""
+    """What the service and the stand-ins require of a network."""
 
     def now(self) -> int: ...
 
@@ -140,17 +141,19 @@
 
 
 ACCEPT_DELAY = "hazelhold_accept_delay"
-"""Attribute of a stream: seconds for which it may have waited to be accepted."""
+"""Attribute of a stream: maximum seconds for which it waited to be accepted."""
 
 
 def accept_delay(stream: trio.abc.Stream) -> float:
-    """Seconds for which a connection may have waited: accepting failed, or the process did not run."""
+    """Returns the maximum seconds for which a connection waited: accepts failed, or the process did not
+    run."""
     return getattr(stream, ACCEPT_DELAY, 0.0)
 
 
 async def serve(listener: socket.socket, handler: Handler, at_once: int) -> None:
-    """Accepts so many in each turn of the loop: one a turn, as `trio.serve_listeners` does, leaves a peer
-    behind hundreds of silent ones for as many turns. Without descriptors it waits a little."""
+    """Accepts up to `at_once` connections in each iteration of the event loop. With one per iteration, as
+    `trio.serve_listeners` does it, a peer behind hundreds of silent ones waits for as many iterations.
+    Without free descriptors it waits as `ACCEPT_AGAIN` says."""
     listener.setblocking(False)
     queue, queue_empty = EmptySince(), True
     failures = 0  # in a row
@@ -167,7 +170,7 @@
             while True:
                 queue.begin()
                 await trio.lowlevel.wait_readable(listener)
-                if queue_empty:  # else some have waited since the last time already
+                if queue_empty:  # otherwise some have been waiting since the last iteration
                     queue.data_arrived()
                 queue_empty = False
                 try:
@@ -181,29 +184,29 @@
                     queue.emptied()
                 except ConnectionAbortedError:
                     pass
-                except OSError as wrong:
+                except OSError as error:
                     if not failures:
-                        structlog.get_logger().warning("accept_put_off", reason=str(wrong))
+                        structlog.get_logger().warning("accept_put_off", reason=str(error))
                     await trio.sleep(ACCEPT_AGAIN[min(failures, len(ACCEPT_AGAIN) - 1)])
                     failures += 1
 
 
 async def _listener(address: tuple[str, int], family: int) -> socket.socket:
-    """A listening socket. Shortages of the system pass, so it is tried again for some seconds; OSError if it
-    cannot be had, at once if the address is wrong or taken."""
-    tried_until = trio.current_time() + LISTEN_TRIES
+    """Opens a listening socket. Shortages of system resources are retried for `LISTEN_TIMEOUT_S`; raises
+    OSError after that, or at once if the address is wrong or in use."""
+    deadline = trio.current_time() + LISTEN_TIMEOUT_S
     while True:
         try:
             return socket.create_server(address, family=family, backlog=BACKLOG)
-        except OSError as wrong:
-            if wrong.errno not in SHORTAGES or trio.current_time() >= tried_until:
+        except OSError as error:
+            if error.errno not in SHORTAGES or trio.current_time() >= deadline:
                 raise
-            structlog.get_logger().warning("listen_put_off", reason=str(wrong))
-            await trio.sleep(RETRY)
+            structlog.get_logger().warning("listen_put_off", reason=str(error))
+            await trio.sleep(RETRY_S)
 
 
 class TcpNet:
-    """TCP, and UDP between planners. The clock is the host's monotonic one, so that all processes of a
+    """TCP, and UDP between planners. The clock is the system's monotonic one, so that all processes of a
     rehearsal share it."""
 
     def now(self) -> int:
@@ -213,12 +216,14 @@
         self.wall_offset = time.time_ns() - time.monotonic_ns()
 
     def wall(self) -> int:
-        """Unix time in microseconds, for what outlives the process. It is the wall clock as it stood when the
-        process began, carried on by the monotonic clock: a step of it since then changes nothing."""
+        """Returns Unix time in microseconds, for times that outlive the process. It is the wall clock as read
+        when the process started, advanced by the monotonic clock, so later steps of the wall clock have no
+        effect."""
         return (time.monotonic_ns() + self.wall_offset) // 1000
 
     def wall_stepped(self) -> float:
-        """Seconds by which the wall clock was stepped since the process began; positive if forward."""
+        """Returns the seconds by which the wall clock was stepped since the process started; positive if
+        forward."""
         return (time.time_ns() - time.monotonic_ns() - self.wall_offset) / 1e9
 
     async def dial(self, address: str) -> trio.abc.Stream:
@@ -228,9 +233,9 @@
         return stream
 
     async def listen(
-        self, address: str, handler: Handler, nursery: trio.Nursery, at_once: int = ACCEPTED
+        self, address: str, handler: Handler, nursery: trio.Nursery, at_once: int = ACCEPT_BATCH
     ) -> str:
-        """Serves connections in the nursery, which ends with it; returns the address with the port in use."""
+        """Serves connections until the nursery is cancelled; returns the address with the port in use."""
         await trio.lowlevel.checkpoint()
         host, port = split_address(address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -245,12 +250,12 @@
 
 
 class MemoryNet:
-    """Streams in memory under trio's clock, real or virtual. Addresses are any words."""
+    """Streams in memory under trio's clock, real or virtual. Addresses are arbitrary names."""
 
     def __init__(self) -> None:
         self.ports: dict[str, MemoryPort] = {}
         self.listeners: dict[str, tuple[Handler, trio.Nursery]] = {}
-        self.numbers = 0
+        self.last_port = 0
 
     def now(self) -> int:
         return round(trio.current_time() * 1e6)
@@ -264,37 +269,39 @@
     async def dial(self, address: str) -> trio.abc.Stream:
         await trio.lowlevel.checkpoint()
         if address not in self.listeners:
-            raise OSError(f"nobody listens at {address}")
-        from trio.testing import memory_stream_pair  # not above: it brings megabytes that sockets do without
+            raise OSError(f"nothing listens at {address}")
+        from trio.testing import (
+            memory_stream_pair,
+        )  # imported here: it loads megabytes that real sockets do not need
 
         handler, nursery = self.listeners[address]
-        mine, theirs = memory_stream_pair()
-        nursery.start_soon(handler, theirs)
-        return mine
+        near, far = memory_stream_pair()
+        nursery.start_soon(handler, far)
+        return near
 
     async def listen(
-        self, address: str, handler: Handler, nursery: trio.Nursery, at_once: int = ACCEPTED
+        self, address: str, handler: Handler, nursery: trio.Nursery, at_once: int = ACCEPT_BATCH
     ) -> str:
         if address.endswith(":0"):
-            self.numbers += 1
-            address = f"{address[:-2]}:{self.numbers}"
+            self.last_port += 1
+            address = f"{address[:-2]}:{self.last_port}"
         self.listeners[address] = handler, nursery
-        nursery.start_soon(self._leave, address, handler)
+        nursery.start_soon(self._remove_at_end, address, handler)
         return address
 
     async def port(self, address: str) -> DatagramPort:
         await trio.lowlevel.checkpoint()
         if address.endswith(":0"):
-            self.numbers += 1
-            address = f"{address[:-2]}:{self.numbers}"
-        made = self.ports[address] = MemoryPort(self, address)
-        return made
+            self.last_port += 1
+            address = f"{address[:-2]}:{self.last_port}"
+        port = self.ports[address] = MemoryPort(self, address)
+        return port
 
     def carry(self, body: bytes, source: str, to: str) -> None:
         if port := self.ports.get(to):
             port.take(body, source)
 
-    async def _leave(self, address: str, handler: Handler) -> None:
+    async def _remove_at_end(self, address: str, handler: Handler) -> None:
         try:
             await trio.sleep_forever()
         finally:
--- a/hazelhold/service/owner_server.py
+++ b/hazelhold/service/owner_server.py
@@ -1,4 +1,4 @@
-"""The door for owners: each connection from its Hello to its end, and who is let in when many come."""
+"""The server for owners: each connection from its Hello to its end, and admission when many connect."""
 
 from collections import Counter
 from random import Random
@@ -14,11 +14,11 @@
 from hazelhold.service.connection_factory import ConnectionFactory
 from hazelhold.service.driver import EngineDriver
 
-OWNERS = m.Codec(m.FROM_OWNER)
+CODEC = m.Codec(m.FROM_OWNER)
 
 
 class OwnerServer:
-    """Serves owners. `owners` holds the wire of each that has said its Hello."""
+    """Serves owners. `owners` holds the connection of each owner that has sent its Hello."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         )
         self.counts, self.log = counts, log
         self.owners: dict[str, MessageConnection] = {}
-        self.connections = self.greeting = 0  # open ones, and those before their Hello
+        self.connections = self.handshakes = 0  # open connections, and those of them without a Hello yet
         self.doorman = Doorman(
             config.limits.handshakes_a_second,
             config.limits.handshake_burst,
@@ -47,45 +47,47 @@
         )
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """One owner's connection, from its Hello to its end. Whatever is wrong with it ends it alone."""
-        connection = self.connection_factory.connection(stream, OWNERS)
+        """Serves one owner's connection, from its Hello to its end. A fault in it ends only this
+        connection."""
+        connection = self.connection_factory.create(stream, CODEC)
         self.connections += 1
-        later = self.doorman.admits(self.driver.net.now(), self.greeting)
-        self.greeting += 1
+        retry_after = self.doorman.admits(self.driver.net.now(), self.handshakes)
+        self.handshakes += 1
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.write)
                 if self.connections > self.limits.connections:
                     limit = self.limits.connections
                     self._refuse(connection, FrameError("too_many", f"{limit} connections are open"))
-                elif later:
+                elif retry_after:
                     self.counts["connections_put_off"] += 1
-                    connection.finish(m.Fault(code="busy", text="come back later", again_after=later))
+                    connection.finish(m.Fault(code="busy", text="come back later", again_after=retry_after))
                 else:
                     with connection.scope:
                         await self._serve_owner(connection)
                 connection.finish()
         finally:
             self.connections -= 1
-            self._greeted(connection)
+            self._handshake_done(connection)
 
     def return_window(self) -> int:
-        """Microseconds over which owners should spread their return, were they all to lose this planner."""
+        """Returns the microseconds over which owners should spread their reconnects if this planner goes
+        away."""
         return self.doorman.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
 
-    def _greeted(self, connection: MessageConnection) -> None:
-        """A handshake is over, one way or the other."""
+    def _handshake_done(self, connection: MessageConnection) -> None:
+        """Counts a handshake as finished, whether it succeeded or not."""
         if not connection.greeted:
             connection.greeted = True
-            self.greeting -= 1
+            self.handshakes -= 1
 
     async def _serve_owner(self, connection: MessageConnection) -> None:
         name = ""
         try:
             hello = await connection.first(m.Hello, self.limits.hello_ms / 1000)
             if hello.role != "owner":
-                raise FrameError("wrong_role", f"this door is for owners, not for a {hello.role}")
-            self._greeted(connection)
+                raise FrameError("wrong_role", f"this address serves owners, not a {hello.role}")
+            self._handshake_done(connection)
             name = connection.peer = hello.name
             if old := self.owners.get(name):
                 old.finish(m.Bye(reason="replaced"))
@@ -97,38 +99,38 @@
             connection.send(m.Welcome(name=self.config.name, spread=self.return_window()))
             self.log.debug("owner_here", owner=name)
             for message in connection.rest():
-                self._owner_said(name, connection, message)
+                self._deliver(name, connection, message)
             async for message in connection.messages():
                 if isinstance(message, m.Bye):
                     break
-                self._owner_said(name, connection, message)
-        except FrameError as wrong:
-            self._refuse(connection, wrong)
+                self._deliver(name, connection, message)
+        except FrameError as error:
+            self._refuse(connection, error)
         finally:
             if name and self.owners.get(name) is connection:
                 del self.owners[name]
             connection.note("shut", None)
             self.connection_factory.end_capture(connection)
 
-    def _owner_said(self, name: str, connection: MessageConnection, message: m.Message) -> None:
+    def _deliver(self, name: str, connection: MessageConnection, message: m.Message) -> None:
         if isinstance(message, m.Hello):
             raise FrameError("second_hello", "a connection has one Hello")
         self.driver.deliver_message("owner_said", connection, name, message)
 
-    def _refuse(self, connection: MessageConnection, wrong: FrameError) -> None:
-        if self.connection_factory.tap is not None:  # what was wrong is worth keeping, too
+    def _refuse(self, connection: MessageConnection, error: FrameError) -> None:
+        if self.connection_factory.tap is not None:  # the capture also holds what was refused
             if connection.trunk is None:
                 self.connection_factory.begin_capture(
                     "refused", connection.peer or "unknown", connection, False
                 )
-            told = (
+            received = (
                 connection.raw
-                if wrong.code.startswith("frame")
+                if error.code.startswith("frame")
                 else frame(connection.body)
                 if connection.body
                 else b""
             )
-            connection.trunk.data(False, told, self.driver.net.now())
-        self.counts["refused_" + wrong.code] += 1
-        self.log.warning("connection_refused", code=wrong.code, reason=wrong.text, peer=connection.peer)
-        connection.finish(m.Fault(code=wrong.code, text=wrong.text))
+            connection.trunk.data(False, received, self.driver.net.now())
+        self.counts["refused_" + error.code] += 1
+        self.log.warning("connection_refused", code=error.code, reason=error.text, peer=connection.peer)
+        connection.finish(m.Fault(code=error.code, text=error.text))
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -1,9 +1,10 @@
-"""The planner on the network: its parts are made, started and ended here.
+"""The planner as a network service: creates, starts and stops its components.
 
-The parts stand in modules of their own: `owner_door`, `machine_links` and `list_link` hold the connections,
-`driver` takes what they hear to the one engine and has its actions carried out, `recovery` and `keeper` keep
-state, `ending` holds the stop and the hand-over. Everything lives in one nursery. Whatever can hang has a
-cancel scope of its own: a dial, a first message, a peer's writer, the stop.
+The components have modules of their own: `owner_server`, `machine_links` and `list_link` hold the
+connections, `driver` delivers their messages to the engine and has its actions carried out, `recovery` and
+`state_writer` store and restore state, `shutdown` holds the stop and the handover. All tasks run in one
+nursery. Each operation that can hang has its own cancel scope: a dial, a first message, a peer's writer, the
+stop.
 """
 
 from collections import Counter
@@ -40,7 +41,7 @@
 
 
 class Planner:
-    """One planner from its start to its stop. `run` ends once a stop that was asked for is done."""
+    """One planner from its start to its stop. `run` returns once a requested stop or handover is complete."""
 
     def __init__(
         self,
@@ -55,7 +56,9 @@
     ) -> None:
         file = config
         if file.fleetconfig.listen:
-            from hazelhold.fleetconfig.follower_host import starting_point  # not above: off costs nothing
+            from hazelhold.fleetconfig.follower_host import (
+                starting_point,
+            )  # imported only when the feature is on
 
             revisions = revisions or RealDisk(Path(file.fleetconfig.folder))
             config = starting_point(file, revisions)
@@ -78,7 +81,7 @@
         self._make_state_writer(disk)
 
     def _make_connections(self, seed: int) -> None:
-        """The driver of the engine, and what it and the network meet by."""
+        """Creates the engine's driver and the network components."""
         config = self.config
         batch_s = config.limits.batch_ms / 1000
         self.driver = EngineDriver(self.engine, self.net, self.tap, batch_s, self.perform)
@@ -88,15 +91,15 @@
         self.list_link = ListLink(config, self.driver, connection_factory, self.counts, self.log)
 
     def _make_members(self) -> None:
-        """Membership, if the planner's file has it on."""
+        """Creates the membership component, if the configuration enables it."""
         self.members = None
         if self.config.membership.listen:
-            from hazelhold.membership.host import Members  # not above: off costs nothing
+            from hazelhold.membership.host import Members  # imported only when the feature is on
 
             self.members = Members(self.config.name, self.config.membership, self.net, self.recorder)
 
     def _make_copies(self, votes: Disk | None) -> None:
-        """Agreement on claims, if the planner's file has it on."""
+        """Creates the replication of claims, if the configuration enables it."""
         self.copies = None
         config = self.config
         if config.copies.listen:
@@ -114,7 +117,7 @@
                 self.members.beside = self.copies.standing
 
     def _make_follower(self, file: PlannerConfig, revisions: Disk | None) -> None:
-        """The follower of the fleet's configuration, if the planner's file has it on."""
+        """Creates the follower of the fleet's configuration, if the planner's file enables it."""
         self.follower = None
         if file.fleetconfig.listen:
             from hazelhold.fleetconfig.follower_host import FollowerHost
@@ -124,7 +127,7 @@
             self.follower = FollowerHost(file.name, file.fleetconfig, self.net, revisions, self._put_in_force)
 
     def _make_state_writer(self, disk: Disk | None) -> None:
-        """The keeping of state, if there is a folder or a disk for it."""
+        """Creates the state writer, if there is a folder or a disk for the state."""
         self.state_writer: StateWriter | None = None
         config = self.config
         if disk is None and config.state.folder:
@@ -143,18 +146,19 @@
 
     @property
     def owners(self) -> dict[str, MessageConnection]:
-        """The wires of the owners that are connected, by name."""
+        """The connections of the owners that have sent their Hello, by name."""
         return self.owner_server.owners
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until a stop or a hand-over that was asked for is done; started once owners can dial."""
+        """Serves until a requested stop or handover is complete; reports as started once owners can
+        connect."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             if self.state_writer is not None:
                 await recover(self.state_writer, self.driver, self.config.name, self.take_over, self.log)
                 nursery.start_soon(self.state_writer.run)
-                nursery.start_soon(self.state_writer.tend)
-                nursery.start_soon(self.state_writer.let_go)
+                nursery.start_soon(self.state_writer.maintain)
+                nursery.start_soon(self.state_writer.release_held_back)
             if self.copies is not None:
                 await self._claim(nursery)
             if self.follower is not None:
@@ -176,12 +180,13 @@
             nursery.cancel_scope.cancel()
 
     def _put_in_force(self, document: "Document", changed: Iterable[str] | None) -> None:
-        """Takes a revision of the fleet's configuration, whole; SettingsError if the engine cannot."""
+        """Applies a whole revision of the fleet's configuration; raises SettingsError if the engine rejects
+        it."""
         self.settings.put_in_force(document, changed)
         self.driver.ticker.notify()
 
     async def _claim(self, nursery: trio.Nursery) -> None:
-        """From here on guests that must not run twice are claimed among the planners."""
+        """Opens the replicated claims; from now on at-most-once guests are claimed among the planners."""
         from hazelhold.replica.gate import Gate
 
         self.copies.open()
@@ -192,8 +197,8 @@
         self.driver.carry_out()
 
     def hand_over(self) -> None:
-        """Asks for an end that leaves all that is held to the next process, by way of the kept state. Without
-        kept state nothing happens."""
+        """Requests a handover: the process ends and leaves its guests to the next one through the stored
+        state. Does nothing if the planner stores no state."""
         if self.state_writer is None:
             self.log.warning("nothing_to_hand_over")
             return
@@ -201,7 +206,7 @@
         self.stop_requested.set()
 
     def stop(self) -> None:
-        """Asks for a clean stop."""
+        """Requests a clean stop."""
         self.stop_requested.set()
 
     def perform(self, action: Action) -> None:
@@ -213,7 +218,7 @@
         elif isinstance(action, HangUp):
             self.links.hang_up(action.machine)
         elif isinstance(action, AskList):
-            self.list_link.ask(action.since)
+            self.list_link.request(action.since)
         elif isinstance(action, Lost):
             self.counts["peers_lost"] += 1
             self.log.warning(
@@ -222,7 +227,7 @@
             self.links.hang_up(action.peer)
 
     def _send(self, action: Send) -> None:
-        """Queues a message; one that cannot leave is counted and noted."""
+        """Queues a message; one that cannot be sent is counted and captured."""
         if action.role == "owner":
             connection = self.owners.get(action.peer)
         else:
@@ -237,26 +242,30 @@
                     who=action.peer,
                     message=msgspec.to_builtins(action.message),
                 )
-            if action.role == "owner" and self.recorder is not None:  # kept for an owner that asks again
+            if action.role == "owner" and self.recorder is not None:  # persisted for an owner that asks again
                 self.recorder.note(self.net.now(), action.peer, "kept", action.message)
         self._log_send(action)
 
     def _log_send(self, action: Send) -> None:
-        said = action.message
-        if isinstance(said, m.Offer | m.Withdraw | m.Stop):
+        message = action.message
+        if isinstance(message, m.Offer | m.Withdraw | m.Stop):
             self.log.debug(
-                said.__struct_config__.tag,
-                guest=said.guest,
-                ask=said.ask,
-                attempt=said.attempt,
+                message.__struct_config__.tag,
+                guest=message.guest,
+                ask=message.ask,
+                attempt=message.attempt,
                 machine=action.peer,
             )
-        elif isinstance(said, m.Placed | m.TurnedBack | m.BrokenOff | m.GuestEnded | m.Rejected):
-            more = {
+        elif isinstance(message, m.Placed | m.TurnedBack | m.BrokenOff | m.GuestEnded | m.Rejected):
+            fields = {
                 key: value
                 for key in ("machine", "reason", "how", "code")
-                if (value := getattr(said, key, ""))
+                if (value := getattr(message, key, ""))
             }
             self.log.debug(
-                said.__struct_config__.tag, guest=said.guest, ask=said.ask, owner=action.peer, **more
+                message.__struct_config__.tag,
+                guest=message.guest,
+                ask=message.ask,
+                owner=action.peer,
+                **fields,
             )
--- a/hazelhold/service/recovery.py
+++ b/hazelhold/service/recovery.py
@@ -1,4 +1,4 @@
-"""The beginning of a planner that keeps state: taken over from an earlier life, or from a living process."""
+"""Starts a planner that stores its state, from an earlier run's state or by taking over a running process."""
 
 import os
 import signal
@@ -11,8 +11,8 @@
 from hazelhold.state.images import ENCODER
 from hazelhold.state.store import InUseError, StateError, StoreContents
 
-HAND_OVER_S = 10  # seconds that a living process has to hand over
-LOOK_S = 0.002  # seconds between looks whether it has
+HANDOVER_TIMEOUT_S = 10
+POLL_S = 0.002  # seconds between checks whether the other process has released the state
 
 
 async def recover(
@@ -22,22 +22,22 @@
     take_over: bool,
     log: structlog.stdlib.BoundLogger,
 ) -> None:
-    """Begins where an earlier life left off. With `take_over` a process that has the state is asked to hand
-    over. StateError if the folder is not to be used."""
+    """Restores the engine's state from an earlier run. With `take_over`, a process that uses the state is
+    asked to hand it over. Raises StateError if the folder must not be used."""
     net, tap = driver.net, driver.tap
     text = f"{planner} {os.getpid()}"
     try:
         found = state_writer.open(net.wall(), text)
-    except InUseError as wrong:
-        if not take_over or not wrong.pid:
+    except InUseError as error:
+        if not take_over or not error.pid:
             raise
-        found = await _take_over(state_writer, driver, wrong.pid, text, log)
+        found = await _take_over(state_writer, driver, error.pid, text, log)
     now, wall = net.now(), net.wall()
     complete = found.complete and not found.fresh
     counts = driver.engine.keep(now, wall - now, found.state_table, complete)
     if tap is not None:
-        kept = [[*change] for change in found.state_table.changes()]
-        tap.note(now, "keep", epoch=wall - now, complete=complete, changes=ENCODER.encode(kept))
+        images = [[*change] for change in found.state_table.changes()]
+        tap.note(now, "keep", epoch=wall - now, complete=complete, changes=ENCODER.encode(images))
     state_writer.begin()
     log.info(
         "recovered",
@@ -53,14 +53,14 @@
 async def _take_over(
     state_writer: StateWriter, driver: EngineDriver, pid: int, text: str, log: structlog.stdlib.BoundLogger
 ) -> StoreContents:
-    """Asks the process that has the state to hand over, and waits for it, ten seconds at most."""
+    """Asks the process that uses the state to hand it over; waits at most `HANDOVER_TIMEOUT_S`."""
     os.kill(pid, signal.SIGUSR2)
     log.info("taking_over", pid=pid)
-    with trio.move_on_after(HAND_OVER_S):
+    with trio.move_on_after(HANDOVER_TIMEOUT_S):
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_S)
             try:
                 return state_writer.open(driver.net.wall(), text)
             except InUseError:
                 continue
-    raise StateError(f"process {pid} did not hand over within {HAND_OVER_S} s")
+    raise StateError(f"process {pid} did not hand over within {HANDOVER_TIMEOUT_S} s")
--- a/hazelhold/service/shutdown.py
+++ b/hazelhold/service/shutdown.py
@@ -1,4 +1,4 @@
-"""The two ends of a planner: the clean stop, and the hand-over to a process that goes on with its state."""
+"""The two ways in which a planner ends: a clean stop, and a handover of its state to another process."""
 
 from typing import TYPE_CHECKING
 
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from hazelhold.service.planner import Planner
 
-KEEP_S = 1.0  # seconds that the last state has to reach the disk in a stop
-FAREWELL_S = 0.5  # seconds that owners have to take what is queued for them
-POLL_S = 0.01  # seconds between looks at what is still out
-SETTLE_S = 0.02  # seconds for the last bytes to leave
+FINAL_WRITE_S = 1.0  # seconds for writing the last state to disk in a stop
+FLUSH_S = 0.5  # seconds for sending what is queued for owners
+POLL_S = 0.01  # seconds between checks for unfinished work
+LINGER_S = 0.02  # seconds for the last bytes to leave the sockets
 
 
 async def stop(planner: "Planner") -> None:
-    """Takes nothing more, answers what it holds, and waits for what is out, for as long as is stated."""
+    """Accepts no more submissions, answers the held guests, and waits up to `stop_ms` for dispatches."""
     driver, engine = planner.driver, planner.engine
     driver.deliver("stop")
     planner.log.info("stopping", unanswered=engine.unanswered())
@@ -30,24 +30,24 @@
     driver.deliver("stop_now")
     spread = planner.owner_server.return_window()
     if planner.state_writer is not None:
-        with trio.move_on_after(KEEP_S):
+        with trio.move_on_after(FINAL_WRITE_S):
             await planner.state_writer.drained()
-            await planner.state_writer.last_try()
+            await planner.state_writer.retry_now()
     for connection in _connections(planner):
         connection.finish(m.Bye(reason="stopping", spread=spread))
-    with trio.move_on_after(FAREWELL_S):
+    with trio.move_on_after(FLUSH_S):
         while any(w.queue for w in planner.owners.values()):
             await trio.sleep(POLL_S)
-    await trio.sleep(SETTLE_S)
+    await trio.sleep(LINGER_S)
     if planner.tap is not None:
-        planner.tap.writer.end()  # others may still speak while the rest is written
+        planner.tap.writer.end()  # peers may still send while the rest is written
         await trio.to_thread.run_sync(planner.tap.writer.close)
         planner.counts["capture_lost"] = planner.tap.writer.lost_in_all
     planner.log.info("stopped", unanswered=engine.unanswered(), **engine.counts)
 
 
 async def hand_over(planner: "Planner") -> None:
-    """Reads nothing more, makes all safe, and goes."""
+    """Stops reading, writes all state to disk, and closes the connections."""
     driver, engine = planner.driver, planner.engine
     driver.handed_over = True
     planner.state_writer.take([], [engine.keeping.learned(engine)])
@@ -56,13 +56,13 @@
     spread = planner.owner_server.doorman.window(0, len(planner.owners))
     for connection in _connections(planner):
         connection.finish(m.Bye(reason="hand_over", spread=spread))
-    await trio.sleep(SETTLE_S)
+    await trio.sleep(LINGER_S)
     if planner.tap is not None:
-        planner.tap.writer.end()  # others may still speak while the rest is written
+        planner.tap.writer.end()  # peers may still send while the rest is written
         await trio.to_thread.run_sync(planner.tap.writer.close)
     planner.log.info("handed_over", unanswered=engine.unanswered(), **engine.counts)
 
 
 def _connections(planner: "Planner") -> list[MessageConnection]:
-    """Of all owners, then of all machines."""
+    """Returns the connections of all owners, then those of all machines."""
     return [*planner.owners.values(), *planner.links.open_connections()]
--- a/hazelhold/service/signals.py
+++ b/hazelhold/service/signals.py
@@ -1,4 +1,4 @@
-"""Signals that ask a process to do something, from its start to its last moment."""
+"""Signal handling from the start of a process to its exit."""
 
 import signal
 from collections.abc import Iterator, Sequence
@@ -7,16 +7,16 @@
 
 @contextmanager
 def early_signals(kinds: Sequence[signal.Signals]) -> Iterator[list[int]]:
-    """Signals of these kinds that come before trio listens: noted, so that none ends the process early.
+    """Collects signals of these kinds that arrive before trio handles them, so that none ends the process.
 
-    Afterwards they are ignored, until the process has gone: an interpreter that ends sets its own handlers
-    back to the system's default, by which a signal would end a stop that has done its work with an error.
+    Afterwards they are ignored until the process has exited: an interpreter that shuts down restores the
+    system's default handlers, by which a signal would turn a completed stop into an error exit.
     """
-    seen: list[int] = []
+    received: list[int] = []
     for kind in kinds:
-        signal.signal(kind, lambda number, _: seen.append(number))
+        signal.signal(kind, lambda number, _: received.append(number))
     try:
-        yield seen
+        yield received
     finally:
         for kind in kinds:
             signal.signal(kind, signal.SIG_IGN)
--- a/hazelhold/service/ticker.py
+++ b/hazelhold/service/ticker.py
@@ -1,4 +1,4 @@
-"""Drives anything that has moments at which it must act: the planner's engine and the stand-ins' models."""
+"""Runs an object that must act at given times: the planner's engine or a stand-in's model."""
 
 from collections.abc import Callable
 
@@ -6,8 +6,8 @@
 
 
 class Ticker:
-    """Calls `work(now)` whenever `due(now)` has come or somebody stirred it, at most once in `pause`
-    seconds, so that what arrives together is dealt with together."""
+    """Calls `work(now)` when the time `due(now)` is reached or `notify` was called, at most once in `pause`
+    seconds, so that inputs that arrive together are handled together. Times are in microseconds."""
 
     def __init__(
         self,
@@ -27,13 +27,13 @@
             now = self.now()
             self.work(now)
             due = self.due(now)
-            span = float("inf") if due is None else max(0.0, (due - now) / 1e6)
+            timeout = float("inf") if due is None else max(0.0, (due - now) / 1e6)
             if self.pause:
                 await trio.sleep(self.pause)
-                span -= self.pause
+                timeout -= self.pause
             else:
                 await trio.lowlevel.checkpoint()
-            if span > 0:
-                with trio.move_on_after(span):
+            if timeout > 0:
+                with trio.move_on_after(timeout):
                     await self.notified.wait()
             self.notified = trio.Event()
--- a/hazelhold/standin/__init__.py
+++ b/hazelhold/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for machines, the list service and owners: shells round the models."""
+"""Stand-ins for machines, the list service and owners: the models of `hazelhold.model` behind connections."""
--- a/hazelhold/standin/disk.py
+++ b/hazelhold/standin/disk.py
@@ -1,8 +1,8 @@
-"""A stand-in disk in memory that fails as it is told: killed at a numbered point, full, read-only, failing
-syncs.
+"""A disk in memory with injected faults: crashes at numbered points, a full or read-only disk, failing syncs.
 
-What was written and not synced is lost at a crash but for a prefix drawn at random, as on a real disk. Points
-are counted over all disks of a rehearsal and over the sends of its planners, so that every one can be struck.
+At a crash, bytes that were written and not synced are lost except for a prefix of random length, as on a real
+disk. Points are counted over all disks of a rehearsal and over the sends of its planners, so that a crash can
+be injected at each of them.
 """
 
 import errno
@@ -10,18 +10,19 @@
 from random import Random
 
 
-class Killed(Exception):  # noqa: N818 - it is no error of the program
-    """The process dies here."""
+class Killed(Exception):  # noqa: N818 - not an error of the program
+    """Simulates the death of the process at this point."""
 
 
 class Points:
-    """Counts what happens; `strike` are the numbers at which the process that does it dies."""
+    """Counts operations; `crash_at` holds the numbers of those at which their process crashes."""
 
     def __init__(self, crash_at: set[int], seed: int) -> None:
         self.crash_at, self.count, self.random = crash_at, 0, Random(f"points/{seed}")
         self.crashes: list[str] = []
 
     def reached(self, what: str) -> bool:
+        """Counts an operation; returns whether its process crashes at it."""
         self.count += 1
         if self.count in self.crash_at:
             self.crashes.append(f"{self.count}: {what}")
@@ -30,22 +31,23 @@
 
 
 class FaultyDisk:
-    """One folder. `fails` names what fails now: write, sync, rename, read; with which errno."""
+    """One folder in memory. `error_codes` holds the errno of each operation that currently fails: write,
+    sync, rename, read."""
 
     threaded = False
 
     def __init__(self, points: Points) -> None:
         self.points = points
         self.safe: dict[str, bytes] = {}
-        self.unsynced: dict[str, bytes] = {}  # written, not synced
+        self.unsynced: dict[str, bytes] = {}  # written and not yet synced
         self.error_codes: dict[str, int] = {}
-        self.free_bytes: int | None = None  # bytes that may still be written
+        self.free_bytes: int | None = None  # bytes that can still be written; None: unlimited
         self.lock_holder = ""
         self.dead = False
         self.ops = 0
 
     def crash(self) -> None:
-        """The process is gone: of what was not synced a random part stays."""
+        """Simulates the end of the process: keeps a random prefix of the unsynced bytes of each file."""
         for name, data in self.unsynced.items():
             self.safe[name] = self.safe.get(name, b"") + data[: self.points.random.randint(0, len(data))]
         self.unsynced.clear()
@@ -71,13 +73,13 @@
         return self.safe.get(name, b"") + self.unsynced.get(name, b"")
 
     def write(self, name: str, data: bytes) -> None:
-        if self.free_bytes is not None and len(data) > self.free_bytes:  # a full disk takes a part
+        if self.free_bytes is not None and len(data) > self.free_bytes:  # a full disk writes what fits
             self.unsynced[name] = self.unsynced.get(name, b"") + data[: self.free_bytes]
             self.free_bytes = 0
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         try:
             self._op("write", name)
-        except Killed:  # amid the write
+        except Killed:  # in the middle of the write
             part = data[: self.points.random.randint(0, len(data))]
             self.unsynced[name] = self.unsynced.get(name, b"") + part
             raise
--- a/hazelhold/standin/list_service.py
+++ b/hazelhold/standin/list_service.py
@@ -1,4 +1,4 @@
-"""The stand-in list service: the model behind a door."""
+"""The stand-in list service: the model behind a server."""
 
 import trio
 
@@ -13,17 +13,18 @@
 
 
 class ListHost:
-    """Serves the list; `set_down` takes it out of reach."""
+    """Serves the list of machines; `set_down` makes it unreachable."""
 
     def __init__(self, net: Net, service: ListService, recorder: Recorder) -> None:
         self.net, self.service = net, service
-        self.known: set[str] = set()  # machines that have enlisted; as many as there are machines
+        self.known: set[str] = set()  # machines that have registered; bounded by the number of machines
         self.server = StandInServer(
-            net, "list", "list", CODEC, recorder, lambda: m.Welcome(name="list"), self._said, service.left
+            net, "list", "list", CODEC, recorder, lambda: m.Welcome(name="list"), self._received, service.left
         )
         self.ticker = Ticker(net.now, lambda now: service.next_at(), self._work)
 
     async def run(self, address: str, nursery: trio.Nursery) -> str:
+        """Starts to serve; returns the address with the port in use."""
         nursery.start_soon(self.ticker.run)
         return await self.server.serve(address, nursery)
 
@@ -34,7 +35,7 @@
             self.service.watchers.clear()
             self.server.shut()
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
         if isinstance(message, m.Watch):
             self.service.watched(now, planner, message.since)
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -1,4 +1,4 @@
-"""Stand-in machines: each a model behind a door of its own."""
+"""Stand-in machines: each is a model behind a server of its own."""
 
 import trio
 
@@ -13,7 +13,7 @@
 
 
 class Fact(m.Message, tag="fact", kw_only=True):
-    """What a stand-in puts into its record beside frames: up, down, fell_over."""
+    """An event that a stand-in writes to its record beside messages: up, down, fell_over, tally."""
 
     what: str
     incarnation: int = 0
@@ -22,17 +22,19 @@
 
 
 class MachineHost:
-    """One machine: takes what its door hears to the model and back."""
+    """One machine: passes messages between its server and its model."""
 
     def __init__(
         self, net: Net, machine: Machine, recorder: Recorder, zone: int = 0, cell: int = 0, clock_off: int = 0
     ) -> None:
         self.net, self.machine, self.zone, self.cell = net, machine, zone, cell
-        self.clock_off = clock_off  # this machine's clock against everybody else's, in microseconds
+        self.clock_off = clock_off  # difference of this machine's clock from the others, in microseconds
         self.recorder = recorder
-        self.server = StandInServer(net, machine.name, "machine", CODEC, recorder, self._welcome, self._said)
-        self.server.muted = lambda planner: self.machine.faults.silent or planner in self.cut_from
-        self.cut_from: set[str] = set()
+        self.server = StandInServer(
+            net, machine.name, "machine", CODEC, recorder, self._welcome, self._received
+        )
+        self.server.muted = lambda planner: self.machine.faults.silent or planner in self.partitioned_from
+        self.partitioned_from: set[str] = set()
         self.ticker = Ticker(self.now, lambda now: machine.next_at(), self._work)
         self.note("up")
 
@@ -53,7 +55,7 @@
         self.recorder.note(self.net.now(), "", "fact", fact)
 
     def crash(self, what: str = "down") -> None:
-        """The machine dies with all that it holds."""
+        """Takes the machine down; the guests on it are lost."""
         if not self.machine.up:
             return
         lost = self.machine.went_down()
@@ -62,9 +64,9 @@
         self.server.shut()
 
     def come_up(self) -> None:
-        """It is back, cold and empty."""
+        """Brings the machine back, cold and empty."""
         if self.machine.fell_over:
-            return  # pushed over, it stays down
+            return  # it went down under overload and stays down
         self.machine.faults.silent = False
         self.machine.came_up(self.now())
         self.server.open = True
@@ -73,7 +75,7 @@
         self.ticker.notify()
 
     def tally(self) -> None:
-        """At the end of a day: what runs here and how well it was served."""
+        """Records, at the end of a day, the guests that run here and how well they were served."""
         self.machine.settle(self.now())
         self.note("tally", [(g.offer.guest, int(g.served)) for g in self.machine.tasks.values() if g.runs])
 
@@ -83,7 +85,7 @@
             name=machine.name, incarnation=machine.incarnation, up_for=max(0, self.now() - machine.up_at)
         )
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now, machine = self.now(), self.machine
         machine.advance(now)
         if isinstance(message, m.Offer):
@@ -108,7 +110,7 @@
         for planner, message in out:
             if planner in self.server.connections:
                 self.server.send(planner, message)
-            else:  # nobody listens; what happened, happened
+            else:  # the planner is not connected; the effect remains
                 self.recorder.note(self.net.now(), planner, "unheard", message)
         if self.machine.fell_over and self.machine.up:
             self.crash("fell_over")
--- a/hazelhold/standin/senders.py
+++ b/hazelhold/standin/senders.py
@@ -1,4 +1,4 @@
-"""Stand-in senders: owners' models, each with a connection to every planner that it keeps renewing."""
+"""Stand-in senders: models of owners, each of which keeps a connection to every planner."""
 
 import trio
 
@@ -14,7 +14,7 @@
 
 
 class SenderHost:
-    """One sender."""
+    """Runs the model of one owner over connections to planners at `addresses`, by planner name."""
 
     def __init__(self, net: Net, model: OwnerModel, addresses: dict[str, str], recorder: Recorder) -> None:
         self.net, self.model, self.addresses, self.recorder = net, model, addresses, recorder
@@ -25,11 +25,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.ticker.run)
             for planner in self.addresses:
-                nursery.start_soon(self._keep, planner)
+                nursery.start_soon(self._stay_connected, planner)
 
-    async def _keep(self, planner: str) -> None:
-        """Connects, listens, and connects again after a drawn wait."""
-        wait = 0.05
+    async def _stay_connected(self, planner: str) -> None:
+        """Connects, reads, and reconnects after a random delay."""
+        delay = 0.05
         while True:
             try:
                 stream = await self.net.dial(self.addresses[planner])
@@ -39,26 +39,26 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(connection.write)
                     with connection.scope:
-                        wait = await self._listen(planner, connection, wait)
+                        delay = await self._receive(planner, connection, delay)
                     connection.finish()
             except OSError:
                 pass
-            await trio.sleep(wait * self.model.random.uniform(0.5, 1.5))
-            wait = min(1.0, wait * 2)
+            await trio.sleep(delay * self.model.random.uniform(0.5, 1.5))
+            delay = min(1.0, delay * 2)
 
-    async def _listen(self, planner: str, connection: MessageConnection, wait: float) -> float:
+    async def _receive(self, planner: str, connection: MessageConnection, delay: float) -> float:
         try:
             connection.send(m.Hello(role="owner", name=self.model.name))
             await connection.first(m.Welcome, 5.0)
-            wait = 0.05
+            delay = 0.05
             self.connections[planner] = connection
             connection.note("open", None)
             self.model.connected(self.net.now(), planner)
             self.ticker.notify()
             for message in connection.rest():
-                self._said(planner, message)
+                self._received(planner, message)
             async for message in connection.messages():
-                self._said(planner, message)
+                self._received(planner, message)
         except FrameError:
             pass
         finally:
@@ -67,9 +67,9 @@
                 connection.note("shut", None)
                 self.model.disconnected(self.net.now(), planner)
                 self.ticker.notify()
-        return wait
+        return delay
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
         self.model.advance(now)
         self.model.said(now, planner, message)
--- a/hazelhold/standin/server.py
+++ b/hazelhold/standin/server.py
@@ -1,4 +1,4 @@
-"""What all stand-in servers share: a door where planners say Hello, and one wire for each planner."""
+"""The server that all stand-ins share: it accepts planners and keeps one connection for each."""
 
 from collections.abc import Callable
 
@@ -12,8 +12,9 @@
 
 
 class StandInServer:
-    """Accepts planners at an address. `shut` breaks all connections; `mute` lets nothing in or out while
-    connections stay, as a machine does that hangs or that is cut off."""
+    """Accepts planners at an address. `shut` closes all connections. For planners for which `muted` returns
+    True, messages are dropped both ways while the connection stays open, as with a machine that hangs or is
+    partitioned."""
 
     def __init__(
         self,
@@ -34,15 +35,17 @@
         self.address = ""
 
     async def serve(self, address: str, nursery: trio.Nursery) -> str:
+        """Starts to listen; returns the address with the port in use."""
         self.address = await self.net.listen(address, self._connection, nursery)
         return self.address
 
     def send(self, planner: str, message: m.Message) -> None:
+        """Sends a message if the planner is connected and not muted."""
         if (connection := self.connections.get(planner)) and not self.muted(planner):
             connection.send(message)
 
     def shut(self) -> None:
-        """Breaks every connection, now."""
+        """Closes all connections immediately."""
         for connection in list(self.connections.values()):
             connection.cut()
         self.connections.clear()
@@ -63,22 +66,22 @@
         try:
             hello = await connection.first(m.Hello, 5.0)
             if hello.role == "owner":
-                raise FrameError("wrong_role", f"{self.name!r} is not for owners")
+                raise FrameError("wrong_role", f"{self.name!r} does not serve owners")
             if self.muted(hello.name):
                 await trio.sleep_forever()
             name = connection.peer = hello.name
-            if old := self.connections.get(name):  # the newest connection of a planner is the one that counts
+            if old := self.connections.get(name):  # a newer connection of a planner replaces the older one
                 old.finish(m.Bye(reason="replaced"))
                 old.scope.cancel()
             self.connections[name] = connection
             connection.note("open", None)
             connection.send(self.welcome())
             for message in connection.rest():
-                self._hear(name, message)
+                self._receive(name, message)
             async for message in connection.messages():
-                self._hear(name, message)
-        except FrameError as wrong:
-            connection.finish(m.Fault(code=wrong.code, text=wrong.text))
+                self._receive(name, message)
+        except FrameError as error:
+            connection.finish(m.Fault(code=error.code, text=error.text))
         finally:
             if name and self.connections.get(name) is connection:
                 del self.connections[name]
@@ -86,6 +89,6 @@
             if name:
                 connection.note("shut", None)
 
-    def _hear(self, planner: str, message: m.Message) -> None:
+    def _receive(self, planner: str, message: m.Message) -> None:
         if not self.muted(planner) and not isinstance(message, m.Bye):
             self.said(planner, message)
--- a/hazelhold/state/__init__.py
+++ b/hazelhold/state/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a planner's process: images of guests and answers, a log with snapshots, recovery."""
+"""Durable planner state: images of guests and answers, stored in snapshots and logs, and their recovery."""
--- a/hazelhold/state/disk.py
+++ b/hazelhold/state/disk.py
@@ -1,4 +1,7 @@
-"""The few things that the store asks of a disk, and the real one. Faulty ones stand in for it in tests."""
+"""The disk operations that the store requires, and their implementation on a file system.
+
+Tests and rehearsals replace it with a faulty disk (`hazelhold.standin.disk`).
+"""
 
 import fcntl
 import os
@@ -7,30 +10,34 @@
 
 
 class Disk(Protocol):
-    """One folder. Whatever fails raises OSError; nothing is retried here."""
+    """One folder. Operations raise OSError on failure; nothing is retried here."""
 
-    threaded: bool  # calls may take long and belong into a thread
+    threaded: bool  # calls may block and must run in a thread
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def write(self, name: str, data: bytes) -> None:
-        """Appends; the file is made if it is not there. Not safe before a sync."""
+        """Appends to the file, creating it if it is missing. Not durable before a `sync`."""
 
     def sync(self, name: str) -> None:
-        """Returns once all that was written to the file is safe. After a failure nothing of it is."""
+        """Returns once everything written to the file is durable. After a failure none of it may be relied
+        on."""
 
     def rename(self, old: str, new: str) -> None:
-        """Safe when it returns."""
+        """Renames a file; durable when it returns."""
 
     def remove(self, name: str) -> None: ...
 
     def lock(self, text: str) -> bool:
-        """Takes the folder for this process until it ends; False if another has it."""
+        """Locks the folder for this process until it ends; returns False if another process holds the lock.
+
+        `text` identifies the holder and is returned by `owner`.
+        """
 
     def owner(self) -> str:
-        """The text that who has the lock left."""
+        """Returns the text stored by the last holder of the lock."""
 
     def unlock(self) -> None: ...
 
@@ -43,7 +50,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.files: dict[str, int] = {}
-        self.locked: int | None = None
+        self.lock_descriptor: int | None = None
 
     def names(self) -> list[str]:
         return sorted(p.name for p in self.folder.iterdir()) if self.folder.is_dir() else []
@@ -82,15 +89,15 @@
 
     def lock(self, text: str) -> bool:
         self.folder.mkdir(parents=True, exist_ok=True)
-        held = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o640)
+        descriptor = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o640)
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(held)
+            os.close(descriptor)
             return False
-        os.ftruncate(held, 0)
-        os.write(held, text.encode())
-        self.locked = held
+        os.ftruncate(descriptor, 0)
+        os.write(descriptor, text.encode())
+        self.lock_descriptor = descriptor
         return True
 
     def owner(self) -> str:
@@ -100,9 +107,9 @@
             return ""
 
     def unlock(self) -> None:
-        for held in self.files.values():
-            os.close(held)
+        for descriptor in self.files.values():
+            os.close(descriptor)
         self.files.clear()
-        if self.locked is not None:
-            os.close(self.locked)
-            self.locked = None
+        if self.lock_descriptor is not None:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
--- a/hazelhold/state/frames.py
+++ b/hazelhold/state/frames.py
@@ -1,8 +1,11 @@
-"""Frames of the files: a mark, length, checksum, then a batch of changes. What cannot be read is told apart:
+"""The frame format of the state files: a mark, length, checksum, then a batch of changes.
 
-- torn: the file ends within a frame. Such bytes were never safe, so nothing was sent that rests on them.
-- damaged: a whole frame whose checksum is wrong, or anything that is no frame. What it said may have been
+Unreadable content is classified as
+
+- torn: the file ends within a frame. Such bytes were never durable, so no message that depends on them was
   sent.
+- damaged: a whole frame with a wrong checksum, or bytes that are no frame. Messages that depend on the lost
+  changes may have been sent.
 """
 
 from typing import NamedTuple
@@ -13,8 +16,8 @@
 from hazelhold.state.images import BATCH, ENCODER, Change
 
 MARK = b"\xa7HzF"
-HEAD = len(MARK) + 8
-MOST = 1 << 30
+HEAD_BYTES = len(MARK) + 8  # mark, length, checksum
+MAX_BODY_BYTES = 1 << 30
 
 
 class Header(msgspec.Struct, frozen=True):
@@ -29,31 +32,34 @@
 
 
 class Scan(NamedTuple):
-    """What a file holds: header, sound batches, and where and how it stops being sound."""
+    """What a file holds: its header, the valid batches, and where and why reading stopped."""
 
     header: Header | None
     batches: list[list[Change]]
-    valid_bytes: int  # bytes
-    size: int
+    valid_bytes: int  # up to the first invalid frame
+    size: int  # of the file, in bytes
     error: str = ""  # empty, torn or damaged
     error_detail: str = ""
 
 
 def pack(body: bytes) -> bytes:
+    """Returns `body` as a frame."""
     return MARK + len(body).to_bytes(4) + crc32(body).to_bytes(4) + body
 
 
-def header(made: Header) -> bytes:
-    return pack(msgspec.msgpack.encode(made))
+def header(content: Header) -> bytes:
+    """Returns the frame of a file's header."""
+    return pack(msgspec.msgpack.encode(content))
 
 
 def batch(changes: list[Change]) -> bytes:
+    """Returns the frame of a batch of changes."""
     return pack(ENCODER.encode(changes))
 
 
 def scan(data: bytes) -> Scan:
-    """Reads up to the first frame that is not sound."""
-    at, found, head = 0, [], None
+    """Reads the frames of a file up to the first invalid one."""
+    at, batches, head = 0, [], None
     error = error_detail = ""
     while at < len(data):
         error, error_detail, body, end = _frame(data, at)
@@ -63,28 +69,29 @@
             if head is None:
                 head = msgspec.msgpack.decode(body, type=Header)
             else:
-                found.append(BATCH.decode(body))
-        except (msgspec.MsgspecError, UnicodeDecodeError) as wrong:
-            error, error_detail = "damaged", str(wrong)
+                batches.append(BATCH.decode(body))
+        except (msgspec.MsgspecError, UnicodeDecodeError) as exception:
+            error, error_detail = "damaged", str(exception)
             break
         at = end
     if error == "torn" and data.find(MARK, at + 1) >= 0:
-        error, error_detail = "damaged", "a length that leads past later frames"
-    return Scan(head, found, at, len(data), error, f"at byte {at}: {error_detail}" if error else "")
+        error, error_detail = "damaged", "the length points past later frames"
+    return Scan(head, batches, at, len(data), error, f"at byte {at}: {error_detail}" if error else "")
 
 
 def _frame(data: bytes, at: int) -> tuple[str, str, bytes, int]:
-    left = data[at : at + HEAD]
-    if len(left) < HEAD:
-        return ("torn" if MARK.startswith(left[:4]) or left[:4] == MARK else "damaged"), "cut short", b"", at
-    if left[:4] != MARK:
+    """Reads the frame at a position: its error and error detail (empty if it is valid), body and end."""
+    head = data[at : at + HEAD_BYTES]
+    if len(head) < HEAD_BYTES:
+        return ("torn" if MARK.startswith(head[:4]) or head[:4] == MARK else "damaged"), "cut short", b"", at
+    if head[:4] != MARK:
         return "damaged", "no frame begins here", b"", at
-    size = int.from_bytes(left[4:8])
-    body = data[at + HEAD : at + HEAD + size]
-    if size > MOST or len(body) < size:
-        if crc32(data[at + HEAD :]) == int.from_bytes(left[8:12]):
-            return "damaged", "a length that is wrong", b"", at
-        return "torn", f"a frame of {size} bytes, {len(body)} are there", b"", at
-    if crc32(body) != int.from_bytes(left[8:12]):
-        return "damaged", "a checksum that is wrong", b"", at
-    return "", "", body, at + HEAD + size
+    size = int.from_bytes(head[4:8])
+    body = data[at + HEAD_BYTES : at + HEAD_BYTES + size]
+    if size > MAX_BODY_BYTES or len(body) < size:
+        if crc32(data[at + HEAD_BYTES :]) == int.from_bytes(head[8:12]):
+            return "damaged", "the length is wrong", b"", at
+        return "torn", f"a frame of {size} bytes, of which {len(body)} are present", b"", at
+    if crc32(body) != int.from_bytes(head[8:12]):
+        return "damaged", "the checksum is wrong", b"", at
+    return "", "", body, at + HEAD_BYTES + size
--- a/hazelhold/state/images.py
+++ b/hazelhold/state/images.py
@@ -1,8 +1,8 @@
-"""What is kept, as typed images. Moments are microseconds of the wall clock; spans are microseconds.
+"""The stored objects as typed images. Times are Unix microseconds; durations are microseconds.
 
-A change puts a new image in the place of the old one, or drops it (`image` None). Applying a change twice
-does no harm, and the order among different keys does not matter. Fields are only ever added at the end, with
-a default: what an older program wrote is then read as it was meant. Anything else needs a new FORMAT.
+A change replaces the image of a key, or removes it (`image` is None). Changes are idempotent, and the order
+between different keys does not matter. Fields are only ever added at the end, with a default, so that images
+written by an older program are read correctly. Anything else needs a new FORMAT.
 """
 
 from typing import NamedTuple
@@ -17,8 +17,8 @@
 
 
 class Change(NamedTuple):
-    """One key's new image. Kinds: guest, loose, answer, end, list, learned, cold. `until` is when it may be
-    forgotten, 0 for never."""
+    """One key's new image. Kinds: guest, loose, answer, end, list, learned, cold. `until` is the time from
+    which it may be deleted, 0 for never."""
 
     kind: str
     key: str
@@ -27,9 +27,9 @@
 
 
 class GuestImage(Struct, array_like=True, frozen=True):
-    """A guest in the planner's hands. `machine` and `attempt` are of the last dispatch that left the planner;
-    `machine` is empty while none is out. `unsure_at` is when the first dispatch that may have run was sent, 0
-    if none may have; `unsure_machine` is where the last of them went."""
+    """A guest that the planner holds. `machine` and `attempt` describe the last dispatch that was sent;
+    `machine` is empty while none is outstanding. `unsure_at` is the time at which the first dispatch that may
+    have run was sent, 0 if there is none; `unsure_machine` is the machine of the last such dispatch."""
 
     name: str
     guest: str
@@ -57,7 +57,7 @@
 
 
 class LooseImage(Struct, array_like=True, frozen=True):
-    """A dispatch that was given up and whose fate is open."""
+    """An abandoned dispatch whose outcome is unknown."""
 
     case: GuestImage
     machine: str
@@ -67,7 +67,7 @@
 
 
 class AnswerImage(Struct, array_like=True, frozen=True):
-    """A final answer that its owner may still ask for: the body of the message."""
+    """A final answer that its owner may still request: the body of the message."""
 
     guest: str
     ask: int
@@ -82,7 +82,7 @@
 
 
 class ListImage(Struct, array_like=True, frozen=True):
-    """The list as it was heard last."""
+    """The list of machines as last received."""
 
     version: int
     heard_at: int
@@ -90,15 +90,15 @@
 
 
 class LearnedImage(Struct, array_like=True, frozen=True):
-    """What the module has learned, with its moments on the engine's clock of that life: `epoch` is the wall
-    clock at that clock's zero."""
+    """The scheduler's learned state. Its times are on the engine's clock of that run; `epoch` is the wall
+    clock at zero of that clock."""
 
     epoch: int
     data: Learned
 
 
 class ColdImage(Struct, array_like=True, frozen=True):
-    """When offers were sent to a cold machine, as far as they still count against its budget."""
+    """The times of offers to a cold machine that still count against its budget."""
 
     machine: str
     times: tuple[int, ...]
@@ -119,8 +119,10 @@
 
 
 def put(kind: str, key: str, image: Struct, until: int = 0) -> Change:
+    """Returns the change that stores an image."""
     return Change(kind, key, ENCODER.encode(image), until)
 
 
 def drop(kind: str, key: str) -> Change:
+    """Returns the change that removes an image."""
     return Change(kind, key, None)
--- a/hazelhold/state/store.py
+++ b/hazelhold/state/store.py
@@ -1,11 +1,10 @@
-"""The files of one planner's state: snapshots with logs. Free of trio and of the engine; called from one
-place.
-
-Files are numbered by generation: `snapshot-N` and `log-N`, the log with what changed since that snapshot. A
-new generation is a new log, then a snapshot that is written beside, made safe and renamed; only then the
-older files go. Recovery reads the newest snapshot that is whole and all logs from its number on. Nothing is
-ever appended to a file of an earlier run or after a failure: after a failed sync nobody knows what of a file
-is safe, so the next try is a new generation, whole.
+"""The files of one planner's state: snapshots and logs. Independent of trio and of the engine.
+
+Files are numbered by generation: `snapshot-N`, and `log-N` with the changes since that snapshot. A new
+generation starts with a new log; then the snapshot is written to a temporary file, synced and renamed, and
+only then are the older files deleted. Recovery reads the newest valid snapshot and all logs from its number
+on. Nothing is appended to a file of an earlier run or after a failure: after a failed sync it is unknown
+which part of a file is durable, so the next attempt is a new, complete generation.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,17 +18,17 @@
 from hazelhold.state.images import FORMAT, KINDS, Change, GuestImage
 from hazelhold.state.state_table import StateTable
 
-LEAST = 4 << 20  # bytes of log before a new generation is worth its snapshot
-# How files of older formats become changes of this one: number of the format, and what to do with a batch.
+MIN_LOG_BYTES = 4 << 20  # size of a log before a new generation is worth its snapshot
+# Converts batches of older file formats to the current one, by format number.
 UPGRADES: dict[int, Callable[[list[Change]], list[Change]]] = {}
 
 
 class StateError(Exception):
-    """The state cannot be used, and was not touched; the text says which file and why."""
+    """The state cannot be used and was not modified; the text names the file and the reason."""
 
 
 class InUseError(StateError):
-    """Another process has the folder; `pid` is its number, 0 if it is not known."""
+    """Another process uses the folder; `pid` is its process id, 0 if unknown."""
 
     def __init__(self, text: str, pid: int) -> None:
         super().__init__(text)
@@ -37,17 +36,19 @@
 
 
 class StoreContents(NamedTuple):
-    """What recovery found. `complete` is False if something that a peer may have seen can be missing."""
+    """The result of reading a folder. `complete` is False if something that a peer may have seen can be
+    missing."""
 
     state_table: StateTable
     complete: bool
-    fresh: bool  # there was no state
+    fresh: bool  # the folder held no state
     generation: int
-    notes: list[str]  # what was wrong, one line for each file
+    notes: list[str]  # faults found, one line for each file
     batches: int = 0
 
 
 def numbered(names: list[str], kind: str) -> list[int]:
+    """Returns the generations of the files of a kind, in ascending order."""
     return sorted(
         int(n[len(kind) + 1 :]) for n in names if n.startswith(kind + "-") and n[len(kind) + 1 :].isdigit()
     )
@@ -55,10 +56,10 @@
 
 def _scan(disk: Disk, name: str, planner: str) -> Scan:
     try:
-        found = frames.scan(disk.read(name))
-    except OSError as wrong:
-        raise StateError(f"{name}: {wrong.strerror or wrong}") from None
-    head = found.header
+        result = frames.scan(disk.read(name))
+    except OSError as error:
+        raise StateError(f"{name}: {error.strerror or error}") from None
+    head = result.header
     if head is not None:
         if head.format > FORMAT or head.format < FORMAT and head.format not in UPGRADES:
             raise StateError(
@@ -68,13 +69,13 @@
         if planner and head.planner != planner:
             raise StateError(f"{name}: is of planner {head.planner!r}, not of {planner!r}")
         if head.format != FORMAT:
-            found = found._replace(batches=[UPGRADES[head.format](each) for each in found.batches])
-    return found
+            result = result._replace(batches=[UPGRADES[head.format](each) for each in result.batches])
+    return result
 
 
 def read(disk: Disk, planner: str = "", kinds: Mapping[str, type[Struct]] = KINDS) -> StoreContents:
-    """What a folder holds; harmless beside a running planner. StateError if it is of another planner or of a
-    newer program."""
+    """Reads a folder, without effect on a running planner. Raises StateError if the state belongs to another
+    planner or was written by a newer program."""
     names, notes, state_table = disk.names(), [], StateTable(kinds)
     snapshots, logs = numbered(names, "snapshot"), numbered(names, "log")
     if not snapshots and not logs:
@@ -96,12 +97,14 @@
         if not complete:
             notes.append("no snapshot can be read")
     if base and base != snapshots[-1]:
-        complete = set(range(base, snapshots[-1])) <= set(logs)  # the logs between lead on from the older one
-    wanted = [n for n in logs if n >= base]
+        complete = set(range(base, snapshots[-1])) <= set(
+            logs
+        )  # the logs in between continue from the older snapshot
+    needed = [n for n in logs if n >= base]
     if base and base not in logs:
         complete = False
         notes.append(f"log-{base}: is missing")
-    for number in wanted:
+    for number in needed:
         scan = _scan(disk, f"log-{number}", planner)
         for changes in scan.batches:
             state_table.apply(changes)
@@ -114,21 +117,22 @@
 
 
 class Store:
-    """One planner's state on its disk."""
+    """One planner's state on its disk. Times are Unix microseconds."""
 
     def __init__(self, disk: Disk, planner: str, kinds: Mapping[str, type[Struct]] = KINDS) -> None:
         self.disk, self.planner, self.kinds = disk, planner, kinds
         self.state_table = StateTable(kinds)
         self.generation = 0
         self.healthy = False
-        # What the disk may still have of guests that have changed since; emptied by each batch that is safe.
+        # Images of changed guests that the disk may still hold; cleared by each durable batch.
         self.before: dict[str, GuestImage] = {}
-        self.written = self.snapshot_bytes = 0  # in this generation's log, in its snapshot
-        self.syncs = self.bytes = self.generations = 0  # in all
+        self.written = self.snapshot_bytes = 0  # bytes in this generation's log and in its snapshot
+        self.syncs = self.bytes = self.generations = 0  # totals
 
     def open(self, now: int, text: str) -> StoreContents:
-        """Takes the folder and reads what is there. InUseError if another process has it, StateError if it is
-        not this planner's or of a newer program. Nothing is written; `begin` does that."""
+        """Locks the folder and reads its state. Raises InUseError if another process uses it, StateError if
+        the state belongs to another planner or was written by a newer program. Writes nothing; `begin`
+        does."""
         if not self.disk.lock(text):
             owner = self.disk.owner().strip()
             pid = owner.rpartition(" ")[2]
@@ -145,12 +149,14 @@
         return found
 
     def commit(self, changes: list[Change]) -> None:
-        """Safe when it returns. OSError: nothing of it may be relied on, and the store is unhealthy."""
+        """Applies and logs changes; durable when it returns. After an OSError none of them may be relied on,
+        and the store is unhealthy."""
         self.apply(changes)
         self.log(frames.batch(changes))
 
     def apply(self, changes: list[Change]) -> None:
-        """Into the ledger alone; remembers what the disk may still have of guests that it is behind on."""
+        """Applies changes to the state table only; remembers the images that the disk may still hold of
+        guests."""
         for change in changes:
             if (
                 change.kind == "guest"
@@ -161,9 +167,9 @@
         self.state_table.apply(changes)
 
     def log(self, data: bytes) -> None:
-        """Writes and syncs a batch that `apply` has seen; may run in a thread of its own."""
+        """Writes and syncs a batch that was applied before; may run in a worker thread."""
         if not self.healthy:
-            raise OSError("the store has failed and was not begun anew")
+            raise OSError("the store has failed and no new generation was begun")
         try:
             name = f"log-{self.generation}"
             self.disk.write(name, data)
@@ -176,29 +182,30 @@
         self.bytes += len(data)
 
     def due(self) -> bool:
-        """Whether the log has outgrown its snapshot."""
-        return self.healthy and self.written > max(LEAST, 2 * self.snapshot_bytes)
+        """Returns whether the log has outgrown its snapshot, so that a new generation is due."""
+        return self.healthy and self.written > max(MIN_LOG_BYTES, 2 * self.snapshot_bytes)
 
     def begin(self, now: int) -> None:
-        """A new generation with all that is kept. OSError leaves the older files as they are."""
+        """Writes a new generation with the whole state. An OSError leaves the older files unchanged."""
         self.finish(*self.prepare(now))
 
     def prepare(self, now: int) -> tuple[int, bytes, bytes]:
-        """The number, the log's head and the snapshot of a new generation, as the ledger is now."""
+        """Returns the number, the log's header and the snapshot of a new generation, from the current state
+        table."""
         self.healthy = False
         self.state_table.expire(now)
         self.before.clear()
-        number = self.generation = self.generation + 1  # a number is never used twice, also if this fails
-        kept = list(self.state_table.changes())
+        number = self.generation = self.generation + 1  # a number is never reused, even if this fails
+        changes = list(self.state_table.changes())
         return (
             number,
             frames.header(Header(FORMAT, self.planner, number, "log", now)),
             frames.header(Header(FORMAT, self.planner, number, "snapshot", now))
-            + b"".join(frames.batch(kept[at : at + 1000]) for at in range(0, len(kept), 1000)),
+            + b"".join(frames.batch(changes[at : at + 1000]) for at in range(0, len(changes), 1000)),
         )
 
     def finish(self, number: int, log: bytes, data: bytes) -> None:
-        """Writes what `prepare` made; may run in a thread of its own."""
+        """Writes the result of `prepare`; may run in a worker thread."""
         self.disk.write(f"log-{number}", log)
         self.disk.sync(f"log-{number}")
         snapshot = f"snapshot-{number}"
@@ -206,7 +213,7 @@
         self.disk.sync(snapshot + ".new")
         self.disk.rename(snapshot + ".new", snapshot)
         if number != self.generation:
-            return  # it took so long that another was begun
+            return  # a newer generation was begun in the meantime
         self.healthy, self.written, self.snapshot_bytes = True, 0, len(data)
         self.generations += 1
         self.bytes += len(data)
@@ -220,7 +227,8 @@
                 try:
                     self.disk.remove(name)
                 except OSError:
-                    return  # it goes with the next generation
+                    return  # the next generation deletes it
 
     def close(self) -> None:
+        """Releases the folder."""
         self.disk.unlock()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -104,7 +104,7 @@
         )
         if made.due():
             made.begin(second * S)
-    assert made.generations == 2 and sum(map(len, on.safe.values())) < 3 * store.LEAST
+    assert made.generations == 2 and sum(map(len, on.safe.values())) < 3 * store.MIN_LOG_BYTES
     assert len(made.state_table.tables["end"]) < 200 * 300
 
 
