--- a/hazelhold/cli/check_config.py
+++ b/hazelhold/cli/check_config.py
@@ -1,4 +1,4 @@
-"""hazelhold check-config: what is wrong with files, without running anything."""
+"""`hazelhold check-config`: validates configuration files without running anything."""
 
 import sys
 from pathlib import Path
@@ -16,19 +16,19 @@
 @click.argument("files", type=FILE, nargs=-1, required=True)
 @report_errors
 def check_config(files: tuple[Path, ...]) -> None:
-    """Check planner configurations and day files; says all that is wrong with them."""
-    wrong = []
+    """Check planner configurations and day files; reports all faults in them."""
+    faults = []
     for file in files:
         try:
             value = parse(read_text(file), str(file))
             if isinstance(value, dict) and "length_s" in value:
                 read_day(file)
-                click.echo(f"{file}: a sound day")
+                click.echo(f"{file}: a valid day")
             else:
                 read_planner(file)
-                click.echo(f"{file}: a sound planner configuration")
-        except ConfigError as fault:
-            wrong.append(str(fault))
-    if wrong:
-        click.echo("\n".join(wrong), err=True)
+                click.echo(f"{file}: a valid planner configuration")
+        except ConfigError as error:
+            faults.append(str(error))
+    if faults:
+        click.echo("\n".join(faults), err=True)
         sys.exit(2)
--- a/hazelhold/cli/copies.py
+++ b/hazelhold/cli/copies.py
@@ -1,4 +1,4 @@
-"""hazelhold copies: the folder in which a planner keeps its votes."""
+"""`hazelhold copies`: manages the folder in which a planner stores its votes."""
 
 import sys
 import time
@@ -15,10 +15,11 @@
 
 @click.group()
 def copies() -> None:
-    """What planners agree on among themselves, and keep for each other."""
+    """Manage the votes that a planner stores as a replica for the others."""
 
 
 def _copies_config(config: Path) -> tuple[str, CopiesConfig]:
+    """Returns the planner's name and its section `copies`; raises ConfigError if that is off."""
     planner_config = read_planner(config)
     if not planner_config.copies.listen:
         raise ConfigError(str(config), [("copies.listen", "is not there: copies are off")])
@@ -29,10 +30,10 @@
 @click.argument("config", type=FILE)
 @report_errors
 def found(config: Path) -> None:
-    """Give a planner of a new set its seat: once, before its first start, for each planner of the set.
+    """Give a planner of a new set its seat: once for each planner of the set, before its first start.
 
-    Never for one that lost its folder: it copies its votes from the others by itself, and votes again once it
-    has.
+    Never run this for a planner that lost its folder: it copies its votes from the others by itself, and
+    votes again once that is complete.
     """
     from hazelhold.replica import votes
     from hazelhold.state.disk import RealDisk
@@ -48,11 +49,11 @@
 @copies.command("vouch")
 @click.argument("config", type=FILE)
 @report_errors
-def vouch(config: Path) -> None:
-    """Have a planner vote from its own folder at its next start, without the others it would copy from.
+def confirm(config: Path) -> None:
+    """Let a planner vote from its own folder at its next start, without copying from the others first.
 
-    Only if its folder is the newest that it ever had, and those others are gone: what an older folder has
-    forgotten may have been agreed, and a guest that must not run twice may then run twice.
+    Only if its folder is the newest that it ever had, and those others are gone: an older folder may lack
+    values that were agreed, and an at-most-once guest may then run twice.
     """
     from hazelhold.replica import votes
     from hazelhold.state.disk import RealDisk
@@ -66,28 +67,28 @@
 @click.argument("config", type=FILE)
 @report_errors
 def show(config: Path) -> None:
-    """What the folder holds; harmless beside a running planner. Exits with 1 if these votes are
-    none to rely on."""
+    """Show what the folder holds, without effect on a running planner. Exits with 1 if these votes must not
+    be relied on."""
     from hazelhold.replica import claims, votes
     from hazelhold.state.disk import RealDisk
     from hazelhold.state.store import read
 
     name, copies_config = _copies_config(config)
-    seen = read(RealDisk(Path(copies_config.folder)), name, votes.KINDS)
-    for note in seen.notes:
+    contents = read(RealDisk(Path(copies_config.folder)), name, votes.KINDS)
+    for note in contents.notes:
         click.echo(note)
-    seat = seen.state_table.image("seat", "")
+    seat = contents.state_table.image("seat", "")
     if seat is None:
         click.echo(f"{copies_config.folder}: no seat: {name} votes once it has copied from the others")
         sys.exit(1)
     click.echo(
         f"{seat.planner} of {seat.deployment}, epoch {seat.epoch}"
-        + ("" if seen.complete else "; damaged: it votes once it has copied from the others")
+        + ("" if contents.complete else "; damaged: it votes once it has copied from the others")
     )
-    for cell in seen.state_table.tables["cell"].values():
-        image = seen.state_table.decoders["cell"].decode(cell.image)
+    for cell in contents.state_table.tables["cell"].values():
+        image = contents.state_table.decoders["cell"].decode(cell.image)
         claim = None if image.value[:1].isdigit() else claims.decode(image.value)
-        said = (
+        text = (
             image.value.decode(errors="replace")
             if claim is None
             else (
@@ -96,5 +97,5 @@
                 f"{claim.machine} {claim.how}"
             ).rstrip()
         )
-        click.echo(f"{cell.key}: {said or 'nothing accepted'}")
-    sys.exit(0 if seen.complete else 1)
+        click.echo(f"{cell.key}: {text or 'nothing accepted'}")
+    sys.exit(0 if contents.complete else 1)
--- a/hazelhold/cli/fleetconfig.py
+++ b/hazelhold/cli/fleetconfig.py
@@ -1,4 +1,4 @@
-"""hazelhold fleetconfig: control machines, and what operators ask them."""
+"""`hazelhold fleetconfig`: runs control machines, changes and shows the fleet's configuration."""
 
 import json
 import sys
@@ -11,7 +11,7 @@
 
 from hazelhold.cli import logs
 from hazelhold.cli.errors import report_errors
-from hazelhold.cli.fleetconfig_client import FILE, asking, client_of, run_asking
+from hazelhold.cli.fleetconfig_client import FILE, client_of, query_options, run_query
 from hazelhold.config.fleetconfig import read_control
 from hazelhold.config.load import ConfigError, parse, read_text
 
@@ -20,15 +20,16 @@
     from hazelhold.fleetconfig.messages import Status
 
 # Exit codes beside 0, 2 (a wrong file, address or option) and 4 (nobody answered).
-NOT_CARRIED_OUT = 1
+NOT_COMMITTED = 1
 LACKING = 1  # some planner lacks the latest revision
-UNKNOWN = 3  # it may be carried out yet: ask again with the same id
-CUT_OFF = 3  # whoever answered cannot know of newer revisions
+UNKNOWN = 3  # the change may still be committed: repeat it with the same id
+PARTITIONED = 3  # the answering machine cannot know of newer revisions
 
 
 @click.group()
 def fleetconfig() -> None:
-    """The configuration that is in force everywhere: control machines, changes, who has what."""
+    """The configuration of the whole fleet: run control machines, make changes, show who has which
+    revision."""
 
 
 # Control machines.
@@ -53,17 +54,17 @@
 
     read = read_control(file)
     logs.set_up(log, level)
-    made = ControlHost(read, TcpNet(), RealDisk(Path(read.folder)), RealDisk(Path(read.votes.folder)))
+    host = ControlHost(read, TcpNet(), RealDisk(Path(read.folder)), RealDisk(Path(read.votes.folder)))
 
     kinds = (signal.SIGTERM, signal.SIGINT)
 
     async def run(early: list[int]) -> None:
         with trio.open_signal_receiver(*kinds) as signals:
             async with trio.open_nursery() as nursery:
-                made.open()
-                await nursery.start(made.run)
+                host.open()
+                await nursery.start(host.run)
                 if ready:
-                    print(made.address, flush=True)
+                    print(host.address, flush=True)
                 if not early:
                     await anext(signals)
                 nursery.cancel_scope.cancel()
@@ -76,10 +77,10 @@
 @click.argument("file", type=FILE)
 @report_errors
 def found(file: Path) -> None:
-    """Give a control machine of a new set its seat: once, before its first start, for each of the set.
+    """Give a control machine of a new set its seat: once for each of the set, before its first start.
 
-    Never for one that lost its folder: it copies its votes from the others by itself, and votes again once it
-    has.
+    Never run this for a machine that lost its folder: it copies its votes from the others by itself, and
+    votes again once that is complete.
     """
     from hazelhold.fleetconfig.control_host import copies_config
     from hazelhold.replica import votes
@@ -97,12 +98,13 @@
 @fleetconfig.command("vouch")
 @click.argument("file", type=FILE)
 @report_errors
-def vouch(file: Path) -> None:
-    """Have a control machine vote from its own folder at its next start, without the others it would copy
-    from.
+def confirm(file: Path) -> None:
+    """Let a control machine vote from its own folder at its next start, without copying from the others
+    first.
 
-    Only if its folder is the newest that it ever had, and those others are gone: what an older folder has
-    forgotten may have been agreed, and revisions that planners have may then be decided anew.
+    Only if its folder is the newest that it ever had, and those others are gone: an older folder may lack
+    values that were agreed, and other revisions may then be committed under numbers that planners already
+    have.
     """
     from hazelhold.replica import votes
     from hazelhold.state.disk import RealDisk
@@ -119,11 +121,16 @@
 @click.argument("items", nargs=-1)
 @click.option("--remove", multiple=True, help="The name of an item to remove; may be repeated.")
 @click.option(
-    "--base", type=click.IntRange(0), default=None, help="The revision that this change was made on."
+    "--base", type=click.IntRange(0), default=None, help="The revision that this change is based on."
 )
-@click.option("--id", "change_id", default=None, help="Of this change: the same is never carried out twice.")
-@click.option("--author", default="", help="For people.")
-@asking
+@click.option(
+    "--id",
+    "change_id",
+    default=None,
+    help="Id of this change; a change is never committed twice under the same id.",
+)
+@click.option("--author", default="", help="Name to show with the change.")
+@query_options
 @report_errors
 def put(
     items: tuple[str, ...],
@@ -137,19 +144,19 @@
     wait: float,
     as_json: bool,
 ) -> None:
-    """Set items, NAME=JSON each, in one change: whole or not at all.
+    """Set items, NAME=JSON each, in one atomic change.
 
-    Without --base the change is made on the latest revision. Exits with 1 if it was not carried out, 3 if
-    that is not known (ask again with the same --id), 4 if nobody answers.
+    Without --base the change is based on the latest revision. Exits with 1 if it was not committed, 3 if that
+    is unknown (repeat it with the same --id), 4 if nobody answers.
     """
     values = {}
     for item in items:
         name, equals, text = item.partition("=")
         try:
             values[name] = json.loads(text)
-        except ValueError as wrong:
-            said = f"{wrong}" if equals else "is not NAME=JSON"
-            raise ConfigError("command line", [(name or "ITEMS", said)]) from None
+        except ValueError as error:
+            fault = f"{error}" if equals else "is not NAME=JSON"
+            raise ConfigError("command line", [(name or "ITEMS", fault)]) from None
     client = client_of(config, at, deployment)
     _change(client, values, remove, base, change_id, author, wait, as_json)
 
@@ -157,11 +164,16 @@
 @fleetconfig.command("apply")
 @click.argument("file", type=FILE)
 @click.option(
-    "--base", type=click.IntRange(0), default=None, help="The revision that this change was made on."
+    "--base", type=click.IntRange(0), default=None, help="The revision that this change is based on."
 )
-@click.option("--id", "change_id", default=None, help="Of this change: the same is never carried out twice.")
-@click.option("--author", default="", help="For people.")
-@asking
+@click.option(
+    "--id",
+    "change_id",
+    default=None,
+    help="Id of this change; a change is never committed twice under the same id.",
+)
+@click.option("--author", default="", help="Name to show with the change.")
+@query_options
 @report_errors
 def apply(
     file: Path,
@@ -174,9 +186,9 @@
     wait: float,
     as_json: bool,
 ) -> None:
-    """Set the items of a JSON5 file, an object by name; null removes. Items that it does not name stay.
+    """Set the items of a JSON5 file, an object by name; null removes an item. Other items are unchanged.
 
-    Ends as `put` does.
+    Exits with the same codes as `put`.
     """
     value = parse(read_text(file), str(file))
     if not isinstance(value, dict):
@@ -197,48 +209,57 @@
     wait: float,
     as_json: bool,
 ) -> None:
+    """Proposes a change, prints the outcome and ends the command with the exit code for it."""
     from hazelhold.fleetconfig import messages as m
     from hazelhold.fleetconfig.document import Put, canonical
     from hazelhold.fleetconfig.revision import Change
 
     puts = tuple(Put(name, canonical(value)) for name, value in values.items())
-    made = Change(id=change_id or uuid4().hex, base=base or 0, author=author, puts=puts, removals=removals)
+    proposal = Change(
+        id=change_id or uuid4().hex, base=base or 0, author=author, puts=puts, removals=removals
+    )
 
     async def work() -> tuple[int, m.ProposeAnswer, str]:
-        change = made
+        change = proposal
         if base is None:
             status = await client.ask(m.StatusQuery(), m.Status, wait)
-            change = Change(id=made.id, base=status.number, author=author, puts=puts, removals=removals)
+            change = Change(id=proposal.id, base=status.number, author=author, puts=puts, removals=removals)
         return change.base, *await client.propose(change, wait)
 
-    on, answer, by = run_asking(work)
+    base_used, answer, by = run_query(work)
     if as_json:
         faults = [{"item": fault.item, "text": fault.text} for fault in answer.faults]
-        said = {"id": answer.id, "base": on, "outcome": answer.outcome, "number": answer.number, "by": by}
-        click.echo(json.dumps({**said, "faults": faults, "text": answer.text}))
+        fields = {
+            "id": answer.id,
+            "base": base_used,
+            "outcome": answer.outcome,
+            "number": answer.number,
+            "by": by,
+        }
+        click.echo(json.dumps({**fields, "faults": faults, "text": answer.text}))
     else:
         number = f" as revision {answer.number}" if answer.outcome == "committed" else ""
         text = f": {answer.text}" if answer.text else ""
-        click.echo(f"{answer.outcome}{number} (id {answer.id}, base {on}){text}")
+        click.echo(f"{answer.outcome}{number} (id {answer.id}, base {base_used}){text}")
         for fault in answer.faults:
             click.echo(f"  {fault.item or 'the change'}: {fault.text}")
-    sys.exit({"committed": 0, "unknown": UNKNOWN}.get(answer.outcome, NOT_CARRIED_OUT))
+    sys.exit({"committed": 0, "unknown": UNKNOWN}.get(answer.outcome, NOT_COMMITTED))
 
 
 @fleetconfig.command("show")
 @click.argument("prefix", default="")
-@asking
+@query_options
 @report_errors
 def show(
     prefix: str, config: Path | None, at: tuple[str, ...], deployment: str, wait: float, as_json: bool
 ) -> None:
-    """The items whose names begin with PREFIX, as whoever answers first has them."""
+    """Show the items whose names begin with PREFIX, from the first machine that answers."""
     client = client_of(config, at, deployment)
 
     async def work() -> tuple[int, dict[str, bytes]]:
         return await client.items(prefix, wait)
 
-    number, items = run_asking(work)
+    number, items = run_query(work)
     if as_json:
         values = {name: json.loads(value) for name, value in items.items()}
         click.echo(json.dumps({"number": number, "items": values}))
@@ -249,14 +270,14 @@
 
 
 @fleetconfig.command("status")
-@asking
+@query_options
 @report_errors
 def status(config: Path | None, at: tuple[str, ...], deployment: str, wait: float, as_json: bool) -> None:
-    """The latest revision, whether newer ones can be known, how long each took until it was in force
-    everywhere, and who lacks it.
+    """Show the latest revision, whether newer ones can be known, how long each took until all planners
+    applied it, and which planners lack it.
 
-    Of a planner (--at its address) what it has itself. Exits with 1 if some planner lacks the latest
-    revision, 3 if whoever answered cannot know of newer ones, 4 if nobody answers.
+    A planner (--at its address) shows its own state. Exits with 1 if some planner lacks the latest revision,
+    3 if the answering machine cannot know of newer ones, 4 if nobody answers.
     """
     from hazelhold.cli.fleetconfig_status import as_dict, lines
     from hazelhold.fleetconfig import messages as m
@@ -266,11 +287,11 @@
     async def work() -> "Status":
         return await client.ask(m.StatusQuery(), m.Status, wait)
 
-    said = run_asking(work)
+    answer = run_query(work)
     if as_json:
-        click.echo(json.dumps(as_dict(said)))
+        click.echo(json.dumps(as_dict(answer)))
     else:
-        for line in lines(said):
+        for line in lines(answer):
             click.echo(line)
-    behind = said.lacking_count or said.in_force < said.number
-    sys.exit(CUT_OFF if said.cut_off else LACKING if behind else 0)
+    behind = answer.lacking_count or answer.in_force < answer.number
+    sys.exit(PARTITIONED if answer.cut_off else LACKING if behind else 0)
--- a/hazelhold/cli/fleetconfig_client.py
+++ b/hazelhold/cli/fleetconfig_client.py
@@ -1,4 +1,4 @@
-"""Whom the fleetconfig commands ask: options, addresses, and what nobody's answer means."""
+"""Queries of the fleetconfig commands: their options, the addresses, and the exit code without an answer."""
 
 import sys
 from collections.abc import Callable
@@ -15,15 +15,17 @@
     from hazelhold.fleetconfig.client import ConfigClient
 
 FILE = click.Path(dir_okay=False, path_type=Path)
-NOBODY = 4  # exit code: nobody answered
+NO_ANSWER = 4  # exit code: nobody answered
 
 
-def asking(command: Callable[..., None]) -> Callable[..., None]:
-    """The options that say whom to ask."""
+def query_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options that select whom to query."""
     for option in (
         click.option("--config", type=FILE, default=None, help="A control machine's or planner's file."),
-        click.option("--at", multiple=True, help="An address to ask, instead; may be repeated."),
-        click.option("--deployment", default="hazelhold", show_default=True, help="With --at: whose it is."),
+        click.option("--at", multiple=True, help="An address to query instead; may be repeated."),
+        click.option(
+            "--deployment", default="hazelhold", show_default=True, help="With --at: its deployment."
+        ),
         click.option(
             "--wait", type=click.FloatRange(0.1, 600), default=5.0, show_default=True, help="Seconds."
         ),
@@ -34,6 +36,7 @@
 
 
 def client_of(config: Path | None, at: tuple[str, ...], deployment: str) -> "ConfigClient":
+    """Returns a client for the addresses that the options select."""
     from hazelhold.fleetconfig.client import ConfigClient
     from hazelhold.service.net import TcpNet
 
@@ -45,13 +48,14 @@
     for address in at:
         try:
             split_address(address)
-        except ValueError as wrong:
-            raise ConfigError("command line", [("--at", str(wrong))]) from None
+        except ValueError as error:
+            raise ConfigError("command line", [("--at", str(error))]) from None
     return ConfigClient(TcpNet(), at, deployment)
 
 
 def _machines(config: Path) -> tuple[str, list[ControlMachine]]:
-    """The deployment and the control machines that a file names; itself first, if it is one of them."""
+    """Returns the deployment and the control machines that a file names; its own machine first, if it is
+    one."""
     value = parse(read_text(config), str(config))
     if isinstance(value, dict) and "estate" in value:
         section = read_planner(config).fleetconfig
@@ -65,14 +69,14 @@
     return file.deployment, sorted(machines, key=lambda machine: machine.name != file.name)
 
 
-def run_asking(work: Callable[[], Any]) -> Any:  # noqa: ANN401 - what the work returns
-    """Runs an asking; nobody's answer ends the command."""
+def run_query(work: Callable[[], Any]) -> Any:  # noqa: ANN401 - what the work returns
+    """Runs a query; ends the command with `NO_ANSWER` if nobody answers."""
     import trio
 
     from hazelhold.fleetconfig.client import UnreachableError
 
     try:
         return trio.run(work)
-    except UnreachableError as wrong:
-        click.echo(f"nobody answers: {wrong}", err=True)
-        sys.exit(NOBODY)
+    except UnreachableError as error:
+        click.echo(f"nobody answers: {error}", err=True)
+        sys.exit(NO_ANSWER)
--- a/hazelhold/cli/fleetconfig_status.py
+++ b/hazelhold/cli/fleetconfig_status.py
@@ -1,33 +1,35 @@
-"""How a status of the fleet's configuration is shown."""
+"""Formats a status of the fleet's configuration, for people and as JSON."""
 
 from collections.abc import Iterator
 from typing import Any
 
 import msgspec
 
-from hazelhold.cli.members import span
+from hazelhold.cli.members import format_duration
 from hazelhold.fleetconfig.messages import MemberState, RevisionCoverage, Status
 
-SHOWN_REVISIONS = 16  # to people, the latest first; --json has all that are told
+SHOWN_REVISIONS = 16  # in the output for people, latest first; --json has all that were received
 
 
 def as_dict(status: Status) -> dict[str, Any]:
-    """For JSON: all fields, checksums as hexadecimal digits, spans in microseconds (-1: not known)."""
-    said = {name: getattr(status, name) for name in status.__struct_fields__}
-    said["chain"] = status.chain.hex()
-    said["route"] = list(status.route)
-    said["revisions"] = [msgspec.structs.asdict(each) for each in status.revisions]
-    said["lacking"] = [{**msgspec.structs.asdict(each), "chain": each.chain.hex()} for each in status.lacking]
-    return said
+    """Returns all fields for JSON: checksums in hexadecimal, durations in microseconds (-1: unknown)."""
+    fields = {name: getattr(status, name) for name in status.__struct_fields__}
+    fields["chain"] = status.chain.hex()
+    fields["route"] = list(status.route)
+    fields["revisions"] = [msgspec.structs.asdict(each) for each in status.revisions]
+    fields["lacking"] = [
+        {**msgspec.structs.asdict(each), "chain": each.chain.hex()} for each in status.lacking
+    ]
+    return fields
 
 
 def lines(status: Status) -> Iterator[str]:
-    """For people."""
+    """Yields the lines of the output for people."""
     yield f"{status.name}: revision {status.number}, chain {status.chain.hex()}"
     if status.in_force != status.number:
         yield f"in force here: revision {status.in_force}"
     route = f", by way of {' > '.join(status.route)}" if status.route else ""
-    yield f"nothing newer was committed {span(status.confirmed_age)} ago{route}"
+    yield f"nothing newer was committed {format_duration(status.confirmed_age)} ago{route}"
     if status.cut_off:
         yield f"CUT OFF: {status.cut_off}"
     for revision in status.revisions[:SHOWN_REVISIONS]:
@@ -42,8 +44,11 @@
 def _revision(revision: RevisionCoverage) -> str:
     have = f"{revision.have} of {revision.expected} planners have it"
     if revision.everywhere_after < 0:
-        return f"revision {revision.number}, known for {span(revision.age)}: {have}"
-    return f"revision {revision.number}: in force everywhere after {span(revision.everywhere_after)}, {have}"
+        return f"revision {revision.number}, known for {format_duration(revision.age)}: {have}"
+    return (
+        f"revision {revision.number}: in force everywhere after "
+        f"{format_duration(revision.everywhere_after)}, {have}"
+    )
 
 
 def _lacking(member: MemberState) -> str:
--- a/hazelhold/cli/logs.py
+++ b/hazelhold/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on structlog: for people, or as JSON lines. Every line on a guest has its id."""
+"""Structured logs on structlog, human-readable or as JSON lines. Every line about a guest has its id."""
 
 import fcntl
 import logging
@@ -11,21 +11,21 @@
 import structlog
 
 
-class Lines(logging.Handler):
-    """What libraries log, as lines like all others: the reason of a fault in a word, no traceback."""
+class LibraryLogHandler(logging.Handler):
+    """Writes the log records of libraries in the common format: the error in brief, without a traceback."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        wrong = record.exc_info[1] if record.exc_info else None
+        error = record.exc_info[1] if record.exc_info else None
         structlog.get_logger().log(
             record.levelno,
             record.name,
             said=record.getMessage().strip()[:200],
-            **({"reason": repr(wrong)[:200]} if wrong else {}),
+            **({"reason": repr(error)[:200]} if error else {}),
         )
 
 
 def pipe_of(stream: TextIO) -> tuple[int | None, int]:
-    """The descriptor of a stream that is a pipe, and how much that holds; None if it is something else."""
+    """Returns the descriptor of a stream that is a pipe, and its capacity in bytes; None and 0 otherwise."""
     try:
         descriptor = stream.fileno()
         if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
@@ -35,9 +35,9 @@
         return None, 0
 
 
-class Unfailing:
-    """A stream for logs: a line that cannot be written (full disk, closed pipe, a pipe that nobody reads) is
-    dropped and counted, so that a log ends or stops nothing."""
+class SafeLogStream:
+    """A stream for logs that never fails or blocks: a line that cannot be written (full disk, closed pipe, a
+    pipe that nobody reads) is dropped and counted."""
 
     def __init__(self, stream: TextIO) -> None:
         self.stream, self.dropped = stream, 0
@@ -53,7 +53,7 @@
             return len(text)
 
     def _unread(self) -> int:
-        """Bytes in the pipe."""
+        """Returns the number of unread bytes in the pipe."""
         return int.from_bytes(fcntl.ioctl(self.pipe, termios.FIONREAD, bytes(4)), sys.byteorder)
 
     def flush(self) -> None:
@@ -63,11 +63,11 @@
             self.dropped += 1
 
 
-def set_up(form: str, level: str) -> None:
-    """Logs go to standard error; `form` is human or json, `level` debug, info, warning or error."""
+def set_up(log_format: str, level: str) -> None:
+    """Sends logs to standard error; `log_format` is human or json, `level` debug, info, warning or error."""
     render = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -79,6 +79,6 @@
             render,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(Unfailing(sys.stderr)),
+        logger_factory=structlog.PrintLoggerFactory(SafeLogStream(sys.stderr)),
     )
-    logging.basicConfig(handlers=[Lines()], level=logging.WARNING, force=True)
+    logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING, force=True)
--- a/hazelhold/cli/main.py
+++ b/hazelhold/cli/main.py
@@ -1,4 +1,4 @@
-"""The hazelhold command: every part of the program is started from here."""
+"""The `hazelhold` command, which starts every part of the program."""
 
 from importlib import import_module
 
@@ -19,11 +19,11 @@
     "stand-in": "hazelhold.cli.stand_in:stand_in",
     "state": "hazelhold.cli.state:state",
 }
-"""Where each command stands: module and attribute."""
+"""The module and attribute of each command."""
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module when that command is asked for, so that a planner loads no other's."""
+    """Imports the module of a command only when it is used, so that a planner loads no other command."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(COMMANDS)
@@ -38,4 +38,4 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, message="%(version)s")
 def main() -> None:
-    """Places long-lived tasks on a cluster's machines."""
+    """Places long-lived guests on a cluster's machines."""
--- a/hazelhold/cli/planner.py
+++ b/hazelhold/cli/planner.py
@@ -1,4 +1,4 @@
-"""hazelhold planner: one planner, by its own file or on the operators' platform."""
+"""`hazelhold planner`: runs one planner, with its own protocol or that of the operators' platform."""
 
 from pathlib import Path
 
@@ -18,18 +18,20 @@
     "is $BALANCER_CONFIG unless --config names it.",
 )
 @click.option("--frames", is_flag=True, help="With --platform and --level debug: log every message.")
-@click.option("--seed", type=int, default=None, help="In place of the configuration's.")
+@click.option("--seed", type=int, default=None, help="Seed to use in place of the configuration's.")
 @click.option("--record", type=FILE, default=None, help="Append every frame to this file.")
-@click.option("--capture", "to", type=FILE, default=None, help="Write all exchanges there, as pcap(ng).")
+@click.option(
+    "--capture", "to", type=FILE, default=None, help="Capture all connections to this file, as pcap(ng)."
+)
 @click.option("--ready", is_flag=True, help="Print the address to standard output once up.")
 @click.option(
     "--state",
     "folder",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Keep what must outlive the process in this folder.",
+    help="Store the state that must survive a restart in this folder.",
 )
-@click.option("--take-over", is_flag=True, help="Have the process that uses the state hand over to this one.")
+@click.option("--take-over", is_flag=True, help="Take over from the process that uses the state.")
 @log_options
 @report_errors
 def planner(
@@ -80,7 +82,7 @@
         planner_config = replace(planner_config, state=replace(planner_config.state, folder=str(folder)))
     if take_over and not planner_config.state.folder:
         raise ConfigError(str(config), [("state.folder", "is empty: there is nothing to take over")])
-    if faults := check_planner(planner_config):  # once more, with what the command line changed
+    if faults := check_planner(planner_config):  # checked again with the changes of the command line
         raise ConfigError(str(config), faults)
     logs.set_up(log, level)
     if record:
@@ -92,7 +94,7 @@
     kinds = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR2)
 
     async def run(early: list[int]) -> None:
-        made = Planner(
+        service = Planner(
             planner_config,
             planner_config.seed if seed is None else seed,
             TcpNet(),
@@ -102,19 +104,19 @@
         with trio.open_signal_receiver(*kinds) as signals:
             async with trio.open_nursery() as nursery:
 
-                def take(number: int) -> None:
-                    (made.hand_over if number == signal.SIGUSR2 else made.stop)()
+                def handle(number: int) -> None:
+                    (service.hand_over if number == signal.SIGUSR2 else service.stop)()
 
                 async def listen() -> None:
                     async for number in signals:
-                        take(number)
+                        handle(number)
 
                 for number in early:
-                    take(number)
+                    handle(number)
                 nursery.start_soon(listen)
 
                 async def serve(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-                    await made.run(task_status=task_status)
+                    await service.run(task_status=task_status)
                     nursery.cancel_scope.cancel()
 
                 address = await nursery.start(serve)
--- a/hazelhold/cli/report.py
+++ b/hazelhold/cli/report.py
@@ -1,14 +1,14 @@
-"""The report of a judged day, for people."""
+"""Prints the report of an audited day."""
 
 from typing import Any
 
 import click
 
 
-def show(said: dict[str, Any]) -> None:
-    """A report for people."""
-    counts, service = said["counts"], said["service"]
-    click.echo(f"{said['day']}, seed {said['seed']}, {said['seconds']} s")
+def show(report: dict[str, Any]) -> None:
+    """Prints a report for people."""
+    counts, service = report["counts"], report["service"]
+    click.echo(f"{report['day']}, seed {report['seed']}, {report['seconds']} s")
     click.echo(
         f"  guests {service['guests']}, asks taken {counts.get('taken', 0)}: placed "
         f"{counts.get('placed', 0)}, turned back {counts.get('turned_back', 0)}, broken off "
@@ -22,27 +22,30 @@
     click.echo(
         "  service " + ", ".join(f"{key} {value}" for key, value in service.items() if key != "guests")
     )
-    click.echo(f"  rules broken: {len(said['rules_broken'])}")
-    for breach in said["rules_broken"][:20]:
+    click.echo(f"  rules broken: {len(report['rules_broken'])}")
+    for violation in report["rules_broken"][:20]:
         click.echo(
-            f"    rule {breach['rule']}: {breach['what']} (guest {breach['guest'] or '-'}, planner "
-            f"{breach['planner'] or '-'}, machine {breach['machine'] or '-'}, at {breach['at']})"
+            f"    rule {violation['rule']}: {violation['what']} (guest {violation['guest'] or '-'}, planner "
+            f"{violation['planner'] or '-'}, machine {violation['machine'] or '-'}, at {violation['at']})"
         )
-    if views := said.get("views"):
+    if views := report.get("views"):
         click.echo(
             f"  views: wrongly gone {views['wrongly_gone']}, missed {views['missed']}; time to notice "
-            f"{_spans(views['noticed'])}, to take back {_spans(views['healed'])}"
+            f"{_durations(views['noticed'])}, to take back {_durations(views['healed'])}"
             + (": BOUND PASSED" if views["bounds_passed"] else "")
         )
         for line in views["details"][:10]:
             click.echo(f"    {line}")
-    if claims := said.get("claims"):
+    if claims := report.get("claims"):
         click.echo("  claims: " + ", ".join(f"{key} {value}" for key, value in claims.items()))
-    if said["unaccounted"]:
-        click.echo(f"  unaccounted: {', '.join(said['unaccounted'][:20])}")
+    if report["unaccounted"]:
+        click.echo(f"  unaccounted: {', '.join(report['unaccounted'][:20])}")
 
 
-def _spans(found: dict[str, float]) -> str:
-    if not found["count"]:
+def _durations(statistics: dict[str, float]) -> str:
+    """Formats the count, median and maximum of some durations."""
+    if not statistics["count"]:
         return "none"
-    return f"{found['median']} s in the middle, {found['longest']} s at most ({found['count']})"
+    return (
+        f"{statistics['median']} s in the middle, {statistics['longest']} s at most ({statistics['count']})"
+    )
--- a/hazelhold/cli/state.py
+++ b/hazelhold/cli/state.py
@@ -1,4 +1,4 @@
-"""hazelhold state: reads, checks, compacts and exports what a planner keeps."""
+"""`hazelhold state`: shows, checks, compacts and exports a planner's stored state."""
 
 import json
 import sys
@@ -19,43 +19,44 @@
 
 @click.group()
 def state() -> None:
-    """What a planner keeps beyond its process. Reading is harmless beside a running planner."""
+    """Inspect a planner's stored state. Reading has no effect on a running planner."""
 
 
 def _read(folder: Path) -> store.StoreContents:
+    """Reads a folder, again if its files change meanwhile."""
     disk = RealDisk(folder)
-    for _ in range(5):  # a running planner may begin a new generation meanwhile
+    for _ in range(5):  # a running planner may begin a new generation during the read
         before = disk.names()
         try:
-            found = store.read(disk)
+            contents = store.read(disk)
         except store.StateError:
             if disk.names() == before:
                 raise
             continue
         if disk.names() == before:
             break
-    return found
+    return contents
 
 
 @state.command("show")
 @click.argument("folder", type=FOLDER)
 @click.option(
-    "--guests", "many", type=click.IntRange(0), default=20, show_default=True, help="Guests to list."
+    "--guests", "guest_limit", type=click.IntRange(0), default=20, show_default=True, help="Guests to list."
 )
 @report_errors
-def show(folder: Path, many: int) -> None:
-    """What is kept: counts, damage, and the guests."""
-    found = _read(folder)
-    found.state_table.expire(lasting_now(folder))
-    owner = RealDisk(folder).owner().strip()
-    click.echo(f"{folder}: generation {found.generation}, last used by {owner or 'nobody'}")
-    click.echo("  " + ", ".join(f"{kind} {count}" for kind, count in found.state_table.sizes().items()))
-    for note in found.notes:
+def show(folder: Path, guest_limit: int) -> None:
+    """Show the stored state: counts, damage, and the guests."""
+    contents = _read(folder)
+    contents.state_table.expire(lasting_now(folder))
+    holder = RealDisk(folder).owner().strip()
+    click.echo(f"{folder}: generation {contents.generation}, last used by {holder or 'nobody'}")
+    click.echo("  " + ", ".join(f"{kind} {count}" for kind, count in contents.state_table.sizes().items()))
+    for note in contents.notes:
         click.echo(f"  {note}")
-    if not found.complete:
+    if not contents.complete:
         click.echo("  something that a peer may have seen can be missing")
     now = lasting_now(folder)
-    for image in list(found.state_table.images("guest"))[:many]:
+    for image in list(contents.state_table.images("guest"))[:guest_limit]:
         where = (
             f"runs on {image.machine}"
             if image.placed
@@ -63,7 +64,9 @@
             if (image.machine)
             else "held"
         )
-        left = f", {max(0, image.deadline - now) / 1e6:.1f} s of patience left" if image.deadline else ""
+        left = (
+            f", {max(0, image.deadline - now) / 1e6:.1f} s left until its deadline" if image.deadline else ""
+        )
         unsure = ", may have run" if image.unsure_at else ""
         click.echo(f"  {image.name} of {image.owner}: {image.product}, {where}{left}{unsure}")
 
@@ -72,51 +75,53 @@
 @click.argument("folder", type=FOLDER)
 @report_errors
 def check(folder: Path) -> None:
-    """Reads all and says what is wrong; exits with 0 only if nothing a peer may have seen can be missing."""
-    found = _read(folder)
-    for note in found.notes:
+    """Read everything and report faults. Exits with 0 only if nothing that a peer may have seen can be
+    missing."""
+    contents = _read(folder)
+    for note in contents.notes:
         click.echo(note)
-    wrong = 0
+    unreadable = 0
     for kind in KINDS:
         try:
-            for _ in found.state_table.images(kind):
+            for _ in contents.state_table.images(kind):
                 pass
-        except ValueError as fault:
-            wrong += 1
-            click.echo(str(fault))
-    sizes = ", ".join(f"{kind} {count}" for kind, count in found.state_table.sizes().items())
+        except ValueError as error:
+            unreadable += 1
+            click.echo(str(error))
+    sizes = ", ".join(f"{kind} {count}" for kind, count in contents.state_table.sizes().items())
     click.echo(
-        f"generation {found.generation}, {found.batches} batches in logs; {sizes}; "
-        + ("complete" if found.complete else "incomplete")
+        f"generation {contents.generation}, {contents.batches} batches in logs; {sizes}; "
+        + ("complete" if contents.complete else "incomplete")
     )
-    sys.exit(0 if found.complete and not wrong else 1)
+    sys.exit(0 if contents.complete and not unreadable else 1)
 
 
 @state.command("compact")
 @click.argument("folder", type=FOLDER)
 @report_errors
 def compact(folder: Path) -> None:
-    """Writes all that is kept as one new generation. Refused while a planner uses it."""
+    """Write the whole state as one new generation. Refused while a planner uses it."""
     disk = RealDisk(folder)
-    found = _read(folder)
-    if found.fresh:
-        click.echo("nothing is kept here")
+    contents = _read(folder)
+    if contents.fresh:
+        click.echo("no state is stored here")
         return
-    if not found.complete:
-        raise store.StateError("the state is damaged: a planner must read it as it is, and doubt it")
-    head = _planner(folder, found)
-    kept = store.Store(disk, head)
-    kept.open(lasting_now(folder), f"compact {head}")
+    if not contents.complete:
+        raise store.StateError("the state is damaged: a planner must read it unchanged and verify it")
+    planner = _planner(folder, contents)
+    compacted = store.Store(disk, planner)
+    compacted.open(lasting_now(folder), f"compact {planner}")
     try:
         before = sum((folder / n).stat().st_size for n in disk.names())
-        kept.begin(lasting_now(folder))
+        compacted.begin(lasting_now(folder))
         after = sum((folder / n).stat().st_size for n in disk.names())
     finally:
-        kept.close()
+        compacted.close()
     click.echo(f"{before} bytes became {after}")
 
 
-def _planner(folder: Path, found: store.StoreContents) -> str:
+def _planner(folder: Path, contents: store.StoreContents) -> str:
+    """Returns the name of the planner that the state belongs to; empty if no file has a header."""
     from hazelhold.state import frames
 
     for name in RealDisk(folder).names():
@@ -131,14 +136,15 @@
 @click.argument("folder", type=FOLDER)
 @report_errors
 def export(folder: Path) -> None:
-    """Every image as a line of JSON: kind, key and its fields by name."""
-    found = _read(folder)
+    """Print every image as a line of JSON: its kind and its fields by name."""
+    contents = _read(folder)
     for kind in KINDS:
-        for image in found.state_table.images(kind):
+        for image in contents.state_table.images(kind):
             click.echo(json.dumps({"kind": kind, **_plain(image)}, default=repr))
 
 
 def _plain(image: msgspec.Struct) -> dict[str, Any]:
+    """Converts an image to plain values for JSON."""
     plain: dict[str, Any] = {}
     for name in image.__struct_fields__:
         value = getattr(image, name)
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from hazelhold.cli.logs import Unfailing
+from hazelhold.cli.logs import SafeLogStream
 from hazelhold.config.load import ConfigError, read_text
 from hazelhold.platform.logbook import Logbook
 from hazelhold.platform.peer import OwnerPeer
@@ -96,7 +96,7 @@
         def flush(self) -> None:
             raise OSError(errno.EIO, "broken")
 
-    log = Unfailing(Full())
+    log = SafeLogStream(Full())
     assert log.write("line\n") == 5
     log.flush()
     assert log.dropped == 2
@@ -106,7 +106,7 @@
     reading, writing = os.pipe()
     line = "a line of the log\n"
     with os.fdopen(reading, "rb") as reader, os.fdopen(writing, "w", buffering=1) as writer:
-        log = Unfailing(writer)
+        log = SafeLogStream(writer)
         for _ in range(20_000):
             log.write(line)
         assert log.dropped
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -150,7 +150,7 @@
         clock=MockClock(autojump_threshold=0),
     )
     second = CliRunner().invoke(main, ["capture", "replay", str(tmp_path / "kept" / "planner-0-2.pcap")])
-    assert second.exit_code == 0 and "0 differ, 0 without a fellow" in second.output
+    assert second.exit_code == 0 and "0 differ, 0 unmatched" in second.output
 
 
 # A disk that hangs, and a process that takes over.
