--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Tests that fail for a known fault: `KNOWN-RED.txt` at the root names them, a line each; each is expected
-to fail. A line holds the test's id, the command with its seed that shows the fault, what was seen, and the
+"""Tests that fail because of a known fault: `KNOWN-RED.txt` at the root lists them, one per line; each is
+expected to fail. A line holds the test's id, the command and seed that show the fault, what was seen, and the
 issue, separated by ` | `."""
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 def read_known(text: str) -> dict[str, str]:
-    """What was seen, with the issue and the command, by test id; ValueError names the line that is wrong."""
+    """Returns what was seen, with the issue and the command, by test id; ValueError names an invalid line."""
     known: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -21,15 +21,15 @@
         if len(parts) != 4 or not all(parts) or not parts[0].startswith("tests/") or "::" not in parts[0]:
             raise ValueError(f"KNOWN-RED.txt, line {number}: expected '{FORM}'")
         if parts[0] in known:
-            raise ValueError(f"KNOWN-RED.txt, line {number}: {parts[0]} stands there twice")
+            raise ValueError(f"KNOWN-RED.txt, line {number}: {parts[0]} is listed twice")
         test, command, seen, issue = parts
         known[test] = f"{seen} ({issue}; {command})"
     return known
 
 
 def mark_known(known: dict[str, str], items: Iterable[pytest.Item], whole: bool) -> None:
-    """Each listed test must fail: one that passes fails the run. `whole`: all tests were collected, so a name
-    that none of them has is wrong."""
+    """Marks each listed test as expected to fail: one that passes fails the run. `whole`: all tests were
+    collected, so a name that none of them has is an error."""
     found = set()
     for item in items:
         for name in (item.nodeid, item.nodeid.partition("[")[0]):
@@ -41,14 +41,15 @@
 
 
 def known_red() -> dict[str, str]:
+    """Reads the list; an invalid one ends the run."""
     try:
         return read_known(FILE.read_text(encoding="utf-8")) if FILE.exists() else {}
-    except ValueError as wrong:
-        raise pytest.UsageError(str(wrong)) from None
+    except ValueError as error:
+        raise pytest.UsageError(str(error)) from None
 
 
 def pytest_configure() -> None:
-    known_red()  # a list that cannot be meant is said before any worker starts
+    known_red()  # an invalid list is reported before any worker starts
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -60,29 +61,31 @@
         )
         try:
             mark_known(known, items, whole)
-        except ValueError as wrong:
+        except ValueError as error:
             if not hasattr(config, "workeroutput"):
-                raise pytest.UsageError(str(wrong)) from None
-            config.workeroutput["known_red"] = str(wrong)  # a worker cannot say it: the run fails at its end
+                raise pytest.UsageError(str(error)) from None
+            config.workeroutput["known_red"] = str(
+                error
+            )  # a worker cannot report it: the run fails at its end
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_testnodedown(node: object) -> None:
-    if wrong := getattr(node, "workeroutput", {}).get("known_red"):
-        node.config.known_red_wrong = wrong
+    if error := getattr(node, "workeroutput", {}).get("known_red"):
+        node.config.known_red_error = error
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    if getattr(session.config, "known_red_wrong", ""):
+    if getattr(session.config, "known_red_error", ""):
         session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_report_header() -> list[str]:
-    return [f"known red: {name}: {why}" for name, why in known_red().items()]
+    return [f"known red: {name}: {reason}" for name, reason in known_red().items()]
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    if wrong := getattr(config, "known_red_wrong", ""):
-        terminalreporter.write_line(f"ERROR: {wrong}")
-    for name, why in known_red().items():
-        terminalreporter.write_line(f"known red: {name}: {why}")
+    if error := getattr(config, "known_red_error", ""):
+        terminalreporter.write_line(f"ERROR: {error}")
+    for name, reason in known_red().items():
+        terminalreporter.write_line(f"known red: {name}: {reason}")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: every command can be reached, and a planner loads no other command."""
+"""The command line as a whole: every command is reachable, and a planner loads no other command."""
 
 import json
 import subprocess
@@ -9,7 +9,7 @@
 
 from hazelhold.cli.main import COMMANDS, main
 
-LOADED = """
+PRINT_LOADED_MODULES = """
 import json, sys
 from click.testing import CliRunner
 from hazelhold.cli.main import main
@@ -19,9 +19,9 @@
 
 
 @pytest.mark.parametrize("command", sorted(COMMANDS))
-def test_every_command_says_what_it_is_for(command: str) -> None:
-    ran = CliRunner().invoke(main, [command, "--help"])
-    assert ran.exit_code == 0 and "Usage:" in ran.output
+def test_every_command_has_help(command: str) -> None:
+    result = CliRunner().invoke(main, [command, "--help"])
+    assert result.exit_code == 0 and "Usage:" in result.output
 
 
 def test_the_help_lists_every_command() -> None:
@@ -30,16 +30,16 @@
 
 
 def test_an_unknown_command_is_named() -> None:
-    ran = CliRunner().invoke(main, ["replan"])
-    assert ran.exit_code == 2 and "No such command 'replan'" in ran.output
+    result = CliRunner().invoke(main, ["replan"])
+    assert result.exit_code == 2 and "No such command 'replan'" in result.output
 
 
-def test_the_platform_loads_nothing_that_is_off_there() -> None:
-    ran = subprocess.run(
-        [sys.executable, "-c", LOADED], capture_output=True, text=True, check=True, timeout=60
+def test_the_platform_planner_loads_no_module_of_disabled_features() -> None:
+    completed = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES], capture_output=True, text=True, check=True, timeout=60
     )
-    loaded = json.loads(ran.stdout)
-    off = (
+    loaded = json.loads(completed.stdout)
+    disabled = (
         "cli.copies",
         "cli.fleetconfig",
         "cli.rehearsal",
@@ -49,4 +49,4 @@
         "rehearse",
     )
     assert "hazelhold.platform.planner" in loaded
-    assert not [m for m in loaded for part in off if f"{m}.".startswith(f"hazelhold.{part}.")]
+    assert not [m for m in loaded for part in disabled if f"{m}.".startswith(f"hazelhold.{part}.")]
--- a/tests/test_faulty_system.py
+++ b/tests/test_faulty_system.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a while, clocks that are stepped, requests that were read late."""
+"""System calls that fail temporarily, stepped clocks, and submissions that are read late."""
 
 import errno
 import os
@@ -22,7 +22,7 @@
 from tests.platform_rig import PLACED, Rig, play, set_up
 
 
-def test_a_listening_socket_that_cannot_be_had_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_opening_a_listening_socket_is_retried_after_a_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
     left = [errno.ENOBUFS, errno.ENFILE, errno.ENOMEM]
     real = socket.create_server
 
@@ -42,7 +42,7 @@
     assert trio.run(run).startswith("127.0.0.1:") and left == []
 
 
-def test_an_address_that_is_taken_is_told_at_once() -> None:
+def test_an_address_in_use_is_reported_at_once() -> None:
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = f"127.0.0.1:{taken.getsockname()[1]}"
@@ -54,7 +54,7 @@
 
 
 def test_every_error_of_accept_leaves_the_listener_in_service() -> None:
-    """A listener whose accept fails in each documented way between two connections."""
+    """A listener whose accept fails in each documented way before it succeeds."""
     codes = [
         errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM,
         errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EOPNOTSUPP, errno.ENONET,
@@ -83,12 +83,10 @@
             nursery.cancel_scope.cancel()
 
     trio.run(run)
-    assert codes == [] and delays[0] >= sum(
-        net.ACCEPT_AGAIN
-    )  # it waited, and whoever reads from it is told so
+    assert codes == [] and delays[0] >= sum(net.ACCEPT_AGAIN)  # the wait is reported to the handler
 
 
-def test_a_log_that_cannot_be_written_ends_nothing() -> None:
+def test_a_log_that_cannot_be_written_raises_no_error() -> None:
     class Full:
         def write(self, text: str) -> int:
             raise OSError(errno.ENOSPC, "full")
@@ -102,7 +100,7 @@
     assert log.dropped == 2
 
 
-def test_a_pipe_that_nobody_reads_stops_nothing() -> None:
+def test_a_pipe_that_nobody_reads_does_not_block_the_log() -> None:
     reading, writing = os.pipe()
     line = "a line of the log\n"
     with os.fdopen(reading, "rb") as reader, os.fdopen(writing, "w", buffering=1) as writer:
@@ -111,10 +109,12 @@
             log.write(line)
         assert log.dropped
         writer.close()
-        assert set(reader.read().decode().splitlines(keepends=True)) == {line}  # what was written is whole
+        assert set(reader.read().decode().splitlines(keepends=True)) == {
+            line
+        }  # the lines that were written are complete
 
 
-def test_a_file_that_cannot_be_read_for_a_moment_is_read_again(
+def test_reading_a_file_is_retried_after_a_temporary_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "file"
@@ -136,8 +136,8 @@
         read_text(tmp_path / "none", tries=3)
 
 
-def test_a_counter_of_two_tables_is_summed_in_the_last_line() -> None:
-    """The name in both ended the process with a TypeError in its last line."""
+def test_a_counter_in_two_tables_is_summed_in_the_last_log_line() -> None:
+    """A name in both tables caused a TypeError when the last line was logged."""
 
     async def test(rig: Rig) -> None:
         rig.planner.counts["dials_failed"] = 2
@@ -152,16 +152,16 @@
 # Clocks.
 
 
-def test_a_step_of_the_wall_clock_moves_no_moment(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = TcpNet()
-    before, real = made.wall(), time.time_ns
+def test_a_step_of_the_wall_clock_shifts_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    network = TcpNet()
+    before, real = network.wall(), time.time_ns
     for step in (3600, -3600, 2):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step * 10**9)
-        assert abs(made.wall() - before) < 5_000_000
-        assert abs(made.wall_stepped() - step) < 1
+        assert abs(network.wall() - before) < 5_000_000
+        assert abs(network.wall_stepped() - step) < 1
 
 
-def test_within_a_boot_a_folder_keeps_its_clock(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_folder_keeps_its_clock_within_a_boot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     folder = tmp_path / "state"
     assert clock.lasting_offset(folder, 1000) == 1000
     assert clock.lasting_offset(folder, 9000) == 1000  # the wall clock was stepped between two processes
@@ -173,7 +173,7 @@
     assert clock.lasting_offset(folder, 6) == 6
 
 
-def test_a_folder_that_cannot_be_written_leaves_the_process_its_own_clock(
+def test_with_an_unwritable_folder_a_process_uses_its_own_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def fail(*args: object) -> None:
@@ -183,10 +183,10 @@
     assert clock.lasting_offset(tmp_path, 1000) == 1000 and clock.lasting_offset(tmp_path, 2000) == 2000
 
 
-# Requests that were read late.
+# Submissions that are read late.
 
 
-def test_the_time_for_which_a_request_waited_to_be_read_is_taken_off_its_deadline() -> None:
+def test_the_time_that_a_submission_waited_to_be_read_is_subtracted_from_its_deadline() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await trio.sleep(0.2)
@@ -201,7 +201,7 @@
     play(test)
 
 
-def test_the_time_for_which_a_connection_waited_to_be_accepted_counts_for_its_first_requests() -> None:
+def test_the_time_that_a_connection_waited_to_be_accepted_counts_for_its_first_submissions() -> None:
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await trio.sleep(0.2)
@@ -217,7 +217,7 @@
     play(test)
 
 
-def test_the_loop_s_clock_tells_how_long_ago_it_looked() -> None:
+def test_the_loop_clock_reports_the_age_of_the_last_poll() -> None:
     async def run() -> None:
         loop = LoopClock()
         trio.lowlevel.add_instrument(loop)
@@ -229,8 +229,8 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_wait_that_ended_late_is_no_look() -> None:
-    """What came while the process was stopped in a wait is reported by the next wait only."""
+def test_a_wait_that_ended_late_does_not_count_as_a_poll() -> None:
+    """What arrives while the process is stopped in a wait is reported only by the next wait."""
 
     async def run() -> None:
         clock = trio.lowlevel.current_clock()
@@ -248,8 +248,8 @@
     trio.run(run, clock=trio.testing.MockClock())
 
 
-def test_a_look_that_was_stopped_before_it_returned_is_as_old_as_its_call() -> None:
-    """Soak seed 519: what was ready at the call was reported 0.3 s later, and what came since was not."""
+def test_a_poll_that_was_stopped_before_it_returned_is_as_old_as_its_call() -> None:
+    """Soak seed 519: data ready at the call was reported 0.3 s later, and data that arrived since was not."""
 
     async def run() -> None:
         loop = LoopClock()
@@ -263,8 +263,8 @@
     trio.run(run, clock=trio.testing.MockClock())
 
 
-def test_what_a_short_read_left_came_no_later_than_the_rest() -> None:
-    """A connection of which only a part is read at a time, by a process that was stopped while it came."""
+def test_data_left_by_a_short_read_arrived_no_later_than_the_rest() -> None:
+    """A connection that is read in parts by a process that was stopped while the data arrived."""
 
     async def run() -> None:
         near, far = socket.socketpair()
@@ -288,12 +288,12 @@
     trio.run(run)
 
 
-def test_a_step_of_the_wall_clock_is_written_once_each() -> None:
+def test_each_step_of_the_wall_clock_is_logged_once() -> None:
     async def test(rig: Rig) -> None:
         written = []
         log = SimpleNamespace(warning=lambda event, **more: written.append((event, more)))
         logbook = Logbook(log, rig.planner.engine)
-        logbook.write_clock_step(0.2)  # kept in step, not stepped
+        logbook.write_clock_step(0.2)  # adjusted gradually, not stepped
         for seconds in (3600.0, 3600.1, 0.0):
             logbook.write_clock_step(seconds)
         assert written == [
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,8 +1,8 @@
-"""Several whole planners on one set of machines, in orders that are drawn: the rules judged from the streams.
+"""Several planners on one set of machines in random event orders; the rules are checked from the records.
 
-The day and its troubles stay the same; what varies is how long each read on each connection takes and the
-order of what comes at one moment. So planners' offers, machines' answers, ends and losses cross each other in
-other ways each time.
+The day and its faults are the same in each run. What varies is the duration of each read on each connection
+and the order of simultaneous events, so that offers, answers, ends and connection losses interleave
+differently.
 """
 
 from pathlib import Path
@@ -16,7 +16,7 @@
 from hazelhold.service.net import MemoryNet
 from tests.test_day import bad_day
 
-TROUBLES = [
+FAULTS = [
     Trouble("answer_lost", 0.5, 6, 0.5, 0.3),
     Trouble("planner_kill", 2, 0.7, which=0),
     Trouble("crash", 2.5, 1.5, 0.2),
@@ -29,7 +29,7 @@
 
 
 class SlowStream(trio.abc.Stream):
-    """A stream whose reads take a drawn while; now and then a long one, while the next connection goes on."""
+    """A stream whose reads take a random time, occasionally a long one, while other connections continue."""
 
     def __init__(self, inner: trio.abc.Stream, random: Random) -> None:
         self.inner, self.random = inner, random
@@ -52,7 +52,7 @@
 
 
 class SlowNet(MemoryNet):
-    """Connections whose both ends read late, each by a seed of its own."""
+    """A network whose dialled streams read late, each with a seed of its own."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -64,35 +64,35 @@
 
 
 @pytest.mark.parametrize("first", [1, 5, 9, 13])
-def test_the_rules_hold_in_whatever_order_planners_and_machines_hear(tmp_path: Path, first: int) -> None:
+def test_the_rules_hold_in_any_order_of_received_messages(tmp_path: Path, first: int) -> None:
     counts: set[tuple] = set()
     for seed in range(first, first + 4):
-        day = bad_day(length_s=8.0, planners=4, zones=2, troubles=TROUBLES)
-        said = play_virtual(day, 1, tmp_path / str(seed), net=SlowNet(seed), interleaving=seed)
-        assert said["rules_broken"] == [] and said["unaccounted"] == [], seed
-        assert said["counts"]["placed"] > 60
-        counts.add(tuple(sorted(said["counts"].items())))
+        day = bad_day(length_s=8.0, planners=4, zones=2, troubles=FAULTS)
+        report = play_virtual(day, 1, tmp_path / str(seed), net=SlowNet(seed), interleaving=seed)
+        assert report["rules_broken"] == [] and report["unaccounted"] == [], seed
+        assert report["counts"]["placed"] > 60
+        counts.add(tuple(sorted(report["counts"].items())))
     assert len(counts) > 1, "the orders differ"
 
 
-def test_the_same_order_is_played_twice(tmp_path: Path) -> None:
+def test_the_same_seed_gives_the_same_order(tmp_path: Path) -> None:
     reports = []
     for name in "ab":
-        day = bad_day(length_s=4.0, planners=3, troubles=TROUBLES[:3])
+        day = bad_day(length_s=4.0, planners=3, troubles=FAULTS[:3])
         reports.append(play_virtual(day, 1, tmp_path / name, net=SlowNet(3), interleaving=3))
         del reports[-1]["seconds"]
     assert reports[0] == reports[1]
 
 
-def test_a_planner_that_sends_again_at_once_is_caught_in_some_order(
+def test_a_planner_that_offers_a_guest_again_at_once_is_detected_in_some_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     from hazelhold.brain import Brain
 
     monkeypatch.setattr(Brain, "_allowed", lambda self, guest, machine, now: True)
-    found: set[int] = set()
+    broken_rules: set[int] = set()
     for seed in range(3):
-        day = bad_day(length_s=8.0, planners=4, zones=2, troubles=TROUBLES)
-        said = play_virtual(day, 1, tmp_path / str(seed), net=SlowNet(seed), interleaving=seed)
-        found |= {b["rule"] for b in said["rules_broken"]}
-    assert found
+        day = bad_day(length_s=8.0, planners=4, zones=2, troubles=FAULTS)
+        report = play_virtual(day, 1, tmp_path / str(seed), net=SlowNet(seed), interleaving=seed)
+        broken_rules |= {b["rule"] for b in report["rules_broken"]}
+    assert broken_rules
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it may hold, and what it does to a run."""
+"""The list of tests that are known to fail: its format, and its effect on a test run."""
 
 import subprocess
 import sys
@@ -25,21 +25,21 @@
         ("tests/a.py::b | p | c | 1\ntests/a.py::b | p | d | 2", "twice"),
     ],
 )
-def test_a_list_that_cannot_be_meant_is_refused(text: str, fault: str) -> None:
+def test_an_invalid_list_is_refused(text: str, fault: str) -> None:
     with pytest.raises(ValueError, match=fault):
         read_known(text)
 
 
-def test_an_empty_list_and_a_sound_one_are_read() -> None:
+def test_an_empty_list_and_a_valid_one_are_read() -> None:
     assert read_known("\n  \n") == {}
     listed = "tests/a.py::b | pytest tests/a.py, seed 7 | it is slow | 33\n"
     assert read_known(listed) == {"tests/a.py::b": "it is slow (33; pytest tests/a.py, seed 7)"}
     many = "".join(f"tests/a.py::b{n} | pytest, no seed | seen | 33\n" for n in range(12))
-    assert len(read_known(many)) == 12  # as many as there are
+    assert len(read_known(many)) == 12  # without a limit on their number
 
 
 def run(folder: Path, listed: str, *more: str) -> tuple[int, str]:
-    """A small project with this list: one test that passes, one that fails."""
+    """Runs pytest in a small project with this list, one test that passes and one that fails."""
     (folder / "tests").mkdir(exist_ok=True)
     (folder / "tests" / "conftest.py").write_text((HERE / "conftest.py").read_text())
     (folder / "tests" / "test_two.py").write_text(
@@ -47,27 +47,35 @@
     )
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\naddopts = -p no:cacheprovider -q\n")
     (folder / "KNOWN-RED.txt").write_text(listed)
-    made = subprocess.run([sys.executable, "-m", "pytest", *more], cwd=folder, capture_output=True, text=True)
-    return made.returncode, made.stdout + made.stderr
+    completed = subprocess.run(
+        [sys.executable, "-m", "pytest", *more], cwd=folder, capture_output=True, text=True
+    )
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 @pytest.mark.parametrize("more", [(), ("-n", "2")])
-def test_a_listed_test_is_passed_over_and_printed_and_must_fail(tmp_path: Path, more: tuple) -> None:
+def test_a_listed_test_is_printed_and_must_fail(tmp_path: Path, more: tuple) -> None:
     assert run(tmp_path, "", *more)[0] == 1
-    code, said = run(tmp_path, "tests/test_two.py::test_red | pytest, seed 1 | one is not two | 33\n", *more)
-    assert code == 0 and "known red: tests/test_two.py::test_red: one is not two (33; pytest, seed 1)" in said
-    assert "1 passed" in said and "1 xfailed" in said
+    code, output = run(
+        tmp_path, "tests/test_two.py::test_red | pytest, seed 1 | one is not two | 33\n", *more
+    )
+    assert (
+        code == 0 and "known red: tests/test_two.py::test_red: one is not two (33; pytest, seed 1)" in output
+    )
+    assert "1 passed" in output and "1 xfailed" in output
     both = "tests/test_two.py::test_red | p | a | 33\ntests/test_two.py::test_well | p | b | 33\n"
-    code, said = run(tmp_path, both, *more)
-    assert code == 1 and "strict" in said.lower()  # it passes, so it must be unlisted
+    code, output = run(tmp_path, both, *more)
+    assert code == 1 and "strict" in output.lower()  # it passes, so it must be unlisted
 
 
 @pytest.mark.parametrize("more", [(), ("-n", "2")])
-def test_a_name_that_no_test_has_and_a_bad_line_fail_the_run(tmp_path: Path, more: tuple) -> None:
-    code, said = run(tmp_path, "tests/test_two.py::test_rad | pytest, seed 1 | one is not two | 33\n", *more)
-    assert code != 0 and "no test is called tests/test_two.py::test_rad" in said
-    code, said = run(tmp_path, "tests/test_two.py::test_red, one is not two\n", *more)
-    assert code != 0 and "KNOWN-RED.txt, line 1: expected" in said
+def test_an_unknown_name_and_an_invalid_line_fail_the_run(tmp_path: Path, more: tuple) -> None:
+    code, output = run(
+        tmp_path, "tests/test_two.py::test_rad | pytest, seed 1 | one is not two | 33\n", *more
+    )
+    assert code != 0 and "no test is called tests/test_two.py::test_rad" in output
+    code, output = run(tmp_path, "tests/test_two.py::test_red, one is not two\n", *more)
+    assert code != 0 and "KNOWN-RED.txt, line 1: expected" in output
     many = "".join(f"tests/test_two.py::t{n} | p | x | 33\n" for n in range(4))
-    code, said = run(tmp_path, many, *more)
-    assert code != 0 and "no test is called tests/test_two.py::t0" in said
+    code, output = run(tmp_path, many, *more)
+    assert code != 0 and "no test is called tests/test_two.py::t0" in output
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,5 +1,5 @@
-"""The planner on connections: bad peers end alone, everybody else goes on. Virtual time, but for a few on
-TCP."""
+"""The planner as a network service: a faulty peer loses its connection, all others continue. In virtual time,
+except for a few tests on TCP."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -20,52 +20,53 @@
 
 
 class Peer:
-    """One end of a connection that says what it likes."""
+    """One end of a connection, on which a test sends arbitrary bytes."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream, self.reader, self.codec = stream, FrameReader(), TO_OWNER
 
-    async def hear(self, count: int = 1) -> list[m.Message]:
-        """The next messages, or fewer if the planner closes."""
-        found: list[m.Message] = []
-        while len(found) < count:
+    async def receive(self, count: int = 1) -> list[m.Message]:
+        """Returns the next `count` messages, or fewer if the planner closes the connection."""
+        messages: list[m.Message] = []
+        while len(messages) < count:
             data = await self.stream.receive_some()
             if not data:
                 break
-            found += [self.codec.decode(body) for body in self.reader.feed(data)]
-        return found
+            messages += [self.codec.decode(body) for body in self.reader.feed(data)]
+        return messages
 
 
 def with_planner(
     test: Callable[[Planner, Net], Awaitable[None]], net: Net | None = None, **limits: object
 ) -> Planner:
     """Runs the test beside a planner, in virtual time unless the net is real."""
-    kept = []
+    planners = []
 
     async def run() -> None:
-        used = net or MemoryNet()
-        door = "127.0.0.1:0" if isinstance(used, TcpNet) else "door"
-        made = msgspec.structs.replace(planner_config(**limits), listen=door)
-        if isinstance(used, TcpNet):  # nobody lists machines there
-            made = msgspec.structs.replace(
-                made, list=msgspec.structs.replace(made.list, address="127.0.0.1:1")
+        network = net or MemoryNet()
+        address = "127.0.0.1:0" if isinstance(network, TcpNet) else "door"
+        config = msgspec.structs.replace(planner_config(**limits), listen=address)
+        if isinstance(network, TcpNet):  # without a list service
+            config = msgspec.structs.replace(
+                config, list=msgspec.structs.replace(config.list, address="127.0.0.1:1")
             )
-        planner = Planner(made, 1, used)
-        kept.append(planner)
+        planner = Planner(config, 1, network)
+        planners.append(planner)
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
                 await nursery.start(planner.run)
-                await test(planner, used)
+                await test(planner, network)
                 planner.stop()
 
     trio.run(run, clock=None if isinstance(net, TcpNet) else MockClock(autojump_threshold=0))
-    return kept[0]
+    return planners[0]
 
 
 async def owner(planner: Planner, net: Net, name: str = "o") -> Peer:
+    """Connects an owner that has received its Welcome."""
     peer = Peer(await net.dial(planner.address))
     await peer.stream.send_all(m.encode(m.Hello(role="owner", name=name)))
-    assert isinstance((await peer.hear())[0], m.Welcome)
+    assert isinstance((await peer.receive())[0], m.Welcome)
     return peer
 
 
@@ -83,20 +84,22 @@
         (HELLO + frame(msgspec.msgpack.encode({"t": "cancel"})), "bad_message"),
     ],
 )
-def test_a_peer_that_breaks_the_protocol_is_told_why_and_ends_alone(data: bytes, code: str) -> None:
+def test_a_peer_that_violates_the_protocol_gets_the_reason_and_only_its_connection_ends(
+    data: bytes, code: str
+) -> None:
     async def test(planner: Planner, net: Net) -> None:
-        innocent = await owner(planner, net, "innocent")
+        bystander = await owner(planner, net, "bystander")
         peer = Peer(await net.dial(planner.address))
         await peer.stream.send_all(data)
-        said = await peer.hear(9)
-        assert isinstance(said[-1], m.Fault) and said[-1].code == code
-        await innocent.stream.send_all(m.encode(m.Query(guest="g")))
-        assert isinstance((await innocent.hear())[0], m.State)
+        received = await peer.receive(9)
+        assert isinstance(received[-1], m.Fault) and received[-1].code == code
+        await bystander.stream.send_all(m.encode(m.Query(guest="g")))
+        assert isinstance((await bystander.receive())[0], m.State)
 
     assert with_planner(test).counts["refused_" + code] == 1
 
 
-def test_what_was_refused_stands_in_the_capture(tmp_path: Path) -> None:
+def test_what_was_refused_is_in_the_capture(tmp_path: Path) -> None:
     from hazelhold.capture.read import read
     from hazelhold.capture.replay import replay
     from hazelhold.capture.skips import Skips
@@ -104,17 +107,17 @@
 
     async def run() -> None:
         net = MemoryNet()
-        made = planner_config()
-        made = msgspec.structs.replace(
-            made, capture=msgspec.structs.replace(made.capture, file=str(tmp_path / "c.pcap"))
+        config = planner_config()
+        config = msgspec.structs.replace(
+            config, capture=msgspec.structs.replace(config.capture, file=str(tmp_path / "c.pcap"))
         )
-        planner = Planner(made, 1, net)
+        planner = Planner(config, 1, net)
         async with trio.open_nursery() as nursery:
             await nursery.start(planner.run)
             for data in (HELLO + frame(msgspec.msgpack.encode({"t": "offer"})), (2 << 30).to_bytes(4)):
                 peer = Peer(await net.dial("door"))
                 await peer.stream.send_all(data)
-                await peer.hear(9)
+                await peer.receive(9)
             planner.stop()
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
@@ -123,38 +126,38 @@
     types = [item.message["t"] for item in items if isinstance(item, Frame)]
     assert "offer" in types and types.count("fault") == 2
     assert skips.reasons() == {"other protocol in the stream": 1}
-    said = replay(items)
-    assert said["planners"][0]["damaged_messages"] == 1 and said["planners"][0]["differing"] == 0
+    result = replay(items)
+    assert result["planners"][0]["damaged_messages"] == 1 and result["planners"][0]["differing"] == 0
 
 
-def test_half_a_frame_and_then_silence_is_ended_by_time_before_the_hello_only() -> None:
+def test_an_incomplete_frame_times_out_only_before_the_hello() -> None:
     async def test(planner: Planner, net: Net) -> None:
         late, slow = Peer(await net.dial(planner.address)), await owner(planner, net, "slow")
         await late.stream.send_all(HELLO[:5])
         query = m.encode(m.Query(guest="g"))
         await slow.stream.send_all(query[:7])
         start = trio.current_time()
-        assert (await late.hear())[0].code == "no_hello" and trio.current_time() - start <= 2.1
+        assert (await late.receive())[0].code == "no_hello" and trio.current_time() - start <= 2.1
         await trio.sleep(30)
         await slow.stream.send_all(query[7:])
-        assert isinstance((await slow.hear())[0], m.State)
+        assert isinstance((await slow.receive())[0], m.State)
 
     with_planner(test)
 
 
-def test_the_newest_connection_of_an_owner_counts() -> None:
+def test_a_newer_connection_of_an_owner_replaces_the_older() -> None:
     async def test(planner: Planner, net: Net) -> None:
         first = await owner(planner, net)
         second = await owner(planner, net)
-        assert [type(said) for said in await first.hear(2)] == [m.Bye]
+        assert [type(message) for message in await first.receive(2)] == [m.Bye]
         await second.stream.send_all(m.encode(m.Query(guest="g")))
-        assert isinstance((await second.hear())[0], m.State)
+        assert isinstance((await second.receive())[0], m.State)
         assert len(planner.owners) == 1
 
     with_planner(test)
 
 
-def test_an_owner_that_comes_back_hears_what_became_of_its_guest() -> None:
+def test_an_owner_that_reconnects_can_query_the_outcome_of_its_guest() -> None:
     async def test(planner: Planner, net: Net) -> None:
         peer = await owner(planner, net)
         await peer.stream.send_all(
@@ -162,24 +165,24 @@
                 m.Submit(guest="g", product="once", service="s", cores=1.0, memory=1.0, patience=1_000_000)
             )
         )
-        assert isinstance((await peer.hear())[0], m.Held)
+        assert isinstance((await peer.receive())[0], m.Held)
         await peer.stream.aclose()
         await trio.sleep(2)
         peer = await owner(planner, net)
         await peer.stream.send_all(m.encode(m.Query(guest="g")))
-        assert (await peer.hear())[0].state == "turned_back"
+        assert (await peer.receive())[0].state == "turned_back"
 
     with_planner(test)
 
 
-def test_a_thousand_connections_at_once_and_one_more_than_allowed() -> None:
+def test_a_thousand_simultaneous_connections_and_one_more_than_allowed() -> None:
     async def test(planner: Planner, net: Net) -> None:
         done = []
 
         async def ask(number: int) -> None:
             peer = await owner(planner, net, f"o{number}")
             await peer.stream.send_all(m.encode(m.Query(guest="g")))
-            done.extend(await peer.hear())
+            done.extend(await peer.receive())
             await trio.sleep(1)
 
         async with trio.open_nursery() as nursery:
@@ -187,28 +190,28 @@
                 nursery.start_soon(ask, number)
             await trio.sleep(0.5)
             peer = Peer(await net.dial(planner.address))
-            assert [said.code for said in await peer.hear()] == ["too_many"]
+            assert [message.code for message in await peer.receive()] == ["too_many"]
         assert len(done) == 1000
 
     with_planner(test, connections=1000, handshake_burst=2000, handshakes_at_once=2000)
 
 
-def test_a_peer_that_reads_nothing_is_cut_off_and_others_are_unharmed() -> None:
+def test_a_peer_that_does_not_read_is_disconnected_and_others_are_unaffected() -> None:
     async def test(planner: Planner, net: Net) -> None:
-        deaf = await owner(planner, net, "deaf")
-        innocent = await owner(planner, net, "innocent")
+        stalled = await owner(planner, net, "stalled")
+        bystander = await owner(planner, net, "bystander")
         query = m.encode(m.Query(guest="g" * 200)) * 200
         with trio.move_on_after(20):
-            while "deaf" in planner.owners:
-                await deaf.stream.send_all(query)
-                await innocent.stream.send_all(m.encode(m.Query(guest="g")))
-                assert isinstance((await innocent.hear())[0], m.State)
-        assert "deaf" not in planner.owners and "innocent" in planner.owners
+            while "stalled" in planner.owners:
+                await stalled.stream.send_all(query)
+                await bystander.stream.send_all(m.encode(m.Query(guest="g")))
+                assert isinstance((await bystander.receive())[0], m.State)
+        assert "stalled" not in planner.owners and "bystander" in planner.owners
 
     with_planner(test, TcpNet(), send_bytes=20_000)
 
 
-def test_a_stop_tells_owners_and_ends_in_time() -> None:
+def test_a_stop_notifies_owners_and_ends_in_time() -> None:
     async def test(planner: Planner, net: Net) -> None:
         peer = await owner(planner, net)
         await peer.stream.send_all(
@@ -216,18 +219,18 @@
                 m.Submit(guest="g", product="once", service="s", cores=1.0, memory=1.0, patience=500_000_000)
             )
         )
-        assert isinstance((await peer.hear())[0], m.Held)
+        assert isinstance((await peer.receive())[0], m.Held)
         start = trio.current_time()
         planner.stop()
-        said = await peer.hear(3)
-        assert [type(s) for s in said] == [m.TurnedBack, m.Bye] and said[0].reason == "stopping"
+        received = await peer.receive(3)
+        assert [type(s) for s in received] == [m.TurnedBack, m.Bye] and received[0].reason == "stopping"
         assert trio.current_time() - start < 4
 
     with_planner(test)
 
 
 class Machines:
-    """Two scripted machines and a list, for one planner on a memory net."""
+    """Scripted machines and a list service, for one planner on a network in memory."""
 
     def __init__(self, net: Net, names: str = "a") -> None:
         self.net, self.names = net, names
@@ -240,7 +243,7 @@
             async def serve(stream: trio.abc.Stream, name: str = name) -> None:
                 peer = Peer(stream)
                 peer.codec = m.Codec(m.TO_MACHINE)
-                await peer.hear()
+                await peer.receive()
                 await stream.send_all(m.encode(m.Welcome(name=name, incarnation=1)))
                 self.peers[name].append(peer)
                 await trio.sleep_forever()
@@ -250,7 +253,7 @@
     async def _list(self, stream: trio.abc.Stream) -> None:
         peer = Peer(stream)
         peer.codec = m.Codec(m.TO_LIST)
-        await peer.hear()
+        await peer.receive()
         entries = [
             m.Entry(
                 machine=n,
@@ -268,7 +271,7 @@
         await trio.sleep_forever()
 
 
-def test_a_link_that_breaks_is_made_anew_within_its_bound_and_asked() -> None:
+def test_a_broken_link_is_reopened_in_time_and_the_inventory_is_requested_again() -> None:
     async def test(planner: Planner, net: Net) -> None:
         async with trio.open_nursery() as nursery:
             machines = Machines(net)
@@ -276,7 +279,7 @@
             await trio.sleep(1)
             peer = await owner(planner, net)
             first = machines.peers["a"][0]
-            assert isinstance((await first.hear())[0], m.Roll)
+            assert isinstance((await first.receive())[0], m.Roll)
             await first.stream.send_all(m.encode(m.Running(guests=[])))
             await peer.stream.send_all(
                 m.encode(
@@ -285,23 +288,23 @@
                     )
                 )
             )
-            offer = (await first.hear())[0]
+            offer = (await first.receive())[0]
             assert isinstance(offer, m.Offer)
-            broke = trio.current_time()
+            broken_at = trio.current_time()
             await first.stream.aclose()
             while len(machines.peers["a"]) < 2:
                 await trio.sleep(0.01)
-            assert trio.current_time() - broke < 0.1
+            assert trio.current_time() - broken_at < 0.1
             second = machines.peers["a"][1]
-            assert isinstance((await second.hear())[0], m.Roll)
+            assert isinstance((await second.receive())[0], m.Roll)
             await second.stream.send_all(m.encode(m.Running(guests=[])))
-            assert (await second.hear())[0] == msgspec.structs.replace(offer, attempt=1)
+            assert (await second.receive())[0] == msgspec.structs.replace(offer, attempt=1)
             nursery.cancel_scope.cancel()
 
     with_planner(test)
 
 
-def test_a_machine_that_talks_nonsense_is_left_and_the_planner_goes_on() -> None:
+def test_a_machine_that_violates_the_protocol_is_disconnected_and_the_planner_goes_on() -> None:
     async def test(planner: Planner, net: Net) -> None:
         async with trio.open_nursery() as nursery:
             machines = Machines(net, "ab")
@@ -352,7 +355,7 @@
     async def talk() -> m.Message:
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(HELLO + m.encode(m.Query(guest="g")))
-        return (await Peer(stream).hear(2))[1]
+        return (await Peer(stream).receive(2))[1]
 
     assert trio.run(talk).state == "unsettled"
     process.send_signal(signal.SIGTERM)
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -1,4 +1,4 @@
-"""Kept state under a running planner: failing disks, crashes at numbered points, hand-overs."""
+"""Stored state under a running planner: failing disks, crashes at numbered points, handovers."""
 
 import errno
 from collections.abc import Callable
@@ -24,49 +24,51 @@
 from tests.helpers import planner_config
 from tests.state_rig import S, disk
 
-# A disk that fails under a running planner.
+# A disk that fails while a planner uses it.
 
 
-def beside(test: Callable, on: FaultyDisk) -> None:
+def run_with_planner(test: Callable, on: FaultyDisk) -> None:
+    """Runs the test beside a planner on this disk, with an owner that can submit guests, in virtual time."""
+
     async def run() -> None:
         net = MemoryNet()
         made = replace(planner_config(), state=replace(planner_config().state, retry_ms=500.0))
         planner = Planner(made, 1, net, disk=on)
-        said: list[m.Message] = []
+        received: list[m.Message] = []
         with trio.fail_after(300):
             async with trio.open_nursery() as nursery:
                 await nursery.start(planner.run)
-                wire = MessageConnection(await net.dial("door"), m.Codec(m.TO_OWNER), net.now)
-                nursery.start_soon(wire.write)
-                wire.send(m.Hello(role="owner", name="o"))
-                await wire.first(m.Welcome, 5)
+                connection = MessageConnection(await net.dial("door"), m.Codec(m.TO_OWNER), net.now)
+                nursery.start_soon(connection.write)
+                connection.send(m.Hello(role="owner", name="o"))
+                await connection.first(m.Welcome, 5)
 
                 async def listen() -> None:
-                    async for message in wire.messages():
-                        said.append(message)
+                    async for message in connection.messages():
+                        received.append(message)
 
                 nursery.start_soon(listen)
 
                 async def ask(guest: str, product: str) -> str:
-                    wire.send(
+                    connection.send(
                         m.Submit(
                             guest=guest, product=product, service="s", cores=1.0, memory=1.0, patience=2 * S
                         )
                     )
                     await trio.sleep(0.1)
-                    return said[-1].__struct_config__.tag + ":" + getattr(said[-1], "code", "")
+                    return received[-1].__struct_config__.tag + ":" + getattr(received[-1], "code", "")
 
-                await test(planner, ask, said)
+                await test(planner, ask, received)
                 nursery.cancel_scope.cancel()
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
 @pytest.mark.parametrize(("fault", "code"), [("write", errno.EROFS), ("sync", errno.EIO), ("full", 0)])
-def test_a_failing_disk_refuses_what_must_not_run_twice_and_nothing_else(fault: str, code: int) -> None:
+def test_with_a_failing_disk_only_guests_that_must_not_run_twice_are_refused(fault: str, code: int) -> None:
     on = disk()
 
-    async def test(planner: Planner, ask: Callable, said: list) -> None:
+    async def test(planner: Planner, ask: Callable, received: list) -> None:
         assert await ask("g1", "once") == "held:"
         if fault == "full":
             on.free_bytes = 20
@@ -74,8 +76,8 @@
             on.error_codes[fault] = code
         assert await ask("g2", "plain") == "held:" and not planner.engine.kept_well
         assert await ask("g3", "once") == "rejected:not_kept"
-        await trio.sleep(3)  # g1 gets its answer in time though it cannot be kept
-        assert [a.guest for a in said if isinstance(a, m.TurnedBack)] == ["g1", "g2"]
+        await trio.sleep(3)  # g1 gets its answer in time although it cannot be stored
+        assert [a.guest for a in received if isinstance(a, m.TurnedBack)] == ["g1", "g2"]
         on.error_codes.clear()
         on.free_bytes = None
         await trio.sleep(2)
@@ -83,35 +85,35 @@
         on.crash()
         assert [i.name for i in store.read(on, "p0").state_table.images("guest")] == ["g4/0"]
 
-    beside(test, on)
+    run_with_planner(test, on)
 
 
 def test_a_planner_starts_on_a_disk_that_cannot_be_written() -> None:
     on = disk()
     on.error_codes["write"] = errno.EROFS
 
-    async def test(planner: Planner, ask: Callable, said: list) -> None:
+    async def test(planner: Planner, ask: Callable, received: list) -> None:
         assert await ask("g1", "once") == "rejected:not_kept" and await ask("g2", "plain") == "held:"
 
-    beside(test, on)
+    run_with_planner(test, on)
 
 
-def test_a_hand_over_leaves_held_guests_to_the_next_process() -> None:
+def test_a_handover_leaves_held_guests_to_the_next_process() -> None:
     on = disk()
 
-    async def test(planner: Planner, ask: Callable, said: list) -> None:
+    async def test(planner: Planner, ask: Callable, received: list) -> None:
         await ask("g1", "once")
         planner.hand_over()
         await trio.sleep(0.1)
-        assert isinstance(said[-1], m.Bye) and said[-1].reason == "hand_over"
-        assert not any(isinstance(a, m.TurnedBack | m.BrokenOff) for a in said)
+        assert isinstance(received[-1], m.Bye) and received[-1].reason == "hand_over"
+        assert not any(isinstance(a, m.TurnedBack | m.BrokenOff) for a in received)
         second = Planner(planner_config(), 2, planner.net, disk=on)
         async with trio.open_nursery() as nursery:
             await nursery.start(second.run)
             assert list(second.engine.cases) == ["g1/0"] and second.engine.sure
             nursery.cancel_scope.cancel()
 
-    beside(test, on)
+    run_with_planner(test, on)
 
 
 # Crashes at numbered points of a day.
@@ -120,20 +122,33 @@
 
 DAY = replace(DAY, length_s=4.0, planners=1, demand=replace(DAY.demand, rate=8.0))
 
-# A spread of points; bench.crashes strikes every one.
-STRIKES = [{3}, {8}, {46}, {49}, {77}, {102}, {131}, {200}, {233}, {301}, {60, 61, 140}, {90, 150, 152, 300}]
-
-
-@pytest.mark.parametrize("strike", STRIKES, ids=str)
-def test_a_planner_that_dies_anywhere_owes_nothing_and_starts_nothing_twice(
-    strike: set[int], tmp_path: Path
+# A selection of points; bench.crashes crashes the planner at every one.
+CRASH_POINTS = [
+    {3},
+    {8},
+    {46},
+    {49},
+    {77},
+    {102},
+    {131},
+    {200},
+    {233},
+    {301},
+    {60, 61, 140},
+    {90, 150, 152, 300},
+]
+
+
+@pytest.mark.parametrize("points", CRASH_POINTS, ids=str)
+def test_a_planner_that_crashes_at_any_point_answers_every_guest_and_starts_none_twice(
+    points: set[int], tmp_path: Path
 ) -> None:
-    said = play_crashes(DAY, 1, tmp_path, strike)
-    assert said["struck"] and not said["rules_broken"] and not said["unaccounted"]
-    assert not said["counts"].get("died_with_planner") and said["counts"]["placed"] > 20
+    report = play_crashes(DAY, 1, tmp_path, points)
+    assert report["struck"] and not report["rules_broken"] and not report["unaccounted"]
+    assert not report["counts"].get("died_with_planner") and report["counts"]["placed"] > 20
 
 
-def test_a_captured_life_that_began_with_kept_state_replays_to_the_same_decisions(tmp_path: Path) -> None:
+def test_a_captured_run_that_began_with_stored_state_replays_to_the_same_decisions(tmp_path: Path) -> None:
     from hazelhold.rehearse.run import play
 
     (tmp_path / "kept").mkdir()
@@ -168,7 +183,7 @@
         super().sync(name)
 
 
-def test_a_disk_that_hangs_counts_as_failed_and_is_taken_again_when_it_works(tmp_path: Path) -> None:
+def test_a_disk_that_hangs_counts_as_failed_and_is_used_again_once_it_works(tmp_path: Path) -> None:
     on = SlowDisk(tmp_path)
 
     async def run() -> None:
@@ -195,7 +210,7 @@
                 on.hang = 0.5
                 await take("g2")
                 assert planner.state_writer.failed and not engine.kept_well
-                await take("g3")  # nothing waits for the disk any more
+                await take("g3")  # actions no longer wait for the disk
                 on.hang = 0.0
                 while planner.state_writer.failed:
                     await trio.sleep(0.02)
@@ -214,9 +229,9 @@
     from hazelhold.client import TaskRequest, open_client
     from hazelhold.rehearse.ports import free_ports
 
-    door = f"127.0.0.1:{free_ports(1)[0]}"
+    address = f"127.0.0.1:{free_ports(1)[0]}"
     made = planner_config()
-    made = replace(made, listen=door, list=replace(made.list, address="127.0.0.1:1"))
+    made = replace(made, listen=address, list=replace(made.list, address="127.0.0.1:1"))
     file = tmp_path / "planner.json5"
     made = replace(made, state=replace(made.state, folder=str(tmp_path / "s")))
     file.write_bytes(msgspec.json.encode(made))
@@ -228,10 +243,10 @@
         return process
 
     async def run(first: subprocess.Popen) -> subprocess.Popen:
-        async with open_client("c", {"p0": door}, seed=1) as client:
+        async with open_client("c", {"p0": address}, seed=1) as client:
             async with trio.open_nursery() as nursery:
-                wanted = TaskRequest("g", "once", "s", 1.0, 1.0, 4_900_000, "exclusive")
-                nursery.start_soon(client.place, wanted)
+                request = TaskRequest("g", "once", "s", 1.0, 1.0, 4_900_000, "exclusive")
+                nursery.start_soon(client.place, request)
                 await trio.sleep(0.5)
                 second = await trio.to_thread.run_sync(start, "--take-over")
                 assert first.wait(5) == 0
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -1,4 +1,4 @@
-"""An engine that is brought to where an earlier life left off."""
+"""An engine that is restored from the state of an earlier run."""
 
 import msgspec
 import pytest
@@ -10,8 +10,8 @@
 from tests.state_rig import S
 
 
-class Life:
-    """Desks, one after the other, over one ledger."""
+class PlannerRuns:
+    """Consecutive runs of an engine over one state table."""
 
     def __init__(self) -> None:
         self.state_table = StateTable()
@@ -23,43 +23,43 @@
         harness.run(now)
         return harness
 
-    def dies(self, harness: EngineHarness, now: int) -> None:
+    def crash(self, harness: EngineHarness, now: int) -> None:
         self.state_table.apply(harness.engine.flush(now))
 
 
-def started(**limits: object) -> tuple[Life, EngineHarness]:
-    life = Life()
-    harness = life.harness(0, **limits)
+def started(**limits: object) -> tuple[PlannerRuns, EngineHarness]:
+    runs = PlannerRuns()
+    harness = runs.harness(0, **limits)
     harness.lists(0, [harness.entry(name) for name in "ab"], whole=True)
-    return life, harness
+    return runs, harness
 
 
-def test_a_held_guest_keeps_the_rest_of_its_patience() -> None:
-    life, harness = started()
+def test_a_held_guest_keeps_its_deadline() -> None:
+    runs, harness = started()
     harness.lists(0, [harness.entry(n, "cordoned") for n in "ab"])
     harness.submits(S, "g", "once", patience=4 * S)
-    life.dies(harness, 2 * S)
-    again = life.harness(3 * S)
+    runs.crash(harness, 2 * S)
+    again = runs.harness(3 * S)
     assert again.owner(3 * S, m.Query(guest="g"))[0].state == "held"
     again.run(4900 * MS)
     assert not again.sent(m.TurnedBack)
     again.run(5 * S)
     assert [a.reason for a in again.sent(m.TurnedBack)] == ["no_machine"]
-    life.dies(again, 5 * S)
-    assert life.harness(6 * S).owner(6 * S, m.Query(guest="g"))[0].state == "turned_back"
+    runs.crash(again, 5 * S)
+    assert runs.harness(6 * S).owner(6 * S, m.Query(guest="g"))[0].state == "turned_back"
 
 
 @pytest.mark.parametrize("there", ["", "line", "runs", "ended"])
-def test_an_offer_that_had_left_is_settled_by_its_machines_word(there: str) -> None:
-    life, harness = started()
+def test_a_sent_offer_is_settled_by_what_its_machine_reports(there: str) -> None:
+    runs, harness = started()
     offer, machine = harness.offer(S, "g", "once")
-    life.dies(harness, S)
+    runs.crash(harness, S)
     again = EngineHarness("")
     again.dead = {"a", "b"}
-    again.engine.keep(1500 * MS, 0, life.state_table, True)
+    again.engine.keep(1500 * MS, 0, runs.state_table, True)
     again.run(1500 * MS)
     again.lists(1500 * MS, [again.entry(n) for n in "ab"], whole=True)
-    assert not again.sent(m.Offer)  # it may run: nothing else is tried
+    assert not again.sent(m.Offer)  # it may run: no other offer is sent
     if there:
         again.stands[machine] = [stand(offer, there, "done" if there == "ended" else "")]
     again.dead.clear()
@@ -74,64 +74,62 @@
         assert [o.attempt for o in again.sent(m.Offer, "g")] == [1]  # it never arrived
 
 
-def test_a_guest_that_ran_is_found_and_one_that_ended_meanwhile_is_told() -> None:
-    life, harness = started()
+def test_a_running_guest_is_found_and_the_end_of_another_is_reported() -> None:
+    runs, harness = started()
     first, one = harness.offer(S, "g1", "once")
     harness.says(S, one, of(m.Taken, first))
     second, two = harness.offer(S, "g2", "once")
     harness.says(S, two, of(m.Taken, second))
-    life.dies(harness, S)
+    runs.crash(harness, S)
     again = EngineHarness("")
     again.stands = {one: [stand(first, "runs")]}
     again.stands.setdefault(two, []).append(stand(second, "ended", "done"))
-    again.engine.keep(2 * S, 0, life.state_table, True)
+    again.engine.keep(2 * S, 0, runs.state_table, True)
     again.run(2 * S)
     assert [(e.guest, e.how) for e in again.sent(m.GuestEnded)] == [("g2", "done")]
     assert again.owner(2 * S, m.Query(guest="g1"))[0].state == "running" and not again.sent(m.Offer)
 
 
 @pytest.mark.parametrize(("product", "sent"), [("once", 0), ("plain", 1)])
-def test_if_something_may_be_missing_no_held_guest_is_sent_that_must_not_run_twice(
-    product: str, sent: int
-) -> None:
-    life, harness = started()
+def test_with_incomplete_state_no_held_guest_is_sent_that_must_not_run_twice(product: str, sent: int) -> None:
+    runs, harness = started()
     harness.lists(0, [harness.entry(n, "cordoned") for n in "ab"])
     harness.submits(S, "g", product)
-    life.dies(harness, S)
-    again = life.harness(2 * S, complete=False)
+    runs.crash(harness, S)
+    again = runs.harness(2 * S, complete=False)
     again.lists(2 * S, [again.entry(n) for n in "ab"], whole=True)
     again.run(2100 * MS)
     assert len(again.sent(m.Offer)) == sent and len(again.sent(m.BrokenOff)) == 1 - sent
 
 
-def test_attempts_are_counted_over_lives_and_the_list_must_speak_before_anything_is_sent() -> None:
-    life, harness = started()
+def test_dispatches_are_counted_over_runs_and_nothing_is_sent_before_the_list_arrives() -> None:
+    runs, harness = started()
     offer, machine = harness.offer(S, "g")
     harness.says(S, machine, of(m.Refused, offer, remark="no_cores"))
-    life.dies(harness, S)
-    again = life.harness(2 * S)
+    runs.crash(harness, S)
+    again = runs.harness(2 * S)
     assert again.engine.brain.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
     again.lists(2 * S, [again.entry(n) for n in "ab"], whole=True)
     assert all(o.attempt >= 1 for o in again.sent(m.Offer))
 
 
-def test_a_given_up_dispatch_that_runs_after_all_brings_no_second_answer_in_the_next_life() -> None:
-    life, harness = started()
+def test_an_abandoned_dispatch_that_runs_after_all_causes_no_second_answer_in_the_next_run() -> None:
+    runs, harness = started()
     offer, machine = harness.offer(S, "g", "ticket")
-    life.dies(harness, S)
-    image = life.state_table.image("guest", "g/0")
-    assert image.asks == (0,)  # as it was when the dispatch was given up, before its answer
-    life.state_table.apply(
+    runs.crash(harness, S)
+    image = runs.state_table.image("guest", "g/0")
+    assert image.asks == (0,)  # as when the dispatch was abandoned, before its answer
+    runs.state_table.apply(
         [drop("guest", "g/0"), put("loose", f"g\0{machine}", LooseImage(image, machine, 0, S, False))]
     )
     again = EngineHarness("")
     again.stands = {machine: [stand(offer, "runs")]}
-    again.engine.keep(2 * S, 0, life.state_table, True)
+    again.engine.keep(2 * S, 0, runs.state_table, True)
     again.run(2 * S)
     assert again.owner(2 * S, m.Query(guest="g"))[0].state == "running" and not again.sent(m.Placed)
 
 
-def test_what_was_learned_comes_back_for_machines_in_the_same_life() -> None:
+def test_learned_state_is_restored_for_machines_of_the_same_incarnation() -> None:
     made = brain("ab", at=S)
     for n in range(4):
         made.guest_arrived(S, ask(f"g{n}"))
