--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -308,14 +308,14 @@
         round."""
         zone = value % self.day.zones
         for host in self.hosts.values():
-            host.cut_from = {p for p, z in self.zones.items() if (z == zone) != (host.zone == zone)}
+            host.partitioned_from = {p for p, z in self.zones.items() if (z == zone) != (host.zone == zone)}
 
     def _do_heal(self, name: str, value: int) -> None:
         for host in self.hosts.values():
-            for planner in host.cut_from:
+            for planner in host.partitioned_from:
                 if wire := host.server.connections.pop(planner, None):
                     wire.cut()
-            host.cut_from = set()
+            host.partitioned_from = set()
 
     def _do_rejoin(self, name: str, value: tuple[float, int]) -> None:
         for sender in self.senders:
--- a/hazelhold/service/recovery.py
+++ b/hazelhold/service/recovery.py
@@ -27,24 +27,24 @@
     net, tap = driver.net, driver.tap
     text = f"{planner} {os.getpid()}"
     try:
-        found = state_writer.open(net.wall(), text)
+        contents = state_writer.open(net.wall(), text)
     except InUseError as error:
         if not take_over or not error.pid:
             raise
-        found = await _take_over(state_writer, driver, error.pid, text, log)
+        contents = await _take_over(state_writer, driver, error.pid, text, log)
     now, wall = net.now(), net.wall()
-    complete = found.complete and not found.fresh
-    counts = driver.engine.keep(now, wall - now, found.state_table, complete)
+    complete = contents.complete and not contents.fresh
+    counts = driver.engine.keep(now, wall - now, contents.state_table, complete)
     if tap is not None:
-        images = [[*change] for change in found.state_table.changes()]
+        images = [[*change] for change in contents.state_table.changes()]
         tap.note(now, "keep", epoch=wall - now, complete=complete, changes=ENCODER.encode(images))
     state_writer.begin()
     log.info(
         "recovered",
-        complete=found.complete,
-        fresh=found.fresh,
-        batches=found.batches,
-        generation=found.generation,
+        complete=contents.complete,
+        fresh=contents.fresh,
+        batches=contents.batches,
+        generation=contents.generation,
         **counts,
     )
     driver.carry_out()
--- a/hazelhold/service/shutdown.py
+++ b/hazelhold/service/shutdown.py
@@ -31,7 +31,7 @@
     spread = planner.owner_server.return_window()
     if planner.state_writer is not None:
         with trio.move_on_after(FINAL_WRITE_S):
-            await planner.state_writer.drained()
+            await planner.state_writer.wait_until_idle()
             await planner.state_writer.retry_now()
     for connection in _connections(planner):
         connection.finish(m.Bye(reason="stopping", spread=spread))
@@ -52,7 +52,7 @@
     driver.handed_over = True
     planner.state_writer.take([], [engine.keeping.learned(engine)])
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
-        await planner.state_writer.drained()
+        await planner.state_writer.wait_until_idle()
     spread = planner.owner_server.doorman.window(0, len(planner.owners))
     for connection in _connections(planner):
         connection.finish(m.Bye(reason="hand_over", spread=spread))
--- a/hazelhold/service/state_writer.py
+++ b/hazelhold/service/state_writer.py
@@ -43,14 +43,10 @@
     ) -> None:
         self.store, self.config, self.engine = store, config, engine
         self.now, self.perform, self.deliver = now, perform, deliver
-        self.queue: deque[tuple[list[Action], list[Change]]] = deque()  # emptied by every commit
-        self.held_back: list[
-            tuple[int, Action]
-        ] = []  # answers, each with the time at which it is sent in any case
+        self.queue: deque[tuple[list[Action], list[Change]]] = deque()  # cleared by every commit
+        self.held_back: list[tuple[int, Action]] = []  # answers, each with the time at which it is due
         self.busy = self.failed = False
-        self.changed_since: list[
-            Change
-        ] = []  # since a new generation was prepared; cleared once it is written
+        self.changed_since: list[Change] = []  # since a new generation was prepared
         self.notified = trio.Event()
         self.log = structlog.get_logger().bind(planner=store.planner)
         self.commits = self.failures = 0
@@ -249,7 +245,7 @@
         self.held_back = [] if not self.failed else [p for p in self.held_back if p[0] > wall]
         self._perform_all(due)
 
-    async def drained(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Waits until the queue is empty and no commit is in progress."""
         while self.queue or self.busy:
             await trio.sleep(0.001)
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -204,7 +204,7 @@
                         ),
                     )
                     planner.driver.carry_out()
-                    await planner.state_writer.drained()
+                    await planner.state_writer.wait_until_idle()
 
                 await take("g1")
                 on.hang = 0.5
