--- a/hazelhold/service/net.py
+++ b/hazelhold/service/net.py
@@ -270,9 +270,7 @@
         await trio.lowlevel.checkpoint()
         if address not in self.listeners:
             raise OSError(f"nothing listens at {address}")
-        from trio.testing import (
-            memory_stream_pair,
-        )  # imported here: it loads megabytes that real sockets do not need
+        from trio.testing import memory_stream_pair  # not at the top: it loads megabytes
 
         handler, nursery = self.listeners[address]
         near, far = memory_stream_pair()
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -56,9 +56,7 @@
     ) -> None:
         file = config
         if file.fleetconfig.listen:
-            from hazelhold.fleetconfig.follower_host import (
-                starting_point,
-            )  # imported only when the feature is on
+            from hazelhold.fleetconfig.follower_host import starting_point  # only when it is enabled
 
             revisions = revisions or RealDisk(Path(file.fleetconfig.folder))
             config = starting_point(file, revisions)
@@ -94,7 +92,7 @@
         """Creates the membership component, if the configuration enables it."""
         self.members = None
         if self.config.membership.listen:
-            from hazelhold.membership.host import Members  # imported only when the feature is on
+            from hazelhold.membership.host import Members  # only when it is enabled
 
             self.members = Members(self.config.name, self.config.membership, self.net, self.recorder)
 
--- a/hazelhold/state/store.py
+++ b/hazelhold/state/store.py
@@ -97,9 +97,8 @@
         if not complete:
             notes.append("no snapshot can be read")
     if base and base != snapshots[-1]:
-        complete = set(range(base, snapshots[-1])) <= set(
-            logs
-        )  # the logs in between continue from the older snapshot
+        # The logs in between continue from the older snapshot.
+        complete = set(range(base, snapshots[-1])) <= set(logs)
     needed = [n for n in logs if n >= base]
     if base and base not in logs:
         complete = False
