--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -49,12 +49,12 @@
         self.chief = Notes("rehearsal", "rehearsal", self.crossings)
         for name, host in self.hosts.items():
             host.ticker = Wake(self.clock, host.now, lambda now, h=host: h.machine.next_at(), host._work)
-            door = FarDoor(self, name, host.zone, host.recorder, host._said)
-            door.muted = host.door.muted
-            host.door = door
+            door = FarDoor(self, name, host.zone, host.recorder, host._received)
+            door.muted = host.server.muted
+            host.server = door
         lister = self.list_host
         lister.ticker = Wake(self.clock, self.net.now, lambda now: self.service.next_at(), lister._work)
-        lister.door = FarDoor(self, "list", -1, lister.door.recorder, lister._said, self.service.left)
+        lister.server = FarDoor(self, "list", -1, lister.server.recorder, lister._received, self.service.left)
 
     def recorder(self, by: str, role: str) -> Notes:
         return Notes(by, role, self.crossings)
@@ -74,11 +74,11 @@
         """The whole day; the report of rehearse.run, with events and crossings counted."""
         day, clock = self.day, self.clock
         for name, host in self.hosts.items():
-            host.ticker.stir()
+            host.ticker.notify()
             self._list(name, "ready", at_once=True)
         self._rooms()
         self._keep_rooms_on()
-        self.list_host.ticker.stir()
+        self.list_host.ticker.notify()
         self.service.advance(clock.now)
         self.configs = {
             f"planner-{n}": PlannerConfig(
--- a/hazelhold/platform/peer.py
+++ b/hazelhold/platform/peer.py
@@ -11,9 +11,9 @@
 from hazelhold.platform.codec import BinaryMessage, BinaryReader, LineReader, encode_binary, encode_line
 from hazelhold.platform.translation import to_machine
 from hazelhold.protocol import messages as m
-from hazelhold.service.arrival import EmptySince
+from hazelhold.service.arrival_time import EmptySince
+from hazelhold.service.connection import SendQueue
 from hazelhold.service.net import accept_delay
-from hazelhold.service.wire import SendQueue
 
 READ = 1 << 14
 # Seconds; half of the time for which a dispatch may still start after its owner has closed the connection.
@@ -137,7 +137,7 @@
 
     def was_read(self, size: int) -> None:
         """Records since when the input may have waited. A short read left nothing that had come before it."""
-        self.arrival.came()
+        self.arrival.data_arrived()
         if size < READ and (self.arrival.waited() < READ_SOON or not self.unread()):
             self.arrival.emptied()
 
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -24,7 +24,7 @@
 from hazelhold.platform.machine_summary import machine_summaries
 from hazelhold.platform.owner_server import OwnerServer
 from hazelhold.protocol import messages as m
-from hazelhold.service.arrival import beat
+from hazelhold.service.arrival_time import poll_heartbeat
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
 
@@ -62,7 +62,7 @@
         )
         self.ticker = Ticker(net.now, self.engine.next_at, self._work, self.limits.batch_ms / 1000)
         self.counts: Counter[str] = Counter()
-        self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.stir)
+        self.links = MachineLinks(net, self.engine, self.counts, self.log, self._progress, self.ticker.notify)
         self.owner_server = OwnerServer(
             net, self.engine, submission_limits, self.counts, self.log, self._progress, self.links.owner_read
         )
@@ -80,7 +80,7 @@
         self.event_log = EventLog(self.log, self.engine)
         self.reloads = 0  # reload signals so far
         self.closing = False  # machines are no longer dialled
-        self.stop_asked, self.ended = trio.Event(), trio.Event()
+        self.stop_requested, self.ended = trio.Event(), trio.Event()
         self.address = ""
 
     def log_frames(self) -> None:
@@ -91,7 +91,7 @@
         """Runs until `stop` has completed; `task_status` gets the address when the planner listens."""
         async with trio.open_nursery() as nursery:
             self.nursery = self.links.nursery = nursery
-            nursery.start_soon(beat)
+            nursery.start_soon(poll_heartbeat)
             for item in self.start.known.items:
                 try:
                     self._apply_listings([self._event(item)])
@@ -121,14 +121,14 @@
                 cores=self.start.bounds.cores,
             )
             task_status.started(self.address)
-            await self.stop_asked.wait()
+            await self.stop_requested.wait()
             await self._stop()
             nursery.cancel_scope.cancel()
         self.ended.set()
 
     def stop(self) -> None:
         """Requests a stop. Everything that arrives before its end is still served."""
-        self.stop_asked.set()
+        self.stop_requested.set()
 
     def reload(self) -> None:
         """Reloads the configuration file. An invalid one changes nothing. Since it may be partly written, it
@@ -218,7 +218,7 @@
     def _progress(self) -> None:
         """Carries out the engine's actions after input, and wakes the ticker so that it decides again."""
         self._carry_out()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _carry_out(self) -> None:
         while self.engine.actions:
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -14,9 +14,9 @@
 from hazelhold.protocol.messages import Entry, RegisterMachines
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.troubles import Target, TroubleStep
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
-from hazelhold.service.wire import Wire
-from hazelhold.standin.lister import ListHost
+from hazelhold.standin.list_service import ListHost
 from hazelhold.standin.machines import MachineHost
 from hazelhold.standin.senders import SenderHost
 
@@ -36,7 +36,9 @@
         self.recorders: list[Recorder] = []
         self._make_machines()
         r = day.roster
-        self.remote: Wire | None = None  # a list service elsewhere, for machines that stand alone
+        self.remote: MessageConnection | None = (
+            None  # a list service elsewhere, for machines that stand alone
+        )
         self.service = ListService(
             seed,
             net.now(),
@@ -216,7 +218,7 @@
         machine = host.machine
         entry = Entry(
             machine=name,
-            address=host.door.address,
+            address=host.server.address,
             mode=mode,
             kind=machine.profile.kind,
             incarnation=machine.incarnation,
@@ -228,7 +230,7 @@
             self.remote.send(RegisterMachines(entries=[entry]))
             return
         self.service.set(self.net.now(), entry, machine.up_at - host.clock_off, at_once)
-        self.list_host.ticker.stir()
+        self.list_host.ticker.notify()
 
     # What troubles do.
 
@@ -250,13 +252,13 @@
 
     def _do_drain(self, name: str, value: object) -> None:
         self.hosts[name].machine.drain(self.hosts[name].now())
-        self.hosts[name].ticker.stir()
+        self.hosts[name].ticker.notify()
         self._list(name, "cordoned")
 
     def _do_notice(self, name: str, value: object) -> None:
         """Listed as draining at once: the machine's keeper tells before it takes it away."""
         self.hosts[name].machine.drain(self.hosts[name].now())
-        self.hosts[name].ticker.stir()
+        self.hosts[name].ticker.notify()
         self._list(name, "cordoned", at_once=True)
 
     def _do_crash(self, name: str, value: object) -> None:
@@ -306,23 +308,23 @@
         round."""
         zone = value % self.day.zones
         for host in self.hosts.values():
-            host.cut_from = {p for p, z in self.zones.items() if (z == zone) != (host.zone == zone)}
+            host.partitioned_from = {p for p, z in self.zones.items() if (z == zone) != (host.zone == zone)}
 
     def _do_heal(self, name: str, value: int) -> None:
         for host in self.hosts.values():
-            for planner in host.cut_from:
-                if wire := host.door.wires.pop(planner, None):
+            for planner in host.partitioned_from:
+                if wire := host.server.connections.pop(planner, None):
                     wire.cut()
-            host.cut_from = set()
+            host.partitioned_from = set()
 
     def _do_rejoin(self, name: str, value: tuple[float, int]) -> None:
         for sender in self.senders:
             sender.model.rejoin(self.net.now(), *value)
-            sender.ticker.stir()
+            sender.ticker.notify()
 
     def _stir(self) -> None:
         for each in [*self.hosts.values(), *self.senders]:
-            each.ticker.stir()
+            each.ticker.notify()
 
     def close(self) -> None:
         for host in self.hosts.values():
--- a/hazelhold/standin/lister.py
+++ b/hazelhold/standin/list_service.py
@@ -1,4 +1,4 @@
-"""The stand-in list service: the model behind a door."""
+"""The stand-in list service: the model behind a server."""
 
 import trio
 
@@ -7,34 +7,35 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.standin.shell import Door
+from hazelhold.standin.server import StandInServer
 
 CODEC = m.Codec(m.TO_LIST)
 
 
 class ListHost:
-    """Serves the list; `set_down` takes it out of reach."""
+    """Serves the list of machines; `set_down` makes it unreachable."""
 
     def __init__(self, net: Net, service: ListService, recorder: Recorder) -> None:
         self.net, self.service = net, service
-        self.known: set[str] = set()  # machines that have enlisted; as many as there are machines
-        self.door = Door(
-            net, "list", "list", CODEC, recorder, lambda: m.Welcome(name="list"), self._said, service.left
+        self.known: set[str] = set()  # machines that have registered; bounded by the number of machines
+        self.server = StandInServer(
+            net, "list", "list", CODEC, recorder, lambda: m.Welcome(name="list"), self._received, service.left
         )
         self.ticker = Ticker(net.now, lambda now: service.next_at(), self._work)
 
     async def run(self, address: str, nursery: trio.Nursery) -> str:
+        """Starts to serve; returns the address with the port in use."""
         nursery.start_soon(self.ticker.run)
-        return await self.door.serve(address, nursery)
+        return await self.server.serve(address, nursery)
 
     def set_down(self, down: bool) -> None:
         self.service.down = down
-        self.door.open = not down
+        self.server.open = not down
         if down:
             self.service.watchers.clear()
-            self.door.shut()
+            self.server.shut()
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
         if isinstance(message, m.Watch):
             self.service.watched(now, planner, message.since)
@@ -44,10 +45,10 @@
             for entry in message.entries:
                 self.service.set(now, entry, now - (entry.up_for or 0), entry.machine not in self.known)
                 self.known.add(entry.machine)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.service.advance(now)
         out, self.service.out = self.service.out, []
         for planner, message in out:
-            self.door.send(planner, message)
+            self.server.send(planner, message)
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -1,4 +1,4 @@
-"""Stand-in machines: each a model behind a door of its own."""
+"""Stand-in machines: each is a model behind a server of its own."""
 
 import trio
 
@@ -7,13 +7,13 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.standin.shell import Door
+from hazelhold.standin.server import StandInServer
 
 CODEC = m.Codec(m.TO_MACHINE)
 
 
 class Fact(m.Message, tag="fact", kw_only=True):
-    """What a stand-in puts into its record beside frames: up, down, fell_over."""
+    """An event that a stand-in writes to its record beside messages: up, down, fell_over, tally."""
 
     what: str
     incarnation: int = 0
@@ -22,17 +22,19 @@
 
 
 class MachineHost:
-    """One machine: takes what its door hears to the model and back."""
+    """One machine: passes messages between its server and its model."""
 
     def __init__(
         self, net: Net, machine: Machine, recorder: Recorder, zone: int = 0, cell: int = 0, clock_off: int = 0
     ) -> None:
         self.net, self.machine, self.zone, self.cell = net, machine, zone, cell
-        self.clock_off = clock_off  # this machine's clock against everybody else's, in microseconds
+        self.clock_off = clock_off  # difference of this machine's clock from the others, in microseconds
         self.recorder = recorder
-        self.door = Door(net, machine.name, "machine", CODEC, recorder, self._welcome, self._said)
-        self.door.muted = lambda planner: self.machine.faults.silent or planner in self.cut_from
-        self.cut_from: set[str] = set()
+        self.server = StandInServer(
+            net, machine.name, "machine", CODEC, recorder, self._welcome, self._received
+        )
+        self.server.muted = lambda planner: self.machine.faults.silent or planner in self.partitioned_from
+        self.partitioned_from: set[str] = set()
         self.ticker = Ticker(self.now, lambda now: machine.next_at(), self._work)
         self.note("up")
 
@@ -41,7 +43,7 @@
 
     async def run(self, address: str, nursery: trio.Nursery) -> str:
         nursery.start_soon(self.ticker.run)
-        return await self.door.serve(address, nursery)
+        return await self.server.serve(address, nursery)
 
     def note(self, what: str, guests: list[tuple[str, int]] | None = None) -> None:
         fact = Fact(
@@ -53,27 +55,27 @@
         self.recorder.note(self.net.now(), "", "fact", fact)
 
     def crash(self, what: str = "down") -> None:
-        """The machine dies with all that it holds."""
+        """Takes the machine down; the guests on it are lost."""
         if not self.machine.up:
             return
         lost = self.machine.went_down()
         self.note(what, [(g.offer.guest, int(g.served)) for g in lost])
-        self.door.open = False
-        self.door.shut()
+        self.server.open = False
+        self.server.shut()
 
     def come_up(self) -> None:
-        """It is back, cold and empty."""
+        """Brings the machine back, cold and empty."""
         if self.machine.fell_over:
-            return  # pushed over, it stays down
+            return  # it went down under overload and stays down
         self.machine.faults.silent = False
         self.machine.came_up(self.now())
-        self.door.open = True
-        self.door.shut()
+        self.server.open = True
+        self.server.shut()
         self.note("up")
-        self.ticker.stir()
+        self.ticker.notify()
 
     def tally(self) -> None:
-        """At the end of a day: what runs here and how well it was served."""
+        """Records, at the end of a day, the guests that run here and how well they were served."""
         self.machine.settle(self.now())
         self.note("tally", [(g.offer.guest, int(g.served)) for g in self.machine.tasks.values() if g.runs])
 
@@ -83,7 +85,7 @@
             name=machine.name, incarnation=machine.incarnation, up_for=max(0, self.now() - machine.up_at)
         )
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now, machine = self.now(), self.machine
         machine.advance(now)
         if isinstance(message, m.Offer):
@@ -97,7 +99,7 @@
         elif isinstance(message, m.InventoryRequest):
             machine.rolled(now, planner)
         self._deliver()
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.machine.advance(now)
@@ -106,9 +108,9 @@
     def _deliver(self) -> None:
         out, self.machine.out = self.machine.out, []
         for planner, message in out:
-            if planner in self.door.wires:
-                self.door.send(planner, message)
-            else:  # nobody listens; what happened, happened
+            if planner in self.server.connections:
+                self.server.send(planner, message)
+            else:  # the planner is not connected; the effect remains
                 self.recorder.note(self.net.now(), planner, "unheard", message)
         if self.machine.fell_over and self.machine.up:
             self.crash("fell_over")
--- a/hazelhold/standin/senders.py
+++ b/hazelhold/standin/senders.py
@@ -1,4 +1,4 @@
-"""Stand-in senders: owners' models, each with a connection to every planner that it keeps renewing."""
+"""Stand-in senders: models of owners, each of which keeps a connection to every planner."""
 
 import trio
 
@@ -6,76 +6,78 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.protocol.record import Recorder
+from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net
 from hazelhold.service.ticker import Ticker
-from hazelhold.service.wire import Wire
 
 CODEC = m.Codec(m.TO_OWNER)
 
 
 class SenderHost:
-    """One sender."""
+    """Runs the model of one owner over connections to planners at `addresses`, by planner name."""
 
     def __init__(self, net: Net, model: OwnerModel, addresses: dict[str, str], recorder: Recorder) -> None:
         self.net, self.model, self.addresses, self.recorder = net, model, addresses, recorder
-        self.wires: dict[str, Wire] = {}
+        self.connections: dict[str, MessageConnection] = {}
         self.ticker = Ticker(net.now, lambda now: model.next_at(), self._work)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.ticker.run)
             for planner in self.addresses:
-                nursery.start_soon(self._keep, planner)
+                nursery.start_soon(self._stay_connected, planner)
 
-    async def _keep(self, planner: str) -> None:
-        """Connects, listens, and connects again after a drawn wait."""
-        wait = 0.05
+    async def _stay_connected(self, planner: str) -> None:
+        """Connects, reads, and reconnects after a random delay."""
+        delay = 0.05
         while True:
             try:
                 stream = await self.net.dial(self.addresses[planner])
-                wire = Wire(stream, CODEC, self.net.now, self.recorder, planner, send_bytes=1 << 24)
+                connection = MessageConnection(
+                    stream, CODEC, self.net.now, self.recorder, planner, send_bytes=1 << 24
+                )
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(wire.write)
-                    with wire.scope:
-                        wait = await self._listen(planner, wire, wait)
-                    wire.finish()
+                    nursery.start_soon(connection.write)
+                    with connection.scope:
+                        delay = await self._receive(planner, connection, delay)
+                    connection.finish()
             except OSError:
                 pass
-            await trio.sleep(wait * self.model.random.uniform(0.5, 1.5))
-            wait = min(1.0, wait * 2)
+            await trio.sleep(delay * self.model.random.uniform(0.5, 1.5))
+            delay = min(1.0, delay * 2)
 
-    async def _listen(self, planner: str, wire: Wire, wait: float) -> float:
+    async def _receive(self, planner: str, connection: MessageConnection, delay: float) -> float:
         try:
-            wire.send(m.Hello(role="owner", name=self.model.name))
-            await wire.first(m.Welcome, 5.0)
-            wait = 0.05
-            self.wires[planner] = wire
-            wire.note("open", None)
+            connection.send(m.Hello(role="owner", name=self.model.name))
+            await connection.first(m.Welcome, 5.0)
+            delay = 0.05
+            self.connections[planner] = connection
+            connection.note("open", None)
             self.model.connected(self.net.now(), planner)
-            self.ticker.stir()
-            for message in wire.rest():
-                self._said(planner, message)
-            async for message in wire.messages():
-                self._said(planner, message)
+            self.ticker.notify()
+            for message in connection.rest():
+                self._received(planner, message)
+            async for message in connection.messages():
+                self._received(planner, message)
         except FrameError:
             pass
         finally:
-            if self.wires.get(planner) is wire:
-                del self.wires[planner]
-                wire.note("shut", None)
+            if self.connections.get(planner) is connection:
+                del self.connections[planner]
+                connection.note("shut", None)
                 self.model.disconnected(self.net.now(), planner)
-                self.ticker.stir()
-        return wait
+                self.ticker.notify()
+        return delay
 
-    def _said(self, planner: str, message: m.Message) -> None:
+    def _received(self, planner: str, message: m.Message) -> None:
         now = self.net.now()
         self.model.advance(now)
         self.model.said(now, planner, message)
-        self.ticker.stir()
+        self.ticker.notify()
 
     def _work(self, now: int) -> None:
         self.model.advance(now)
         out, self.model.out = self.model.out, []
         for planner, message in out:
-            if wire := self.wires.get(planner):
-                wire.send(message)
+            if connection := self.connections.get(planner):
+                connection.send(message)
