--- a/hazelhold/membership/base.py
+++ b/hazelhold/membership/base.py
@@ -13,7 +13,7 @@
 from hazelhold.membership.probe import Probe
 from hazelhold.membership.rows import ALIVE, Row
 from hazelhold.membership.table import Table
-from hazelhold.membership.terms import News, Post, Reply, Terms
+from hazelhold.membership.settings import News, Post, Reply, Terms
 
 
 class MembershipBase:
--- a/hazelhold/membership/core.py
+++ b/hazelhold/membership/core.py
@@ -20,7 +20,7 @@
 
 from hazelhold.membership import messages
 from hazelhold.membership.rows import LEFT
-from hazelhold.membership.terms import News, Post, Reply, Terms
+from hazelhold.membership.settings import News, Post, Reply, Terms
 from hazelhold.membership.views import Views
 
 __all__ = ["RECENT", "Core", "News", "Post", "Reply", "Terms"]
--- a/hazelhold/membership/exchange.py
+++ b/hazelhold/membership/exchange.py
@@ -6,7 +6,7 @@
 
 from hazelhold.membership import messages
 from hazelhold.membership.merging import Merging
-from hazelhold.membership.terms import News
+from hazelhold.membership.settings import News
 
 
 class Exchange(Merging):
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -97,7 +97,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._listen)
                 if config.metrics:
-                    from hazelhold.membership.figures import Figures
+                    from hazelhold.membership.metrics import Figures
 
                     nursery.start_soon(Figures(self.core, config.metrics).run)
                 await self._tend()
--- a/hazelhold/membership/merging.py
+++ b/hazelhold/membership/merging.py
@@ -7,7 +7,7 @@
 from hazelhold.membership.local_health import CONFIRMATIONS, expected_confirmations, suspicion_timeout
 from hazelhold.membership.rows import ALIVE, GONE, LEFT, SEQ_BOUND, STATES, SUSPECTED, Row, key, same_life
 from hazelhold.membership.table import Member
-from hazelhold.membership.terms import News
+from hazelhold.membership.settings import News
 
 
 class Merging(MembershipBase):
--- a/hazelhold/membership/probing.py
+++ b/hazelhold/membership/probing.py
@@ -6,7 +6,7 @@
 from hazelhold.membership.exchange import Exchange
 from hazelhold.membership.probe import Probe
 from hazelhold.membership.rows import ALIVE, SUSPECTED, Row
-from hazelhold.membership.terms import News
+from hazelhold.membership.settings import News
 
 ALONE_AFTER = 3  # probes in a row without any answer or witness: one or two fail by chance
 
--- a/hazelhold/membership/views.py
+++ b/hazelhold/membership/views.py
@@ -5,7 +5,7 @@
 from hazelhold.membership import messages
 from hazelhold.membership.probing import ALONE_AFTER, Probing
 from hazelhold.membership.rows import ALIVE, SUSPECTED
-from hazelhold.membership.terms import Reply
+from hazelhold.membership.settings import Reply
 
 
 class Views(Probing):
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -226,7 +226,7 @@
     from prometheus_client import generate_latest
 
     from hazelhold.membership.core import Core, Terms
-    from hazelhold.membership.figures import Figures
+    from hazelhold.membership.metrics import Figures
 
     core = Core(Row("p0", 5, 9, 0, ALIVE, "a"), [], Terms("d"), 1, 0)
     core.start(0)
