--- a/bench/capacity/hollow/members.py
+++ b/bench/capacity/hollow/members.py
@@ -17,7 +17,7 @@
 from bench.capacity.hollow.messages import Command, Counts, Stop
 from bench.capacity.hollow.tally import Flow, PeerFlows
 from hazelhold.config.planner import MembershipConfig
-from hazelhold.membership.host import Members
+from hazelhold.membership.host import MembershipHost
 from hazelhold.membership.rows import ALIVE
 from hazelhold.service.net import Port, TcpNet, UdpPort
 
@@ -76,7 +76,7 @@
 async def serve(settings: Settings) -> None:
     net = CountingNet(settings.watched_address)
     made = [
-        Members(
+        MembershipHost(
             name,
             MembershipConfig(
                 listen=address,
@@ -95,13 +95,13 @@
         nursery.cancel_scope.cancel()
 
 
-def counts(net: CountingNet, made: list[Members], watched: str) -> Counts:
+def counts(net: CountingNet, made: list[MembershipHost], watched: str) -> Counts:
     """`ready`: how many members here hold the watched one alive."""
     knowing = sum(each.core is not None and each.core.state_of(watched) == ALIVE for each in made)
     return Counts(flows={watched: net.flows}, ready={watched: knowing})
 
 
-async def obey(net: CountingNet, made: list[Members], watched: str) -> None:
+async def obey(net: CountingNet, made: list[MembershipHost], watched: str) -> None:
     """Answers commands until one stops it or their pipe ends."""
     say(counts(net, made, watched))
     decoder = msgspec.json.Decoder(Command)
--- a/bench/capacity/rows_members.py
+++ b/bench/capacity/rows_members.py
@@ -12,7 +12,7 @@
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import RefusedError, measurement
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import News, Terms
+from hazelhold.membership.core import MembershipChange, MembershipSettings
 from hazelhold.membership.rows import ALIVE
 
 INPUTS = ("bench/capacity/hollow",)
@@ -28,7 +28,7 @@
 
 def world(count: int) -> Parley:
     """Members that know each other."""
-    made = Parley(1, Terms("bench"))
+    made = Parley(1, MembershipSettings("bench"))
     made.keep_news = False
     for number in range(count):
         made.start(f"m{number}", ["at-m0", "at-m1", "at-m2"], zone=f"z{number % ZONES}")
@@ -150,7 +150,7 @@
     made.sent.clear()
     knowing: set[str] = set()
 
-    def note(by: str, news: News) -> None:
+    def note(by: str, news: MembershipChange) -> None:
         if news.what == "gone" and news.name == "m1":
             knowing.add(by)
 
--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -15,7 +15,7 @@
 
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership import messages
-from hazelhold.membership.core import Post, Terms
+from hazelhold.membership.core import MembershipSettings, SendDatagram
 from hazelhold.membership.rows import ALIVE, Row, told
 
 MOST = 64
@@ -66,7 +66,7 @@
 
 def fuzz(seed: int, datagrams: int) -> Counter[str]:
     random = Random(f"fuzz/{seed}")
-    made = Parley(seed, Terms("fuzz", most_members=MOST, forget=20_000_000))
+    made = Parley(seed, MembershipSettings("fuzz", most_members=MOST, forget=20_000_000))
     made.keep_news = False
     names = [f"m{n}" for n in range(5)]
     for name in names:
@@ -74,7 +74,7 @@
     kept: list[bytes] = []
     post = made._post
 
-    def listen(process: object, action: Post) -> None:
+    def listen(process: object, action: SendDatagram) -> None:
         if len(kept) < 500 or random.random() < 0.01:
             kept.append(action.body)
             del kept[:-500]
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -19,10 +19,10 @@
 
 from hazelhold.emulate.heartbeats import Heartbeats
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import Core, News, Terms
+from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings
 from hazelhold.membership.rows import GONE
 
-TERMS = Terms("bench")
+TERMS = MembershipSettings("bench")
 SEEDS = ["at-m0", "at-m1", "at-m2"]
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 
@@ -42,7 +42,7 @@
         pass
 
 
-class Swim(Core):
+class Swim(MembershipCore):
     """SWIM with suspicion alone: no doubt, no witness, no sense of absence; others' word is taken at once."""
 
     def __init__(self, *given: Any) -> None:  # noqa: ANN401
@@ -60,7 +60,7 @@
         self._take(row, teller)
 
 
-KINDS: dict[str, Callable[..., Any]] = {"hazelhold": Core, "swim": Swim, "heartbeats": Heartbeats}
+KINDS: dict[str, Callable[..., Any]] = {"hazelhold": MembershipCore, "swim": Swim, "heartbeats": Heartbeats}
 
 
 def world(kind: str, count: int, seed: int, settle: float = 20.0) -> Parley:
@@ -82,7 +82,7 @@
     sent, size = sum(made.sent.values()) - made.sent["bytes"], made.sent["bytes"]
     began, found = made.now, {}
 
-    def note(by: str, news: News) -> None:
+    def note(by: str, news: MembershipChange) -> None:
         if news.what == "gone" and news.name == "m1":
             found.setdefault(by, (made.now - began) / 1e6)
 
@@ -107,7 +107,7 @@
     end = made.now / 1e6 + span * 3600
     wrongly = [0]
 
-    def note(by: str, news: News) -> None:
+    def note(by: str, news: MembershipChange) -> None:
         if news.what == "gone" and (about := made.processes.get(news.name)) is not None:
             ran = about.up and not about.paused and made.now - about.resumed > 1_000_000
             wrongly[0] += ran and not (deaf and news.name == "m1")
--- a/bench/membership_sockets.py
+++ b/bench/membership_sockets.py
@@ -21,7 +21,7 @@
 
 from bench import throughput
 from hazelhold.config.planner import ListConfig, MembershipConfig, PlannerConfig
-from hazelhold.membership.host import Members
+from hazelhold.membership.host import MembershipHost
 from hazelhold.rehearse.ports import free_ports
 from hazelhold.rehearse.runners import config_text
 from hazelhold.service.net import TcpNet
@@ -82,7 +82,7 @@
         net = TcpNet()
         async with trio.open_nursery() as nursery:
             for number, at in enumerate(ports[1:], 1):
-                nursery.start_soon(Members(f"p{number}", member(at, ports), net).run)
+                nursery.start_soon(MembershipHost(f"p{number}", member(at, ports), net).run)
 
     trio.run(run)
 
--- a/hazelhold/emulate/heartbeats.py
+++ b/hazelhold/emulate/heartbeats.py
@@ -11,19 +11,19 @@
 import msgspec
 
 from hazelhold.membership import messages
-from hazelhold.membership.core import News, Post, Terms
+from hazelhold.membership.core import MembershipChange, MembershipSettings, SendDatagram
 from hazelhold.membership.rows import ALIVE, GONE, LEFT, Row
 
 
 class Heartbeats:
     """One member that only listens for others."""
 
-    def __init__(self, me: Row, seeds: list[str], terms: Terms, seed: int, now: int) -> None:
+    def __init__(self, me: Row, seeds: list[str], terms: MembershipSettings, seed: int, now: int) -> None:
         self.me, self.seeds, self.terms, self.now = me, seeds, terms, now
         self.random = Random(f"heartbeats/{seed}")
         self.rows: dict[str, Row] = {me.name: me}
         self.heard: dict[str, int] = {}
-        self.actions: list[Post | News] = []
+        self.actions: list[SendDatagram | MembershipChange] = []
         self.due = now
         self.left = self.yielded = self.leaving = False
 
@@ -60,7 +60,7 @@
         raws = [msgspec.Raw(messages.ENCODER.encode(r)) for r in rows]
         body = messages.encode(self.terms.deployment, self.me, messages.Rows(), raws)
         for address in sorted(to | set(self.seeds) - {self.me.address}):
-            self.actions.append(Post(address, "", body))
+            self.actions.append(SendDatagram(address, "", body))
 
     def hear(self, now: int, body: bytes) -> None:
         self.now = now
@@ -77,7 +77,7 @@
             if known is None:  # who is new is told of the others
                 rows = [msgspec.Raw(messages.ENCODER.encode(r)) for r in list(self.rows.values())[:8]]
                 answer = messages.encode(self.terms.deployment, self.me, messages.Rows(), rows)
-                self.actions.append(Post(row.address, row.name, answer))
+                self.actions.append(SendDatagram(row.address, row.name, answer))
             if row.name == datagram.sender or known is None:
                 self.heard[row.name] = now
                 if known is None or known.state != row.state or known.life != row.life:
@@ -86,7 +86,7 @@
     def _set(self, row: Row) -> None:
         self.rows[row.name] = row
         what = {ALIVE: "alive", GONE: "gone", LEFT: "left"}.get(row.state, "suspected")
-        self.actions.append(News(what, row.name, {"life": row.life}))
+        self.actions.append(MembershipChange(what, row.name, {"life": row.life}))
 
     def leave(self, now: int) -> None:
         self.me = msgspec.structs.replace(self.me, state=LEFT)
--- a/hazelhold/emulate/parley.py
+++ b/hazelhold/emulate/parley.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from hazelhold.membership.core import Core, News, Post, Terms
+from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings, SendDatagram
 from hazelhold.membership.rows import ALIVE, GONE, Row
 
 INBOX = 512  # datagrams that wait for a paused process, as a socket's buffer bounds them
@@ -39,7 +39,9 @@
 class Parley:
     """A world of members. `make(row, seeds, terms, seed, now)` builds a core: the real one unless told."""
 
-    def __init__(self, seed: int, terms: Terms, make: Callable[..., Any] = Core) -> None:
+    def __init__(
+        self, seed: int, terms: MembershipSettings, make: Callable[..., Any] = MembershipCore
+    ) -> None:
         self.random, self.terms, self.make = Random(f"parley/{seed}"), terms, make
         self.now = 0
         self.events: list[tuple[int, int, Callable[..., None], tuple]] = []
@@ -51,8 +53,8 @@
         self.delay = (200, 1500)  # microseconds, evenly spread; a wide spread reorders
         self.lossy: dict[tuple[str, str], float] = {}  # a pair's own loss, by direction
         self.cuts: set[tuple[str, str]] = set()  # directions that carry nothing
-        self.news: list[tuple[int, str, News]] = []
-        self.on_news: Callable[[str, News], None] | None = None
+        self.news: list[tuple[int, str, MembershipChange]] = []
+        self.on_news: Callable[[str, MembershipChange], None] | None = None
         self.keep_news = True
         self.sent: Counter[str] = Counter()  # datagrams by sender, and `bytes`
         self.wrongly: list[tuple[int, str, str]] = []  # gone in somebody's view while the process ran
@@ -140,7 +142,7 @@
 
     # The wires.
 
-    def _post(self, process: Process, post: Post) -> None:
+    def _post(self, process: Process, post: SendDatagram) -> None:
         self.sent[process.name] += 1
         self.sent["bytes"] += len(post.body)
         there = self.at.get(post.address)
@@ -171,9 +173,9 @@
     def _carry_out(self, process: Process) -> None:
         actions, process.core.actions = process.core.actions, []
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self._post(process, action)
-            elif isinstance(action, News):
+            elif isinstance(action, MembershipChange):
                 self._note(process, action)
         due = process.core.next_at()
         if due is not None:
@@ -184,7 +186,7 @@
         else:
             process.due = -1
 
-    def _note(self, process: Process, news: News) -> None:
+    def _note(self, process: Process, news: MembershipChange) -> None:
         if self.keep_news:
             self.news.append((self.now, process.name, news))
         if news.what == "gone":
--- a/hazelhold/membership/base.py
+++ b/hazelhold/membership/base.py
@@ -12,19 +12,19 @@
 from hazelhold.membership.local_health import LocalHealth
 from hazelhold.membership.probe import Probe
 from hazelhold.membership.rows import ALIVE, Row
+from hazelhold.membership.settings import MembershipChange, MembershipSettings, Reply, SendDatagram
 from hazelhold.membership.table import Table
-from hazelhold.membership.settings import News, Post, Reply, Terms
 
 
 class MembershipBase:
     """State, timers and sending of one planner's membership; `Core` is the whole."""
 
-    def __init__(self, me: Row, seeds: list[str], terms: Terms, seed: int, now: int) -> None:
+    def __init__(self, me: Row, seeds: list[str], terms: MembershipSettings, seed: int, now: int) -> None:
         self.terms, self.seeds, self.now = terms, seeds, now
         self.random = Random(f"membership/{seed}")
         self.table = Table(me, now, self.random, terms.most_members)
         self.local_health = LocalHealth()
-        self.actions: list[Post | Reply | News] = []
+        self.actions: list[SendDatagram | Reply | MembershipChange] = []
         self.counts: Counter[str] = Counter()
         self.probes: dict[int, Probe] = {}
         self.probing: set[str] = set()  # whom own probes are after
@@ -88,10 +88,10 @@
             room = (
                 messages.MAX_BYTES - 8 - len(messages.encode(self.terms.deployment, self.me, payload, first))
             )
-            rumours, _ = self.table.rumours.take(self.table, room, self.tellings())
-            rows = [*first, *rumours]
+            gossip, _ = self.table.gossip.take(self.table, room, self.tellings())
+            rows = [*first, *gossip]
         self.actions.append(
-            Post(address, name, messages.encode(self.terms.deployment, self.me, payload, rows))
+            SendDatagram(address, name, messages.encode(self.terms.deployment, self.me, payload, rows))
         )
 
     def tellings(self) -> int:
--- a/hazelhold/membership/core.py
+++ b/hazelhold/membership/core.py
@@ -20,7 +20,7 @@
 
 from hazelhold.membership import messages
 from hazelhold.membership.rows import LEFT
-from hazelhold.membership.settings import News, Post, Reply, Terms
+from hazelhold.membership.settings import MembershipChange, MembershipSettings, Reply, SendDatagram
 from hazelhold.membership.views import Views
 
 __all__ = ["RECENT", "Core", "News", "Post", "Reply", "Terms"]
@@ -36,7 +36,7 @@
 }
 
 
-class Core(Views):
+class MembershipCore(Views):
     """One planner's membership. `me` is its first row: alive, seq 0, with the life to begin with."""
 
     def start(self, now: int) -> None:
@@ -77,7 +77,9 @@
         self.timers.sort()
         for name in self.table.live.some(self.random, self.terms.helpers):
             self._sync_with(name)  # they say at once if this life is accused
-        self.actions.append(News("away", self.me.name, {"late_us": late, "doubt": self.local_health.level}))
+        self.actions.append(
+            MembershipChange("away", self.me.name, {"late_us": late, "doubt": self.local_health.level})
+        )
 
     def hear(self, now: int, body: bytes) -> None:
         """Takes a datagram. One that cannot be taken is counted by its cause, and does nothing."""
@@ -140,7 +142,7 @@
             self.probes.clear()
             self.probing.clear()
             self.actions.append(
-                News(
+                MembershipChange(
                     "yielded",
                     self.me.name,
                     {"to_life": datagram.life, "life": self.me.life, "at": datagram.at},
--- a/hazelhold/membership/exchange.py
+++ b/hazelhold/membership/exchange.py
@@ -6,7 +6,7 @@
 
 from hazelhold.membership import messages
 from hazelhold.membership.merging import Merging
-from hazelhold.membership.settings import News
+from hazelhold.membership.settings import MembershipChange
 
 
 class Exchange(Merging):
@@ -26,7 +26,9 @@
         if not self.settled:
             self.settled = True
             self._resync()
-            self.actions.append(News("joined", self.me.name, {"through": through, "life": self.me.life}))
+            self.actions.append(
+                MembershipChange("joined", self.me.name, {"through": through, "life": self.me.life})
+            )
 
     def _sync_due(self) -> None:
         for name in self.table.live.some(self.random, 1):
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -12,7 +12,13 @@
 from hazelhold import __version__
 from hazelhold.config.load import split_address
 from hazelhold.config.planner import MembershipConfig, micros
-from hazelhold.membership.core import Core, News, Post, Reply, Terms
+from hazelhold.membership.core import (
+    MembershipChange,
+    MembershipCore,
+    MembershipSettings,
+    Reply,
+    SendDatagram,
+)
 from hazelhold.membership.messages import VERSION
 from hazelhold.membership.rows import ALIVE, Row
 from hazelhold.protocol.record import Recorder
@@ -28,8 +34,8 @@
     life: int
 
 
-def terms(config: MembershipConfig) -> Terms:
-    return Terms(
+def terms(config: MembershipConfig) -> MembershipSettings:
+    return MembershipSettings(
         deployment=config.deployment,
         probe=micros(config.probe_ms),
         answer=micros(config.answer_ms),
@@ -54,7 +60,7 @@
     return (host, port) if port else None
 
 
-class Members:
+class MembershipHost:
     """One planner's membership: `core` holds the view. `run` ends by being cancelled, or after `leave`."""
 
     def __init__(
@@ -62,7 +68,7 @@
     ) -> None:
         self.name, self.config, self.net, self.recorder = name, config, net, recorder
         self.log = structlog.get_logger().bind(planner=name)
-        self.core: Core | None = None
+        self.core: MembershipCore | None = None
         self.port: Port | None = None
         self.stirred = trio.Event()
         self.beside: Callable[[], dict[str, str]] = dict  # what else `hazelhold members` shows
@@ -82,7 +88,9 @@
                 program=__version__,
                 speaks=[VERSION],
             )
-            self.core = Core(me, list(config.seeds), terms(config), draw.getrandbits(62), self.net.now())
+            self.core = MembershipCore(
+                me, list(config.seeds), terms(config), draw.getrandbits(62), self.net.now()
+            )
             self.core.beside = self.beside
             self.core.start(self.net.now())
             self.log.info(
@@ -97,9 +105,9 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._listen)
                 if config.metrics:
-                    from hazelhold.membership.metrics import Figures
+                    from hazelhold.membership.metrics import MembershipMetrics
 
-                    nursery.start_soon(Figures(self.core, config.metrics).run)
+                    nursery.start_soon(MembershipMetrics(self.core, config.metrics).run)
                 await self._tend()
                 nursery.cancel_scope.cancel()
         finally:
@@ -133,7 +141,7 @@
     def _carry_out(self, source: object) -> None:
         actions, self.core.actions = self.core.actions, []
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 reach = self.config.reach
                 self._send(action.body, reach.get(action.name) or reach.get(action.address) or action.address)
             elif isinstance(action, Reply):
@@ -152,7 +160,7 @@
         if self.recorder is not None:
             self.recorder.note(self.net.now(), name, "member", Note(what, life))
 
-    def _say(self, news: News) -> None:
+    def _say(self, news: MembershipChange) -> None:
         self._note(news.name, news.what, news.cause.get("life", -1))
         if news.what == "yielded":
             self.log.error("member_yielded", member=news.name, **news.cause)
--- a/hazelhold/membership/merging.py
+++ b/hazelhold/membership/merging.py
@@ -6,8 +6,8 @@
 from hazelhold.membership.base import MembershipBase
 from hazelhold.membership.local_health import CONFIRMATIONS, expected_confirmations, suspicion_timeout
 from hazelhold.membership.rows import ALIVE, GONE, LEFT, SEQ_BOUND, STATES, SUSPECTED, Row, key, same_life
+from hazelhold.membership.settings import MembershipChange
 from hazelhold.membership.table import Member
-from hazelhold.membership.settings import News
 
 
 class Merging(MembershipBase):
@@ -82,14 +82,14 @@
             **more,
         }
         self.counts[f"became_{STATES[row.state]}"] += 1
-        self.actions.append(News(STATES[row.state], row.name, cause))
+        self.actions.append(MembershipChange(STATES[row.state], row.name, cause))
 
     def _confirm(self, member: Member, by: str) -> None:
         """One more who accuses: the suspicion waits less, and is told again."""
         if by in member.accusers or len(member.accusers) > CONFIRMATIONS:
             return
         member.accuse(by)
-        self.table.rumours.add(member.row.name)
+        self.table.gossip.add(member.row.name)
         span = suspicion_timeout(
             self.terms.suspect,
             self.terms.suspect_most,
@@ -138,7 +138,7 @@
             self.accused_me += 1
             self.local_health.more()
             self.actions.append(
-                News(
+                MembershipChange(
                     "refuted",
                     mine.name,
                     {
@@ -159,7 +159,9 @@
             self._send(self.table.row(name).address, name, messages.Rows(), [])
 
     def _new_life(self, life: int) -> None:
-        self.actions.append(News("life_raised", self.me.name, {"from": self.me.life, "life": life}))
+        self.actions.append(
+            MembershipChange("life_raised", self.me.name, {"from": self.me.life, "life": life})
+        )
         self._my_row(life=life, seq=0)
 
     def _challenge(self, row: Row) -> None:
--- a/hazelhold/membership/metrics.py
+++ b/hazelhold/membership/metrics.py
@@ -6,14 +6,14 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from hazelhold.config.load import split_address
-from hazelhold.membership.core import Core
+from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import STATES
 
 
-class Figures:
+class MembershipMetrics:
     """Collected when asked for, from the core as it stands."""
 
-    def __init__(self, core: Core, address: str) -> None:
+    def __init__(self, core: MembershipCore, address: str) -> None:
         self.core = core
         self.host, self.port = split_address(address)
         self.registry = CollectorRegistry()
--- a/hazelhold/membership/probing.py
+++ b/hazelhold/membership/probing.py
@@ -6,7 +6,7 @@
 from hazelhold.membership.exchange import Exchange
 from hazelhold.membership.probe import Probe
 from hazelhold.membership.rows import ALIVE, SUSPECTED, Row
-from hazelhold.membership.settings import News
+from hazelhold.membership.settings import MembershipChange
 
 ALONE_AFTER = 3  # probes in a row without any answer or witness: one or two fail by chance
 
@@ -73,7 +73,7 @@
             self.fruitless += 1
             if self.fruitless >= ALONE_AFTER and self.alone_since < 0:
                 self.alone_since = self.now
-                self.actions.append(News("alone", self.me.name, {"unanswered": self.fruitless}))
+                self.actions.append(MembershipChange("alone", self.me.name, {"unanswered": self.fruitless}))
             return
         self._heard_again()
         self.counts["accused"] += 1
@@ -91,7 +91,9 @@
     def _heard_again(self) -> None:
         self.fruitless = 0
         if self.alone_since >= 0:
-            self.actions.append(News("heard_again", self.me.name, {"alone_us": self.now - self.alone_since}))
+            self.actions.append(
+                MembershipChange("heard_again", self.me.name, {"alone_us": self.now - self.alone_since})
+            )
             self.alone_since = -1
 
     def _end_probe(self, probe: Probe) -> None:
--- a/hazelhold/membership/settings.py
+++ b/hazelhold/membership/settings.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Terms(NamedTuple):
+class MembershipSettings(NamedTuple):
     """What a deployment sets. Times in microseconds."""
 
     deployment: str
@@ -25,7 +25,7 @@
     answers_a_second: int = 40  # table comparisons and pages answered, at most
 
 
-class Post(NamedTuple):
+class SendDatagram(NamedTuple):
     """A datagram to send. `name` is empty where only the address is known."""
 
     address: str
@@ -39,7 +39,7 @@
     body: bytes
 
 
-class News(NamedTuple):
+class MembershipChange(NamedTuple):
     """Something that an operator should see. `name` is whom it is about."""
 
     what: str
--- a/hazelhold/membership/table.py
+++ b/hazelhold/membership/table.py
@@ -79,7 +79,7 @@
         return len(self.names)
 
 
-class Rumours:
+class GossipQueue:
     """Names whose rows are still to be told: those told least first, each up to a bound."""
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
         self.digests = [0] * BUCKETS
         self.in_bucket: list[dict[str, None]] = [{} for _ in range(BUCKETS)]
         self.live, self.lost = Pool(), Pool()  # others: alive or suspected; gone
-        self.rumours = Rumours()
+        self.gossip = GossipQueue()
         self.at_address: dict[str, str] = {}  # the last member told at an address; as many as members
         self.order: list[str] = []  # whom to probe, this round
         self.at = 0
@@ -182,7 +182,7 @@
             else:
                 self.live.drop(row.name)
                 (self.lost.add if row.state == GONE else self.lost.drop)(row.name)
-        self.rumours.add(row.name)
+        self.gossip.add(row.name)
         return before
 
     def _bring(self, name: str) -> None:
@@ -206,7 +206,7 @@
         del self.in_bucket[member.bucket][name]
         self.live.drop(name)
         self.lost.drop(name)
-        self.rumours.drop(name)
+        self.gossip.drop(name)
 
     def next_probe(self, busy: set[str]) -> str:
         """Whom to probe next: everyone once a round, in an order drawn anew each round; empty if there is
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -91,9 +91,9 @@
         """Membership, if the planner's file has it on."""
         self.members = None
         if self.config.membership.listen:
-            from hazelhold.membership.host import Members  # not above: off costs nothing
+            from hazelhold.membership.host import MembershipHost  # not above: off costs nothing
 
-            self.members = Members(self.config.name, self.config.membership, self.net, self.recorder)
+            self.members = MembershipHost(self.config.name, self.config.membership, self.net, self.recorder)
 
     def _make_copies(self, votes: Disk | None) -> None:
         """Agreement on claims, if the planner's file has it on."""
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -5,16 +5,16 @@
 import pytest
 
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import Core, News, Terms
+from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings
 
-TERMS = Terms("tests")
+TERMS = MembershipSettings("tests")
 
 SEEDS = ("at-m0", "at-m1", "at-m2")
 
 TWO = [pytest.param(seed, id=f"seed{seed}") for seed in (1, 2)]
 
 
-def world(count: int, seed: int, make: type = Core, settle: float = 8.0) -> Parley:
+def world(count: int, seed: int, make: type = MembershipCore, settle: float = 8.0) -> Parley:
     """Members m0 to m(count-1) that know each other, two zones in turn."""
     made = Parley(seed, TERMS, make)
     for number in range(count):
@@ -26,7 +26,7 @@
     return made
 
 
-def heard(made: Parley, what: str, by: str = "", of: str = "") -> list[tuple[float, str, News]]:
+def heard(made: Parley, what: str, by: str = "", of: str = "") -> list[tuple[float, str, MembershipChange]]:
     return [
         (at / 1e6, who, n)
         for at, who, n in made.news
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,7 +4,7 @@
 
 from hazelhold.emulate.heartbeats import Heartbeats
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import Core
+from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import ALIVE, GONE, LEFT
 from tests.membership_world import SEEDS, TERMS, TWO, heard, names, within, world
 from tests.test_membership_cuts import lone
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("seed", TWO)
 def test_plain_heartbeats_see_the_same_crash_leave_and_restart(seed: int) -> None:
     views = []
-    for make in (Core, Heartbeats):
+    for make in (MembershipCore, Heartbeats):
         made = world(6, seed, make)
         made.crash("m1")
         made.leave("m2")
--- a/tests/test_membership_cuts.py
+++ b/tests/test_membership_cuts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import Core
+from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row
 from tests.membership_world import SEEDS, TERMS, TWO, heard, names, within, world
 
@@ -107,7 +107,7 @@
 # The tests' own proof: cores with one safety argument taken away are caught.
 
 
-class NoWitness(Core):
+class NoWitness(MembershipCore):
     """Accuses without a witness."""
 
     def _failed(self, probe: object) -> None:
@@ -115,21 +115,21 @@
         super()._failed(probe)
 
 
-class NeverAway(Core):
+class NeverAway(MembershipCore):
     """Takes its own absence for the others'."""
 
     def _notice(self, now: int) -> None:
         self.now = max(now, self.now)
 
 
-class AnyGone(Core):
+class AnyGone(MembershipCore):
     """Takes the word of others that one is gone, however fresh the suspicion."""
 
     def _called_gone(self, member: object, row: Row, teller: str) -> None:
         self._take(row, teller)
 
 
-class YieldsAtOnce(Core):
+class YieldsAtOnce(MembershipCore):
     """Takes every younger life of its name for a process that runs."""
 
     def _challenge(self, row: Row) -> None:
@@ -159,7 +159,7 @@
 
 def test_without_a_sense_of_its_own_absence_a_paused_member_calls_others_gone() -> None:
     assert heard(overslept(NeverAway), "gone", by="m0", of="m3")
-    assert not heard(overslept(Core), "gone", by="m0", of="m3")
+    assert not heard(overslept(MembershipCore), "gone", by="m0", of="m3")
 
 
 def test_one_that_yields_to_every_younger_life_yields_to_a_ghost() -> None:
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -182,11 +182,17 @@
 
 
 def test_the_command_reads_a_view_of_many_pages_and_says_when_nobody_answers() -> None:
-    from hazelhold.membership.core import Core, Terms
+    from hazelhold.membership.core import MembershipCore, MembershipSettings
 
     async def run() -> None:
         port = await TcpNet().port("127.0.0.1:0")
-        core = Core(Row("p0", 5, 9, 0, ALIVE, port.address), [], Terms("here", answers_a_second=1000), 1, 0)
+        core = MembershipCore(
+            Row("p0", 5, 9, 0, ALIVE, port.address),
+            [],
+            MembershipSettings("here", answers_a_second=1000),
+            1,
+            0,
+        )
         core.start(0)
         for number in range(100):
             core._merge(Row(f"x{number:03d}", 1, 1, 0, SUSPECTED, "10.0.0.1:7", "p7"), "p7")
@@ -225,13 +231,13 @@
 def test_figures_are_there_if_an_address_is_given() -> None:
     from prometheus_client import generate_latest
 
-    from hazelhold.membership.core import Core, Terms
-    from hazelhold.membership.metrics import Figures
+    from hazelhold.membership.core import MembershipCore, MembershipSettings
+    from hazelhold.membership.metrics import MembershipMetrics
 
-    core = Core(Row("p0", 5, 9, 0, ALIVE, "a"), [], Terms("d"), 1, 0)
+    core = MembershipCore(Row("p0", 5, 9, 0, ALIVE, "a"), [], MembershipSettings("d"), 1, 0)
     core.start(0)
     core.hear(5, b"torn")
     core.hear(6, messages.encode("elsewhere", core.me, messages.Ping(1, "p0"), []))
-    text = generate_latest(Figures(core, "127.0.0.1:1").registry).decode()
+    text = generate_latest(MembershipMetrics(core, "127.0.0.1:1").registry).decode()
     assert 'hazelhold_members{state="alive"} 1.0' in text
     assert 'hazelhold_member_events_total{what="stranger"} 1.0' in text
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -5,13 +5,13 @@
 
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership import messages
-from hazelhold.membership.core import Core, News, Post
+from hazelhold.membership.core import MembershipChange, MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, Row, key, told
 from tests.membership_world import SEEDS, TERMS, names, within, world
 
 
-def alone_core(**terms: object) -> Core:
-    core = Core(Row("me", 5, 9, 0, ALIVE, "at-me"), [], TERMS._replace(**terms), 1, 0)
+def alone_core(**terms: object) -> MembershipCore:
+    core = MembershipCore(Row("me", 5, 9, 0, ALIVE, "at-me"), [], TERMS._replace(**terms), 1, 0)
     core.start(0)
     return core
 
@@ -86,7 +86,7 @@
     kept: list[bytes] = []
     post = made._post
 
-    def listen(process: object, action: Post) -> None:
+    def listen(process: object, action: SendDatagram) -> None:
         if process.name == "m1":
             kept.append(action.body)
         post(process, action)
@@ -109,7 +109,7 @@
     core = alone_core()
     for number in range(200):
         core.hear(2000, datagram(messages.ViewQuery(number + 1), name="-"))
-    assert sum(not isinstance(a, News) for a in core.actions) <= TERMS.answers_a_second + 1
+    assert sum(not isinstance(a, MembershipChange) for a in core.actions) <= TERMS.answers_a_second + 1
     assert core.counts["put_off"] >= 150
 
 
@@ -143,5 +143,5 @@
     core.hear(1000, datagram(messages.ViewQuery(3), name="-"))
     for at in range(2000, 3_000_000, 50_000):
         core.wake(at)
-    sizes = [len(a.body) for a in core.actions if not isinstance(a, News)]
+    sizes = [len(a.body) for a in core.actions if not isinstance(a, MembershipChange)]
     assert len(sizes) > 20 and max(sizes) <= messages.MAX_BYTES and max(sizes) > 1000
--- a/tests/test_membership_rows.py
+++ b/tests/test_membership_rows.py
@@ -66,7 +66,7 @@
         elif data.draw(st.booleans()):
             table.forget(row.name)
         table.next_probe(set())
-        table.rumours.take(table, 200, 3)
+        table.gossip.take(table, 200, 3)
     fresh = Table(Row("me", 1, 1, 0, ALIVE, "me"), 0, Random(1), 100)
     for member in table.members.values():
         if member.row.name != "me":
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 
 from hazelhold.emulate.parley import Parley
-from hazelhold.membership.core import Core, Post
+from hazelhold.membership.core import MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, GONE, Row, key
 from tests.membership_world import SEEDS, TERMS, heard, names, within
 
 # The tests' own proof: cores with one safety argument taken away are caught.
 
 
-class AnyOrder(Core):
+class AnyOrder(MembershipCore):
     """Takes whatever was told last."""
 
     def _merge(self, row: Row, teller: str) -> None:
@@ -58,7 +58,7 @@
         made._carry_out = look
 
 
-def settle_three(make: type = Core) -> Parley:
+def settle_three(make: type = MembershipCore) -> Parley:
     made = Parley(1, TERMS, make)
     Watch(made)
     for name in ("m0", "m1", "m2"):
@@ -120,7 +120,7 @@
     left = list(fates)
     post = made._post
 
-    def send(process: object, action: Post) -> None:
+    def send(process: object, action: SendDatagram) -> None:
         fate = left.pop(0) if left else "comes"
         if fate == "late":
             made._later(made.now + 700_000, post, process, action)
@@ -141,7 +141,7 @@
 def test_every_fate_of_the_next_datagrams(fault: str, depth: int) -> None:
     """4 ** depth runs for each fault: the next datagrams are lost, late, doubled or come; then agreement."""
     for fates in product(FATES, repeat=depth):
-        made = fated(fates, Core, fault)
+        made = fated(fates, MembershipCore, fault)
         made.run(made.now / 1e6 + (7 if fault == "6.0" else 2))
         within(made, 30, made.agree)
         if fault in ("", "1.0"):
