--- a/bench/capacity/rows_claims.py
+++ b/bench/capacity/rows_claims.py
@@ -13,7 +13,7 @@
 from hazelhold.replica.claims import Claim, Take
 from hazelhold.replica.claims import encode as packed
 from hazelhold.replica.proposer import Proposer, Send
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 from hazelhold.replica.votes import Votes, found
 
 CLAIMS = (1000, 2000, 4000, 8000, 16000)
@@ -27,7 +27,9 @@
 
     def __init__(self, planners: int) -> None:
         names = [f"planner-{number}" for number in range(planners)]
-        self.sets = Sets([Keeper(name, f"z{n % 24}") for n, name in enumerate(names)], REPLICAS)
+        self.sets = ReplicaSets(
+            [ReplicaCandidate(name, f"z{n % 24}") for n, name in enumerate(names)], REPLICAS
+        )
         self.voters = {name: Acceptor(1, True, name=name, sets=self.sets) for name in names}
         self.proposer = Proposer("planner-0/1", 1, 1)
         self.messages = self.bytes = 0
@@ -48,11 +50,11 @@
 
         def vote() -> None:
             nonlocal answer
-            answer = self.voters[action.to].hear(action.word)[0]
+            answer = self.voters[action.to].hear(action.message)[0]
 
         self.votes_time += processor_time(vote)
         self.messages += 2
-        self.bytes += len(encode(action.word)) + len(encode(answer))
+        self.bytes += len(encode(action.message)) + len(encode(answer))
         self.proposer.hear(now, action.to, answer)
 
 
@@ -121,7 +123,7 @@
     note="traced by Python's allocator; placed claims, kept copies.keep_s (a day) after their end",
 )
 def cell_memory(size: int) -> Iterator[float]:
-    sets = Sets([Keeper(f"planner-{n}", f"z{n % 24}") for n in range(GROUP)], REPLICAS)
+    sets = ReplicaSets([ReplicaCandidate(f"planner-{n}", f"z{n % 24}") for n in range(GROUP)], REPLICAS)
 
     def make() -> Acceptor:
         made = Acceptor(1, True, name="planner-0", sets=sets)
@@ -161,7 +163,7 @@
             while proposer.actions:
                 actions, proposer.actions = proposer.actions, []
                 for action in (a for a in actions if isinstance(a, Send)):
-                    answer, changes = votes.hear(action.word, 0)
+                    answer, changes = votes.hear(action.message, 0)
                     votes.store.commit(changes)
                     proposer.hear(number, action.to, answer)
         yield votes.store.bytes - before
--- a/bench/capacity/rows_failures.py
+++ b/bench/capacity/rows_failures.py
@@ -11,7 +11,7 @@
 from bench.capacity.registry import RefusedError, measurement
 from bench.capacity.target import RACK_WORKERS, REGIONS, WORKERS, ZONES
 from hazelhold.platform.configuration import PLATFORM
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 
 INPUTS = ("bench/capacity/outage.py", "bench/capacity/parted.py", "bench/capacity/workers.py")
 ROLE = "failures"
@@ -272,9 +272,9 @@
 
 def without_majority(planners: int, lost: int) -> float:
     """Share of claims whose replicas have no majority outside region `lost`."""
-    keepers = [Keeper(f"planner-{number}", f"zone-{number % ZONES}") for number in range(planners)]
+    keepers = [ReplicaCandidate(f"planner-{number}", f"zone-{number % ZONES}") for number in range(planners)]
     region = {f"planner-{number}": number % ZONES // ZONES_A_REGION for number in range(planners)}
-    sets = Sets(keepers, REPLICAS)
+    sets = ReplicaSets(keepers, REPLICAS)
     found = 0
     for number in range(KEYS):
         there = sum(region[name] != lost for name in sets(f"claim/task-{number:08d}"))
--- a/bench/copies.py
+++ b/bench/copies.py
@@ -37,10 +37,10 @@
 from hazelhold.replica.acceptor import Acceptor
 from hazelhold.replica.claims import Claim, Take
 from hazelhold.replica.claims import encode as packed
-from hazelhold.replica.host import Copies
+from hazelhold.replica.host import ReplicaHost
 from hazelhold.replica.proposer import Proposer, Send
-from hazelhold.replica.rejoin import Joiner, Source
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.rejoin import RejoinClient, RejoinServer
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 from hazelhold.replica.votes import found
 from hazelhold.service.net import TcpNet
 from hazelhold.state.disk import RealDisk
@@ -89,7 +89,7 @@
 @asynccontextmanager
 async def group(
     count: int, replicas: int, sync: bool, away: int = 0
-) -> AsyncIterator[tuple[Copies, Asker, list[trio.CancelScope]]]:
+) -> AsyncIterator[tuple[ReplicaHost, Asker, list[trio.CancelScope]]]:
     """So many parts, votes ready; the first is yielded. The last `away` are ended once all are ready."""
     with tempfile.TemporaryDirectory() as text:
         net, kind = TcpNet(), RealDisk if sync else Unsafe
@@ -99,7 +99,7 @@
             for config in configs(count, Path(text), replicas):
                 disk = kind(Path(config.folder))
                 found(disk, name_of(config), config, net.wall())
-                part = Copies(
+                part = ReplicaHost(
                     name_of(config),
                     config,
                     net,
@@ -112,7 +112,7 @@
                 scopes.append(scope)
 
                 async def run(
-                    part: Copies = part,
+                    part: ReplicaHost = part,
                     scope: trio.CancelScope = scope,
                     task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
                 ) -> None:
@@ -120,7 +120,7 @@
                         await part.run(task_status=task_status)
 
                 await nursery.start(run)
-            while not all(len(p.votes.acceptor.voting) == len(p.votes.joiner.others) for p in made):
+            while not all(len(p.votes.acceptor.voting) == len(p.votes.rejoin_client.others) for p in made):
                 await trio.sleep(0.05)
             for scope in scopes[count - away :]:
                 scope.cancel()
@@ -201,7 +201,7 @@
         async with trio.open_nursery() as nursery:
             for file in sorted(folder.glob("other*.json")):
                 config = msgspec.json.decode(file.read_bytes(), type=CopiesConfig)
-                part = Copies(
+                part = ReplicaHost(
                     name_of(config), config, TcpNet(), RealDisk(Path(config.folder)), lambda *_: None
                 )
                 part.open()
@@ -265,8 +265,8 @@
 def catch_up(count: int, behind: float) -> dict[str, Any]:
     """Copies from two others, without a network: seconds of all three, bytes of words against bytes of cells
     that differ."""
-    planners = [Keeper(n) for n in ("a", "b", "c")]
-    sets = Sets(planners, 3)
+    planners = [ReplicaCandidate(n) for n in ("a", "b", "c")]
+    sets = ReplicaSets(planners, 3)
     full = {n: Acceptor(1, set(range(sets.size)), name=n, sets=sets) for n in "bc"}
     mine = Acceptor(1, set(), name="a", sets=sets)
     differ = 0
@@ -278,22 +278,22 @@
             acceptor.set(key, acceptor.empty._replace(promised=ballot, accepted=ballot, value=value))
         if number < behind * count:
             differ += len(msgspec.msgpack.encode(messages.CellCopy(key, ballot, ballot, value)))
-    sources = {n: Source(n, sets, a) for n, a in full.items()}
+    sources = {n: RejoinServer(n, sets, a) for n, a in full.items()}
     for source in sources.values():
         source.gives = True
-    joiner, spent, longest = Joiner("a", sets, mine, 7), 0, 0.0
+    rejoin_client, spent, longest = RejoinClient("a", sets, mine, 7), 0, 0.0
     began = time.perf_counter()
     for _ in range(5):
-        joiner.tick()
-        while joiner.out:
-            out, joiner.out = joiner.out, []
+        rejoin_client.tick()
+        while rejoin_client.out:
+            out, rejoin_client.out = rejoin_client.out, []
             for each in out:
                 start = time.perf_counter()
-                answer = sources[each.to].hear("a", each.word)
-                spent += len(encode(each.word)) + len(encode(answer))
+                answer = sources[each.to].hear("a", each.message)
+                spent += len(encode(each.message)) + len(encode(answer))
                 longest = max(longest, time.perf_counter() - start)
-                joiner.hear(each.to, answer)
-    assert joiner.over() and len(mine.cells) == count
+                rejoin_client.hear(each.to, answer)
+    assert rejoin_client.over() and len(mine.cells) == count
     return {
         "cells": count,
         "behind": behind,
@@ -307,9 +307,9 @@
 
 def size(count: int) -> dict[str, Any]:
     """Words of one claim, and seconds until all sets are drawn and sorted for one that comes back."""
-    sets = Sets([Keeper(f"p{n}", f"z{n % 5}") for n in range(count)], 3)
+    sets = ReplicaSets([ReplicaCandidate(f"p{n}", f"z{n % 5}") for n in range(count)], 3)
     began = time.perf_counter()
-    joiner = Joiner("p0", sets, Acceptor(1, set(), name="p0", sets=sets), 1)
+    rejoin_client = RejoinClient("p0", sets, Acceptor(1, set(), name="p0", sets=sets), 1)
     drawn = time.perf_counter() - began
     proposer, sent = Proposer("p0/1", 1, 1), 0
     acceptors = {f"p{n}": Acceptor(1, True) for n in range(count)}
@@ -318,12 +318,12 @@
         actions, proposer.actions = proposer.actions, []
         for action in (a for a in actions if isinstance(a, Send)):
             sent += 2
-            proposer.hear(1, action.to, acceptors[action.to].hear(action.word)[0])
+            proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
     return {
         "planners": count,
         "words_a_claim": sent,
-        "slots": len(joiner.others),
-        "mates": len(joiner.mates),
+        "slots": len(rejoin_client.others),
+        "mates": len(rejoin_client.peers),
         "start_s": round(drawn, 2),
     }
 
--- a/hazelhold/fleetconfig/control_host.py
+++ b/hazelhold/fleetconfig/control_host.py
@@ -28,7 +28,7 @@
 from hazelhold.fleetconfig.store import RevisionStore, Stored
 from hazelhold.fleetconfig.writer import StoreWriter
 from hazelhold.protocol.frames import FrameError
-from hazelhold.replica.host import Copies
+from hazelhold.replica.host import ReplicaHost
 from hazelhold.replica.votes import keep_all
 from hazelhold.service.net import Net
 from hazelhold.state.disk import Disk
@@ -61,7 +61,9 @@
         self.limits = c.ControlLimits()
         self.store = RevisionStore(disk, file.name, self.limits.history)
         self.writer = StoreWriter(self.store, net, file.slow_ms, file.retry_ms)
-        self.copies = Copies(file.name, copies_config(file), net, votes, self._agreed, retention=keep_all)
+        self.replica_host = ReplicaHost(
+            file.name, copies_config(file), net, votes, self._agreed, retention=keep_all
+        )
         self.door = Door(file.name, file.deployment, net, self)
         self.followers: dict[int, str] = {}  # accepted connections that follow; the others write or ask
         self.machines = tuple(seat.name for seat in file.control)
@@ -77,7 +79,7 @@
             self.log.warning("revisions_damaged" if not stored.complete else "revisions_cut", note=note)
         self.writer.begin()
         self._make_cores(stored)
-        self.copies.open()
+        self.replica_host.open()
 
     def _make_cores(self, stored: Stored) -> None:
         now = self.net.now()
@@ -97,7 +99,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 self.peers.begin(nursery)
-                await nursery.start(self.copies.run)
+                await nursery.start(self.replica_host.run)
                 self.address = await self.net.listen(self.file.listen, self.door.accept, nursery)
                 nursery.start_soon(self.writer.run)
                 self.core.start(self.net.now())
@@ -155,7 +157,7 @@
 
     def _carry_out(self, now: int, action: c.Action) -> None:
         if isinstance(action, c.AskRegister):
-            self.copies.ask(action.asking, KEY, action.change, action.deadline)
+            self.replica_host.ask(action.asking, KEY, action.change, action.deadline)
         elif isinstance(action, c.Answer):
             self.door.send(Send(action.asker, action.answer))
         elif isinstance(action, c.Store):
@@ -238,4 +240,4 @@
         counts["stored"] = self.peers.stored
         counts["commits"], counts["disk_failures"] = self.writer.commits, self.writer.failures
         counts["unexpected_planners"] = self.fleet.unexpected
-        return control_status(self.net.now(), self.name, self.core, self.fleet, self.copies.cut, counts)
+        return control_status(self.net.now(), self.name, self.core, self.fleet, self.replica_host.cut, counts)
--- a/hazelhold/fleetconfig/roster.py
+++ b/hazelhold/fleetconfig/roster.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from hazelhold.fleetconfig.document import Document
-from hazelhold.replica.sets import Keeper, replicas
+from hazelhold.replica.sets import ReplicaCandidate, replicas
 
 PREFIX = "planners/"
 RELAYS = 2  # of each zone and each region
@@ -86,7 +86,7 @@
     def zone_relays(self, place: Place) -> tuple[str, ...]:
         """The planners of a zone that the others there follow."""
         if place not in self._zone_relays:
-            members = [Keeper(name) for name in sorted(self._by_zone.get(place, ()))]
+            members = [ReplicaCandidate(name) for name in sorted(self._by_zone.get(place, ()))]
             key = f"zone/{place.region}/{place.zone}"
             self._zone_relays[place] = replicas(key, members, self._relays)
         return self._zone_relays[place]
@@ -95,7 +95,8 @@
         """The planners of a region that its zones' relays follow; of different zones if there are several."""
         if region not in self._region_relays:
             members = [
-                Keeper(name, self.planners[name].zone) for name in sorted(self._by_region.get(region, ()))
+                ReplicaCandidate(name, self.planners[name].zone)
+                for name in sorted(self._by_region.get(region, ()))
             ]
             self._region_relays[region] = replicas(f"region/{region}", members, self._relays)
         return self._region_relays[region]
--- a/hazelhold/membership/core.py
+++ b/hazelhold/membership/core.py
@@ -23,7 +23,7 @@
 from hazelhold.membership.settings import MembershipChange, MembershipSettings, Reply, SendDatagram
 from hazelhold.membership.views import Views
 
-__all__ = ["RECENT", "Core", "News", "Post", "Reply", "Terms"]
+__all__ = ["RECENT", "MembershipCore", "MembershipChange", "SendDatagram", "Reply", "MembershipSettings"]
 
 RECENT = 24  # whose helpers are drawn from: some three seconds of senders at the usual pace
 HANDLERS = {  # a payload's type: the method that takes it
--- a/hazelhold/membership/views.py
+++ b/hazelhold/membership/views.py
@@ -25,7 +25,7 @@
             return SUSPECTED
         return member.row.state
 
-    def standing(self) -> dict[str, int | str | bool]:
+    def status(self) -> dict[str, int | str | bool]:
         """This planner's own state, for operators."""
         me = self.me
         return {
@@ -62,7 +62,7 @@
         if not self._may():
             return
         names = sorted(n for n in self.table.members if n > query.after)
-        mine = self.standing()
+        mine = self.status()
         seen: list[messages.MemberView] = []
         room = (
             messages.MAX_BYTES
--- a/hazelhold/replica/acceptor.py
+++ b/hazelhold/replica/acceptor.py
@@ -13,7 +13,7 @@
 from msgspec import msgpack
 
 from hazelhold.replica import messages
-from hazelhold.replica.sets import Sets
+from hazelhold.replica.sets import ReplicaSets
 
 
 class Cell(NamedTuple):
@@ -51,7 +51,7 @@
         cells: dict[str, Cell] | None = None,
         floor: int = 0,
         name: str = "",
-        sets: Sets | None = None,
+        sets: ReplicaSets | None = None,
     ) -> None:
         self.epoch, self.name = epoch, name
         self.voting = voting
@@ -146,5 +146,5 @@
         return {s: d for s in slots if (d := self.digests.get(s, 0))}
 
     def _known(self, key: str) -> dict[str, messages.Incarnation]:
-        mates = self.known if self.sets is None else self.sets(key)
-        return {n: self.known[n] for n in mates if n in self.known}
+        peers = self.known if self.sets is None else self.sets(key)
+        return {n: self.known[n] for n in peers if n in self.known}
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -17,7 +17,7 @@
 CLAIM = "claim/"
 
 
-class Wanted(NamedTuple):
+class ProposalRequest(NamedTuple):
     """To be agreed on by `deadline`; answered by `told` with the number."""
 
     no: int
@@ -39,22 +39,24 @@
     reason: str = ""
 
 
-class Asking(NamedTuple):
+class PendingProposal(NamedTuple):
     what: str  # take, look, fact, life
     name: str
     change: Change
 
 
-class Gate:
+class ClaimGate:
     """`planner` is a name in the agreed set; `span` is how long a claim is waited for."""
 
     def __init__(self, planner: str, span: int) -> None:
         self.planner, self.span = planner, span
         self.life = 0  # this process's, once agreed
-        self.wanted: list[Wanted] = []  # emptied by the engine
-        self.under_way: dict[int, Asking] = {}  # emptied by `told`
+        self.wanted: list[ProposalRequest] = []  # emptied by the engine
+        self.under_way: dict[int, PendingProposal] = {}  # emptied by `told`
         self.taking: dict[str, int] = {}  # case: its asking; emptied with that
-        self.unborn: dict[str, None] = {}  # cases that wait for the life's number; emptied by its answer
+        self.awaiting_run_number: dict[
+            str, None
+        ] = {}  # cases that wait for the life's number; emptied by its answer
         self.life_asked = False
         self.facts = self.number = 0
         self.counts: Counter[str] = Counter()
@@ -63,7 +65,7 @@
         """Asks for this life's number."""
         if not self.life and not self.life_asked:
             self.life_asked = True
-            self._want(now, Asking("life", "", c.NextLife()), LIFE + self.planner, self.span)
+            self._want(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.span)
 
     def clear(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
@@ -74,14 +76,14 @@
             had = c.decode(known)
             if (had.ask, had.attempt, had.machine) == (ask, attempt, machine):
                 return True
-        if name in self.taking or name in self.unborn:
+        if name in self.taking or name in self.awaiting_run_number:
             return False
         if not self.life:
-            self.unborn[name] = None
+            self.awaiting_run_number[name] = None
             self.begin(now)
             return False
         take = c.Take(self.planner, self.life, ask, attempt, machine, self.number + 1, known)
-        self.taking[name] = self._want(now, Asking("take", name, take), CLAIM + guest, self.span)
+        self.taking[name] = self._want(now, PendingProposal("take", name, take), CLAIM + guest, self.span)
         return False
 
     def mine(self, value: bytes) -> bool:
@@ -100,7 +102,7 @@
 
     def look(self, now: int, guest: str, name: str) -> None:
         """Asks what stands; `told` gives it back under this name."""
-        self._want(now, Asking("look", name, Read()), CLAIM + guest, self.span)
+        self._want(now, PendingProposal("look", name, Read()), CLAIM + guest, self.span)
 
     def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
         asking = self.under_way.pop(no, None)
@@ -128,7 +130,7 @@
         self.life_asked = False
         if agreed:
             self.life = int(value)
-        names, self.unborn = self.unborn, {}
+        names, self.awaiting_run_number = self.awaiting_run_number, {}
         return [Verdict("again" if agreed else "not_agreed", name, reason=reason) for name in names]
 
     def _tell(self, now: int, guest: str, change: Change) -> None:
@@ -136,10 +138,10 @@
             self.counts["facts_dropped"] += 1
             return
         self.facts += 1
-        self._want(now, Asking("fact", guest, change), CLAIM + guest, FACT_SPAN)
+        self._want(now, PendingProposal("fact", guest, change), CLAIM + guest, FACT_SPAN)
 
-    def _want(self, now: int, asking: Asking, key: str, span: int) -> int:
+    def _want(self, now: int, asking: PendingProposal, key: str, span: int) -> int:
         self.number += 1
         self.under_way[self.number] = asking
-        self.wanted.append(Wanted(self.number, key, asking.change, now + span))
+        self.wanted.append(ProposalRequest(self.number, key, asking.change, now + span))
         return self.number
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -80,7 +80,7 @@
     rounds: int = 0
 
 
-class Far:
+class RemoteReplica:
     """The way to another planner."""
 
     def __init__(self, name: str, address: str) -> None:
@@ -92,7 +92,7 @@
         self.heard = -1  # its last answer, on this clock
 
 
-class Copies:
+class ReplicaHost:
     """One planner's part. `told` hears how each asking ended: number, outcome, value, reason."""
 
     def __init__(
@@ -111,9 +111,9 @@
         self.proposer = Proposer(self.process, config.epoch, draw.getrandbits(62))
         self.votes = Votes(disk, name, config, draw.getrandbits(62), retention)
         self.sets = self.votes.sets
-        self.vault = Vault(self.votes, config, self._stirred)
+        self.vote_writer = VoteWriter(self.votes, config, self._stirred)
         self.far = {
-            p.name: Far(p.name, config.reach.get(p.name, p.address))
+            p.name: RemoteReplica(p.name, config.reach.get(p.name, p.address))
             for p in config.planners
             if p.name != name
         }
@@ -133,8 +133,8 @@
             self.log.warning("votes_damaged", note=note)
         if self.votes.why:
             self.log.error("votes_lost", why=self.votes.why, folder=self.config.folder)
-        self.vault.begin(self.net.wall())
-        self.log.info("votes", cells=len(self.votes.acceptor.cells), vouched=self.votes.joiner.over())
+        self.vote_writer.begin(self.net.wall())
+        self.log.info("votes", cells=len(self.votes.acceptor.cells), vouched=self.votes.rejoin_client.over())
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Until it is cancelled; `open` first."""
@@ -149,7 +149,7 @@
                     planners=len(self.config.planners),
                     replicas=self.config.replicas,
                 )
-                nursery.start_soon(self.vault.run, self.net)
+                nursery.start_soon(self.vote_writer.run, self.net)
                 nursery.start_soon(self._sweep)
                 nursery.start_soon(self._idle)
                 nursery.start_soon(self._rejoin)
@@ -216,14 +216,14 @@
             )
         self.told(no, done.outcome, done.value, done.reason)
 
-    def standing(self) -> dict[str, str]:
+    def status(self) -> dict[str, str]:
         """For operators: whether claims are agreed from here, why not, and who is not heard."""
         silent = sorted(f.name for f in self.far.values() if f.used and self.net.now() - f.heard > LATELY)
         named = ", ".join(silent[:8]) + (f" and {len(silent) - 8} more" if silent[8:] else "")
         return {"agrees": self.cut or "yes", "votes": self._standing(), "silent": named}
 
     def _standing(self) -> str:
-        some, all_ = len(self.votes.acceptor.voting), len(self.votes.joiner.others)
+        some, all_ = len(self.votes.acceptor.voting), len(self.votes.rejoin_client.others)
         return "yes" if some == all_ else f"on {some} of {all_} slots"
 
     def _note(self, key: str, way: str, note: Note) -> None:
@@ -234,10 +234,10 @@
 
     def _send(self, send: Send) -> None:
         if send.to == self.name:
-            answer, changes = self.votes.hear(send.word, self.net.wall())
-            self.vault.take(changes, lambda: self._answered(self.name, answer))
+            answer, changes = self.votes.hear(send.message, self.net.wall())
+            self.vote_writer.take(changes, lambda: self._answered(self.name, answer))
             return
-        self._post(send.to, send.word)
+        self._post(send.to, send.message)
 
     def _post(self, to: str, message: Struct) -> None:
         far = self.far[to]
@@ -267,29 +267,29 @@
 
     async def _rejoin(self) -> None:
         """Until this planner votes on all its slots again."""
-        joiner, began = self.votes.joiner, self.net.now()
-        while not joiner.over():
-            joiner.tick()
+        rejoin_client, began = self.votes.rejoin_client, self.net.now()
+        while not rejoin_client.over():
+            rejoin_client.tick()
             self._join_on()
             await trio.sleep(REJOIN)
-        while len(self.votes.acceptor.voting) < len(joiner.others):
+        while len(self.votes.acceptor.voting) < len(rejoin_client.others):
             self._vote([])  # again, if the disk failed under its copies: they are in all that is written anew
             await trio.sleep(REJOIN / 10)
         lost = self.votes.why
-        self.vault.take(self.votes.seated(), lambda: None)
+        self.vote_writer.take(self.votes.seated(), lambda: None)
         self.log.warning(
             "votes_again" if lost else "votes",
-            slots=len(joiner.others),
+            slots=len(rejoin_client.others),
             lost=lost,
             incarnation=self.votes.acceptor.inc.number,
             ms=(self.net.now() - began) // 1000,
-            **joiner.counts,
+            **rejoin_client.counts,
         )
 
     def _join_on(self) -> None:
-        out, self.votes.joiner.out = self.votes.joiner.out, []
+        out, self.votes.rejoin_client.out = self.votes.rejoin_client.out, []
         for each in out:
-            self._post(each.to, each.word)
+            self._post(each.to, each.message)
 
     def _copied(self, sender: str, message: messages.RejoinReply | messages.CellPage) -> None:
         self._vote(self.votes.told(sender, message, self.net.wall()))
@@ -297,10 +297,10 @@
 
     def _vote(self, changes: list[Change]) -> None:
         """Votes on what is copied so far, once these and all before them are safe."""
-        slots, inc = set(self.votes.joiner.voted), self.votes.acceptor.inc
-        self.vault.take(changes, lambda: self.votes.vote(slots, inc))
+        slots, inc = set(self.votes.rejoin_client.voted), self.votes.acceptor.inc
+        self.vote_writer.take(changes, lambda: self.votes.vote(slots, inc))
 
-    async def _link(self, far: Far) -> None:
+    async def _link(self, far: RemoteReplica) -> None:
         """Opens the way and listens, again and again while anybody needs it."""
         pause = RETRY[0]
         while True:
@@ -321,7 +321,7 @@
             await trio.sleep(pause)
             pause = min(2 * pause, RETRY[1])
 
-    async def _listen(self, far: Far, stream: trio.abc.Stream) -> None:
+    async def _listen(self, far: RemoteReplica, stream: trio.abc.Stream) -> None:
         wire = Wire(stream, ANSWERS, self.net.now)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wire.write)
@@ -388,23 +388,23 @@
     ) -> None:
         if isinstance(message, Greet):
             raise FrameError("second_greet", "a connection has one greeting")
-        if len(self.vault.queue) > BUSY:
+        if len(self.vote_writer.queue) > BUSY:
             self.counts["words_dropped"] += 1
             return
         if isinstance(message, messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest):
             answer, changes = self.votes.asked(sender, message)
         else:
             answer, changes = self.votes.hear(message, self.net.wall())
-        self.vault.take(changes, lambda: wire.send(answer))
+        self.vote_writer.take(changes, lambda: wire.send(answer))
 
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(5.0)
-            if self.votes.joiner.over() and (changes := self.votes.sweep(self.net.wall())):
-                self.vault.take(changes, lambda: None)
+            if self.votes.rejoin_client.over() and (changes := self.votes.sweep(self.net.wall())):
+                self.vote_writer.take(changes, lambda: None)
 
 
-class Vault:
+class VoteWriter:
     """Makes votes safe and lets answers go: one commit at a time, what comes meanwhile shares the next. While
     the disk fails nothing is answered; every `retry_ms` all votes are written anew as a whole."""
 
--- a/hazelhold/replica/proposer.py
+++ b/hazelhold/replica/proposer.py
@@ -21,7 +21,7 @@
 from hazelhold.replica import messages
 
 
-class Once(NamedTuple):
+class SetOnce(NamedTuple):
     """Write-once: takes an empty key, and keeps what is there otherwise."""
 
     value: bytes
@@ -30,7 +30,7 @@
         return last or self.value
 
 
-class Swap(NamedTuple):
+class CompareAndSwap(NamedTuple):
     """Compare-and-set: `value` if what is there is `expect`, else what is there."""
 
     expect: bytes
@@ -53,7 +53,7 @@
 
 class Send(NamedTuple):
     to: str
-    word: messages.Prepare | messages.Accept | messages.Query
+    message: messages.Prepare | messages.Accept | messages.Query
 
 
 class Done(NamedTuple):
@@ -77,7 +77,7 @@
     known: int = 10_000  # keys whose next change may go without Prepare; the oldest is forgotten
 
 
-class Op:
+class Operation:
     """One asking under way."""
 
     __slots__ = (
@@ -117,9 +117,9 @@
         self.process, self.epoch, self.times = process, epoch, times
         self.random = Random(f"proposer/{seed}")
         self.actions: list[Send | Done] = []
-        self.ops: dict[str, Op] = {}  # by key: one at a time
-        self.waiting: dict[str, deque[Op]] = {}  # behind it; emptied as they end
-        self.timers: list[tuple[int, int, Op, int]] = []  # each goes at its time
+        self.ops: dict[str, Operation] = {}  # by key: one at a time
+        self.waiting: dict[str, deque[Operation]] = {}  # behind it; emptied as they end
+        self.timers: list[tuple[int, int, Operation, int]] = []  # each goes at its time
         self.highest = 0  # number of any ballot seen
         # A ballot that a majority promised with its last accept, and the value then, by key; used once, and
         # emptied by use and by `times.known`.
@@ -129,7 +129,7 @@
     def ask(self, now: int, key: str, change: Change, replicas: Iterable[str], deadline: int) -> int:
         """Begins an asking; its Done follows, by `deadline` at the latest if `wake` is called in time."""
         self.number += 1
-        op = Op(self.number, key, change, deadline, tuple(replicas))
+        op = Operation(self.number, key, change, deadline, tuple(replicas))
         if self.under_way >= self.times.most:
             self.actions.append(Done(op.no, key, "refused", b"", "busy"))
             return op.no
@@ -195,7 +195,7 @@
         elif isinstance(message, messages.Refused):
             self._refused(now, op, sender, message)
 
-    def _majority(self, op: Op, found: dict[str, messages.Reply]) -> bool:
+    def _majority(self, op: Operation, found: dict[str, messages.Reply]) -> bool:
         """Whether these are a majority whose answers go together. Whoever another of them knows in a later
         incarnation may have forgotten what it answered: it is left out."""
         old = [
@@ -207,11 +207,11 @@
             del found[name]
         return 2 * len(found) > len(op.replicas)
 
-    def _at(self, when: int, op: Op, tries: int) -> None:
+    def _at(self, when: int, op: Operation, tries: int) -> None:
         self.timer_no += 1
         heappush(self.timers, (when, self.timer_no, op, tries))
 
-    def _begin(self, now: int, op: Op) -> None:
+    def _begin(self, now: int, op: Operation) -> None:
         self.ops[op.key] = op
         if isinstance(op.change, Read):
             self._look(now, op)
@@ -223,31 +223,31 @@
         else:
             self._round(now, op)
 
-    def _look(self, now: int, op: Op) -> None:
+    def _look(self, now: int, op: Operation) -> None:
         self.highest += 1  # a number of its own: a late answer to an earlier look is not taken for this one's
         op.ballot, op.phase, op.tries = messages.Ballot(self.highest, self.process), "look", op.tries + 1
         self._send(op, messages.Query(op.key, self.epoch, op.ballot))
         self._at(now + self.times.round_most, op, op.tries)
 
-    def _round(self, now: int, op: Op) -> None:
+    def _round(self, now: int, op: Operation) -> None:
         self.highest += 1
         op.ballot, op.phase, op.tries = messages.Ballot(self.highest, self.process), "prepare", op.tries + 1
         op.promises, op.accepts, op.refusals = {}, {}, {}
         self._send(op, messages.Prepare(op.key, self.epoch, op.ballot))
         self._at(now + self.times.round_most, op, op.tries)
 
-    def _accept(self, op: Op, last: bytes) -> None:
+    def _accept(self, op: Operation, last: bytes) -> None:
         op.value, op.phase, op.exposed = op.change(last), "accept", op.exposed + 1
         self.highest = max(self.highest, op.ballot.number + 1)  # the number of `next` is taken with it
         self._send(op, messages.Accept(op.key, self.epoch, op.ballot, op.value, self._next(op)))
 
-    def _next(self, op: Op) -> messages.Ballot:
+    def _next(self, op: Operation) -> messages.Ballot:
         return messages.Ballot(op.ballot.number + 1, self.process)
 
-    def _send(self, op: Op, message: messages.Prepare | messages.Accept | messages.Query) -> None:
+    def _send(self, op: Operation, message: messages.Prepare | messages.Accept | messages.Query) -> None:
         self.actions += [Send(replica, message) for replica in op.replicas]
 
-    def _refused(self, now: int, op: Op, sender: str, message: messages.Refused) -> None:
+    def _refused(self, now: int, op: Operation, sender: str, message: messages.Refused) -> None:
         op.refusals[sender] = message
         if 2 * len(op.refusals) < len(op.replicas):
             return  # the others may still be a majority
@@ -260,7 +260,7 @@
         most = min(self.times.pause * 2 ** min(op.tries, 10), self.times.pause_most)
         self._at(now + self.random.randint(self.times.pause // 2, most), op, op.tries)
 
-    def _end(self, now: int, op: Op, outcome: str, value: bytes, reason: str = "") -> None:
+    def _end(self, now: int, op: Operation, outcome: str, value: bytes, reason: str = "") -> None:
         op.phase = "over"
         self.under_way -= 1
         why = "" if outcome == "agreed" else reason
--- a/hazelhold/replica/rejoin.py
+++ b/hazelhold/replica/rejoin.py
@@ -20,16 +20,16 @@
 
 from hazelhold.replica import claims, messages
 from hazelhold.replica.acceptor import Acceptor, Change
-from hazelhold.replica.sets import Sets
+from hazelhold.replica.sets import ReplicaSets
 
 PAGE = 200  # cells at a time: some 40 KB
 
 
-class Out(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """Send to that planner."""
 
     to: str
-    word: (
+    message: (
         messages.RejoinQuery
         | messages.RejoinEntry
         | messages.PageRequest
@@ -38,7 +38,7 @@
     )
 
 
-class Mate:
+class RejoinPeer:
     """How far the coming back is with one other planner."""
 
     def __init__(self) -> None:
@@ -51,22 +51,24 @@
         self.unready: frozenset[int] = frozenset()
 
 
-class Joiner:
+class RejoinClient:
     """One planner's coming back. `trusted`: an operator vouches that its disk is the newest."""
 
-    def __init__(self, name: str, sets: Sets, acceptor: Acceptor, nonce: int, trusted: bool = False) -> None:
+    def __init__(
+        self, name: str, sets: ReplicaSets, acceptor: Acceptor, nonce: int, trusted: bool = False
+    ) -> None:
         self.name, self.sets, self.acceptor, self.nonce = name, sets, acceptor, nonce
         self.others = sets.kept_by(name)  # by slot of ours: the other members
         self.shared: dict[str, set[int]] = defaultdict(set)  # by planner: slots that both keep
         for slot, others in self.others.items():
             for other in others:
                 self.shared[other].add(slot)
-        self.mates = {other: Mate() for other in self.shared}
+        self.peers = {other: RejoinPeer() for other in self.shared}
         self.voted: set[int] = set()  # slots with all copied: the host lets it vote once that is safe
-        self.out: list[Out] = []  # emptied by the host
+        self.out: list[OutgoingMessage] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
         self.no = 0
-        if trusted or not self.mates:  # its own disk is enough
+        if trusted or not self.peers:  # its own disk is enough
             acceptor.inc = messages.Incarnation(acceptor.inc.number + 1, nonce)
             self.voted = set(self.others)
 
@@ -77,8 +79,8 @@
         """Now and then: asks again whoever has not answered, or does not vote itself yet."""
         if self.over():
             return
-        waits = any(m.state in ("wait", "enter", "copy") for m in self.mates.values())
-        for other, mate in self.mates.items():
+        waits = any(m.state in ("wait", "enter", "copy") for m in self.peers.values())
+        for other, mate in self.peers.items():
             if mate.state == "done" and (waits or not (mate.unready - self.voted)):
                 continue
             if mate.state == "wait":
@@ -89,19 +91,19 @@
             if mate.state != "done":
                 mate.state = "hail"  # anew, which digests make short
             self._ask(other, mate, messages.RejoinQuery)
-        if not any(m.state in ("enter", "copy") for m in self.mates.values()):
+        if not any(m.state in ("enter", "copy") for m in self.peers.values()):
             self._next()
 
     def hear(self, other: str, message: messages.RejoinReply | messages.CellPage) -> list[Change]:
         """Returns what was copied: to be made safe before any vote on it."""
-        mate = self.mates.get(other)
+        mate = self.peers.get(other)
         if mate is None or message.no != mate.no or self.over():
             return []
         if isinstance(message, messages.RejoinReply):
             mate.known = max(mate.known, message.known)
             if message.source and mate.state in ("hail", "enter", "done"):
                 self._rise()
-                if all(m is mate or m.state not in ("enter", "copy") for m in self.mates.values()):
+                if all(m is mate or m.state not in ("enter", "copy") for m in self.peers.values()):
                     self._enter(other, mate)
                 else:
                     mate.state = "wait"
@@ -110,17 +112,17 @@
 
     def _rise(self) -> None:
         """Above all that others know of us: whoever was entered with before has to be told anew."""
-        mine, highest = self.acceptor.inc, max(m.known for m in self.mates.values())
+        mine, highest = self.acceptor.inc, max(m.known for m in self.peers.values())
         if highest > mine or mine.nonce != self.nonce:
             self.acceptor.inc = messages.Incarnation(max(highest.number, mine.number) + 1, self.nonce)
-            for mate in self.mates.values():
+            for mate in self.peers.values():
                 mate.done = False
                 if mate.state != "hail":
                     mate.state, mate.no = "hail", 0
             self.voted.clear()
             self.acceptor.voting = set()  # not a moment longer: those entered with do not know this one
 
-    def _enter(self, other: str, mate: Mate) -> None:
+    def _enter(self, other: str, mate: RejoinPeer) -> None:
         mate.state, mate.cells, mate.moved = "enter", 0, True
         open_slots = self.shared[other] - self.voted
         self._ask(
@@ -131,7 +133,7 @@
             digests=self.acceptor.digests_of(open_slots),
         )
 
-    def _page(self, other: str, mate: Mate, page: messages.CellPage) -> list[Change]:
+    def _page(self, other: str, mate: RejoinPeer, page: messages.CellPage) -> list[Change]:
         if page.total < 0:
             mate.state = "hail"
             return []
@@ -160,33 +162,33 @@
 
     def _next(self) -> None:
         """One at a time: what the one has sent, the next need not."""
-        waiting = [o for o, m in self.mates.items() if m.state == "wait"]
+        waiting = [o for o, m in self.peers.items() if m.state == "wait"]
         if waiting and not self.over():
-            other = min(waiting, key=lambda o: self.mates[o].done)  # those not copied from yet come first
-            self._enter(other, self.mates[other])
+            other = min(waiting, key=lambda o: self.peers[o].done)  # those not copied from yet come first
+            self._enter(other, self.peers[other])
 
     def _complete(self) -> None:
         for slot, others in self.others.items():
-            done = [n for n in others if self.mates[n].done]
-            voting = sum(slot not in self.mates[n].unready for n in done)
+            done = [n for n in others if self.peers[n].done]
+            voting = sum(slot not in self.peers[n].unready for n in done)
             if 2 * voting > len(others) + 1 or len(done) == len(others):
                 self.voted.add(slot)
 
-    def _ask(self, other: str, mate: Mate, kind: type, **more: object) -> None:
+    def _ask(self, other: str, mate: RejoinPeer, kind: type, **more: object) -> None:
         self.no += 1
         mate.no = self.no
-        self.out.append(Out(other, kind(no=self.no, **more)))
+        self.out.append(OutgoingMessage(other, kind(no=self.no, **more)))
 
 
-class Source:
+class RejoinServer:
     """What one planner tells those who come back. `gives`: its own votes are not lost."""
 
-    def __init__(self, name: str, sets: Sets, acceptor: Acceptor) -> None:
+    def __init__(self, name: str, sets: ReplicaSets, acceptor: Acceptor) -> None:
         self.name, self.sets, self.acceptor = name, sets, acceptor
         self.gives = False
         self.lists: dict[
             str, tuple[messages.Incarnation, list[str], list[int]]
-        ] = {}  # by joiner; the last copying of each
+        ] = {}  # by rejoin client; the last copying of each
 
     def hear(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
--- a/hazelhold/replica/sets.py
+++ b/hazelhold/replica/sets.py
@@ -15,14 +15,14 @@
 SLOTS = 4096  # keys share sets by slot, so that a set is drawn once; 230 planners keep some 53 slots each
 
 
-class Keeper(NamedTuple):
+class ReplicaCandidate(NamedTuple):
     """A planner of the configured set."""
 
     name: str
     zone: str = ""
 
 
-def replicas(key: str, planners: Sequence[Keeper], count: int) -> tuple[str, ...]:
+def replicas(key: str, planners: Sequence[ReplicaCandidate], count: int) -> tuple[str, ...]:
     """The planners that keep the key, the same for everyone with the same set; all of them if there are too
     few."""
     before = f"{len(key)}/{key}/".encode()
@@ -43,15 +43,15 @@
 
 
 @lru_cache(maxsize=8)
-def _encoded(planners: tuple[Keeper, ...]) -> list[tuple[str, str, bytes]]:
+def _encoded(planners: tuple[ReplicaCandidate, ...]) -> list[tuple[str, str, bytes]]:
     return [(p.zone, p.name, p.name.encode()) for p in planners]
 
 
-class Sets:
+class ReplicaSets:
     """The sets of one epoch. A key's slot is a hash of the key alone, so the work for a key does not grow
     with planners; each slot's set is drawn once."""
 
-    def __init__(self, planners: Sequence[Keeper], count: int, size: int = SLOTS) -> None:
+    def __init__(self, planners: Sequence[ReplicaCandidate], count: int, size: int = SLOTS) -> None:
         self.planners, self.count, self.size = tuple(planners), count, size
         self.slots: dict[int, tuple[str, ...]] = {}  # `size` of them at most
         self.kept: dict[str, dict[int, tuple[str, ...]]] = {}  # by planner that was asked for
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -16,8 +16,8 @@
 from hazelhold.config.planner import CopiesConfig
 from hazelhold.replica import claims, messages
 from hazelhold.replica.acceptor import Acceptor, Cell
-from hazelhold.replica.rejoin import Joiner, Source
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.rejoin import RejoinClient, RejoinServer
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change, drop, put
 from hazelhold.state.store import Found, StateError, Store
@@ -54,7 +54,7 @@
     nonce: int
 
 
-class Vouch(Struct, array_like=True, frozen=True):
+class ConfirmationImage(Struct, array_like=True, frozen=True):
     """An operator's word, for the next start alone, that this folder is the newest that its planner had."""
 
     at: int
@@ -65,7 +65,7 @@
     "floor": Floor,
     "cell": CellImage,
     "inc": IncImage,
-    "vouch": Vouch,
+    "vouch": ConfirmationImage,
 }
 SWEEP_MOST = 1000  # cells let go at a time
 Retention = Callable[[str, bytes], bool]  # key and accepted value: whether they are kept for ever
@@ -108,7 +108,7 @@
     try:
         if not seen.complete or store.ledger.image("seat", "") is None:
             raise StateError("the folder has no seat, or is damaged: there is nothing to vouch for")
-        store.apply([put("vouch", "", Vouch(wall))])
+        store.apply([put("vouch", "", ConfirmationImage(wall))])
         store.begin(wall)
     finally:
         store.close()
@@ -133,15 +133,15 @@
     ) -> None:
         self.name, self.config, self.nonce, self.retention = name, config, nonce, retention
         self.store = Store(disk, name, KINDS)
-        self.sets = Sets([Keeper(p.name, p.zone) for p in config.planners], config.replicas)
+        self.sets = ReplicaSets([ReplicaCandidate(p.name, p.zone) for p in config.planners], config.replicas)
         self.keep = round(config.keep_s * 1e6)
         self.aging: deque[Aging] = deque()  # cells that may be let go, by when; emptied by `sweep`
         self.acceptor = Acceptor(config.epoch, set(), name=name, sets=self.sets)
         self.kept: dict[
             str, messages.Incarnation
         ] = {}  # incarnations as they are on the disk, or on their way there
-        self.joiner: Joiner | None = None
-        self.source = Source(name, self.sets, self.acceptor)
+        self.rejoin_client: RejoinClient | None = None
+        self.source = RejoinServer(name, self.sets, self.acceptor)
         self.why = "not_opened"  # why these votes are none to give: empty, no_seat or damaged
 
     def open(self, wall: int, text: str) -> Found:
@@ -170,10 +170,10 @@
         self.source.gives = not self.why
         trusted = not self.why and ledger.image("vouch", "") is not None
         ledger.apply([drop("vouch", "")])
-        self.joiner = Joiner(self.name, self.sets, acceptor, self.nonce, trusted)
-        if self.joiner.over():
+        self.rejoin_client = RejoinClient(self.name, self.sets, acceptor, self.nonce, trusted)
+        if self.rejoin_client.over():
             ledger.apply(self.incarnations())
-            acceptor.voting = set(self.joiner.voted)
+            acceptor.voting = set(self.rejoin_client.voted)
         return seen
 
     def _check(self, seat: Seat) -> None:
@@ -209,7 +209,7 @@
     def told(self, other: str, message: messages.RejoinReply | messages.CellPage, wall: int) -> list[Change]:
         """What somebody told this one that comes back: what has to be safe before it votes on it."""
         changes, floor = [], self.acceptor.floor
-        for change in self.joiner.hear(other, message):
+        for change in self.rejoin_client.hear(other, message):
             self._ages(change.key, change.cell, wall)
             changes.append(put("cell", change.key, CellImage(*change.cell)))
         if self.acceptor.floor > floor:
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -20,7 +20,7 @@
 from hazelhold.service.wire import Wire
 
 if TYPE_CHECKING:
-    from hazelhold.replica.host import Copies
+    from hazelhold.replica.host import ReplicaHost
     from hazelhold.service.keeper import Keeper
 
 
@@ -34,7 +34,7 @@
         self.engine, self.net, self.tap, self.perform = engine, net, tap, perform
         self.ticker = Ticker(net.now, engine.next_at, self._work, batch_s)
         self.keeper: Keeper | None = None
-        self.copies: Copies | None = None
+        self.copies: ReplicaHost | None = None
         self.handed_over = False  # another process has the state: nothing goes in any more
 
     def _work(self, now: int) -> None:
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -100,9 +100,9 @@
         self.copies = None
         config = self.config
         if config.copies.listen:
-            from hazelhold.replica.host import Copies
+            from hazelhold.replica.host import ReplicaHost
 
-            self.copies = self.driver.copies = Copies(
+            self.copies = self.driver.copies = ReplicaHost(
                 config.name,
                 config.copies,
                 self.net,
@@ -111,7 +111,7 @@
                 self.recorder,
             )
             if self.members is not None:
-                self.members.beside = self.copies.standing
+                self.members.beside = self.copies.status
 
     def _make_follower(self, file: PlannerConfig, revisions: Disk | None) -> None:
         """The follower of the fleet's configuration, if the planner's file has it on."""
@@ -182,12 +182,12 @@
 
     async def _claim(self, nursery: trio.Nursery) -> None:
         """From here on guests that must not run twice are claimed among the planners."""
-        from hazelhold.replica.gate import Gate
+        from hazelhold.replica.gate import ClaimGate
 
         self.copies.open()
         await nursery.start(self.copies.run)
         self.engine.claim_by(
-            self.net.now(), Gate(self.config.name, round(self.config.copies.claim_ms * 1000))
+            self.net.now(), ClaimGate(self.config.name, round(self.config.copies.claim_ms * 1000))
         )
         self.driver.carry_out()
 
--- a/tests/processes/test_fleetconfig_replacement.py
+++ b/tests/processes/test_fleetconfig_replacement.py
@@ -8,7 +8,7 @@
 
 from hazelhold.fleetconfig import messages as m
 from hazelhold.fleetconfig.control_host import KEY
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 from tests.processes.fleetconfig_rig import LONG, ProcessFleet, process_fleet
 
 
@@ -27,7 +27,7 @@
 
 def keepers(made: ProcessFleet) -> tuple[str, ...]:
     """Who keeps the head."""
-    return Sets([Keeper(name, made.zones[name]) for name in made.controls], 5)(KEY)
+    return ReplicaSets([ReplicaCandidate(name, made.zones[name]) for name in made.controls], 5)(KEY)
 
 
 async def restarted(made: ProcessFleet, name: str, number: int) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from hazelhold.audit.history import Call
 from hazelhold.protocol import messages as m
 from hazelhold.replica import claims as c
-from hazelhold.replica.gate import FACTS_MOST, Gate
+from hazelhold.replica.gate import FACTS_MOST, ClaimGate
 from tests.helpers import MS, EngineHarness, of, stand
 
 PLANNERS = st.sampled_from(["p0", "p1"])
@@ -117,7 +117,7 @@
 class Member(EngineHarness):
     """A harness whose engine claims."""
 
-    def __init__(self, name: str, gate: type = Gate, machines: str = "ab") -> None:
+    def __init__(self, name: str, gate: type = ClaimGate, machines: str = "ab") -> None:
         super().__init__(machines)
         self.engine.claim_by(0, gate(name, 500 * MS))
 
@@ -149,7 +149,7 @@
         return c.decode(self.values.get("claim/" + guest, b""))
 
 
-def two(gate: type = Gate) -> tuple[Member, Member, Table]:
+def two(gate: type = ClaimGate) -> tuple[Member, Member, Table]:
     one, other = Member("p0", gate), Member("p1", gate)
     table = Table(one, other)
     table.agree(0)
@@ -294,7 +294,7 @@
     made.asks.clear()
     made.engine.claims = None
     made.engine.keep(100, 0, ledger, True)
-    made.engine.claim_by(100, Gate("p0", 500 * MS))
+    made.engine.claim_by(100, ClaimGate("p0", 500 * MS))
     table.members = (made, *table.members[1:])
     table.agree(100)
     made.lists(110, [made.entry(n) for n in "ab"], whole=True)
@@ -308,7 +308,7 @@
     one, other = Member("p0", machines=""), Member("p1")
     one.engine.claims = None
     one.engine.keep(0, 0, Ledger(), True)
-    one.engine.claim_by(0, Gate("p0", 500 * MS))
+    one.engine.claim_by(0, ClaimGate("p0", 500 * MS))
     table = Table(one, other)
     table.agree(0)
     one.lists(0, [one.entry(n) for n in "ab"], whole=True)
@@ -367,7 +367,7 @@
 
 
 def test_facts_under_way_are_bounded() -> None:
-    gate = Gate("p0", 500)
+    gate = ClaimGate("p0", 500)
     for number in range(FACTS_MOST + 5):
         gate.fact(0, f"g{number}", 0, "placed", "a")
     assert len(gate.wanted) == FACTS_MOST and gate.counts["facts_dropped"] == 5
@@ -376,14 +376,14 @@
 # The proof of the tests: each part taken away is found out.
 
 
-class LetsAllPass(Gate):
+class LetsAllPass(ClaimGate):
     """Takes it that nobody else is there."""
 
     def clear(self, *given_: object) -> bool:
         return True
 
 
-class Overtakes(Gate):
+class Overtakes(ClaimGate):
     """Takes a silent planner for dead, and its claim."""
 
     def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list:
--- a/tests/test_copies_host.py
+++ b/tests/test_copies_host.py
@@ -17,7 +17,7 @@
 from hazelhold.protocol.messages import encode
 from hazelhold.replica import claims as c
 from hazelhold.replica import messages
-from hazelhold.replica.host import Copies, Greet
+from hazelhold.replica.host import Greet, ReplicaHost
 from hazelhold.replica.proposer import Read
 from hazelhold.replica.votes import Retention, Seat, Votes, found, keep_all, keep_open_claims
 from hazelhold.service.net import MemoryNet
@@ -38,7 +38,7 @@
     def __init__(self, nursery: trio.Nursery, points: Points | None = None) -> None:
         self.net, self.nursery = MemoryNet(), nursery
         self.disks = {n: FaultyDisk(Points(set(), 1)) for n in NAMES}
-        self.parts: dict[str, Copies] = {}
+        self.parts: dict[str, ReplicaHost] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
         self.ends: dict[str, dict[int, tuple[str, bytes, str]]] = {n: {} for n in NAMES}
         self.number = self.deaths = 0
@@ -54,7 +54,7 @@
             ends[no] = outcome, value, reason
 
         disk, scope = self.disks[name], trio.CancelScope()
-        part = Copies(name, CONFIGS[name], self.net, disk, told)
+        part = ReplicaHost(name, CONFIGS[name], self.net, disk, told)
         self.parts[name], self.scopes[name] = part, scope
 
         async def live(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
@@ -76,7 +76,7 @@
     async def all_vote(self) -> None:
         await self.until(
             lambda: all(
-                len(p.votes.acceptor.voting) == len(p.votes.joiner.others) for p in self.parts.values()
+                len(p.votes.acceptor.voting) == len(p.votes.rejoin_client.others) for p in self.parts.values()
             )
         )
 
@@ -144,9 +144,9 @@
             made.disks[name].fails = {"write": 5, "sync": 5, "rename": 5}
         outcome, _, reason = await made.agree("p0", "claim/g", take("p0", 1))
         assert (outcome, reason) == ("refused", "no_majority")
-        assert all(made.parts[n].vault.failures == 1 for n in ("p1", "p2"))
+        assert all(made.parts[n].vote_writer.failures == 1 for n in ("p1", "p2"))
         made.disks["p1"].fails = {}
-        await made.until(lambda: not made.parts["p1"].vault.failed)
+        await made.until(lambda: not made.parts["p1"].vote_writer.failed)
         assert (await made.agree("p0", "claim/g", take("p0", 2)))[0] == "agreed"
 
     play(story)
@@ -162,7 +162,9 @@
         made.disks["p1"].safe.clear()
         await made.start("p1")
         made.disks["p1"].fails = {"write": 5}
-        await made.until(lambda: made.parts["p1"].vault.failures > 0 and made.parts["p1"].votes.joiner.over())
+        await made.until(
+            lambda: made.parts["p1"].vote_writer.failures > 0 and made.parts["p1"].votes.rejoin_client.over()
+        )
         await trio.sleep(3)
         assert not made.parts["p1"].votes.acceptor.voting
         made.disks["p1"].fails = {}
--- a/tests/test_fleetconfig_host.py
+++ b/tests/test_fleetconfig_host.py
@@ -28,7 +28,7 @@
 from hazelhold.fleetconfig.writer import StoreWriter
 from hazelhold.protocol import messages as p
 from hazelhold.protocol.frames import frame
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 from hazelhold.replica.votes import vouch
 from hazelhold.service.net import TcpNet
 from hazelhold.service.wire import Wire
@@ -360,7 +360,10 @@
         assert await fleet.committed(customers__after={}) == number + 1
         host = fleet.controls["c1"]
         await fleet.until(
-            lambda: len(host.copies.votes.acceptor.voting) == len(host.copies.votes.joiner.others)
+            lambda: (
+                len(host.replica_host.votes.acceptor.voting)
+                == len(host.replica_host.votes.rejoin_client.others)
+            )
         )
         _, found = await fleet.client("c1").items("customers/", 10)
         assert set(found) == {f"customers/{n}" for n in ("c0", "c1", "c2", "while_away", "after")}
@@ -398,8 +401,8 @@
 
 def head_keepers(fleet: Fleet) -> list[str]:
     """The control machines that vote on the head."""
-    keepers = [Keeper(seat.name, seat.zone) for seat in fleet.seats]
-    return list(Sets(keepers, fleet.replicas)(KEY))
+    keepers = [ReplicaCandidate(seat.name, seat.zone) for seat in fleet.seats]
+    return list(ReplicaSets(keepers, fleet.replicas)(KEY))
 
 
 def test_three_of_six_gone_with_the_one_that_keeps_no_head_changes_go_on_to_a_bound() -> None:
@@ -408,7 +411,9 @@
         (other,) = set(fleet.names) - set(keepers)
         by = keepers[2]
         gone = [other, *keepers[:2]]
-        await fleet.until(lambda: all(fleet.controls[name].copies.votes.acceptor.voting for name in keepers))
+        await fleet.until(
+            lambda: all(fleet.controls[name].replica_host.votes.acceptor.voting for name in keepers)
+        )
         for name in gone:
             await fleet.kill(name)
         answers, number = [], 0
@@ -451,7 +456,7 @@
 def test_the_head_is_kept_by_the_votes_though_no_claim() -> None:
     async def test(fleet: Fleet) -> None:
         await fleet.committed(customers__acme={})
-        votes = fleet.controls["c1"].copies.votes
+        votes = fleet.controls["c1"].replica_host.votes
         assert KEY in votes.acceptor.cells
         votes.sweep(10**17)
         assert KEY in votes.acceptor.cells
--- a/tests/test_rejoin.py
+++ b/tests/test_rejoin.py
@@ -11,9 +11,9 @@
 from hazelhold.audit.history import Call, linearizable
 from hazelhold.replica import messages
 from hazelhold.replica.acceptor import Acceptor
-from hazelhold.replica.proposer import Done, Once, Op, Proposer, Read, Send, Swap
-from hazelhold.replica.rejoin import PAGE, Joiner, Source
-from hazelhold.replica.sets import Keeper, Sets
+from hazelhold.replica.proposer import CompareAndSwap, Done, Operation, Proposer, Read, Send, SetOnce
+from hazelhold.replica.rejoin import PAGE, RejoinClient, RejoinServer
+from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
 
 MS = 1000
 
@@ -21,7 +21,7 @@
 class Member:
     """One planner's acceptor through its lives. Its disk has every state that it ever had."""
 
-    def __init__(self, name: str, sets: Sets, kinds: dict[str, type]) -> None:
+    def __init__(self, name: str, sets: ReplicaSets, kinds: dict[str, type]) -> None:
         self.name, self.sets, self.kinds, self.lives = name, sets, kinds, 0
         self.disk: list[tuple[dict, dict, messages.Incarnation]] = [({}, {}, messages.NO_INCARNATION)]
         self.start(0, True)
@@ -34,18 +34,20 @@
             1, set(), dict(cells), name=self.name, sets=self.sets
         )
         self.acceptor.known, self.acceptor.inc = dict(known), inc
-        self.joiner = self.kinds.get("joiner", Joiner)(self.name, self.sets, self.acceptor, self.lives)
-        self.source = self.kinds.get("source", Source)(self.name, self.sets, self.acceptor)
+        self.rejoin_client = self.kinds.get("joiner", RejoinClient)(
+            self.name, self.sets, self.acceptor, self.lives
+        )
+        self.source = self.kinds.get("source", RejoinServer)(self.name, self.sets, self.acceptor)
         self.source.gives = gives
-        self.acceptor.voting = set(self.joiner.voted)
+        self.acceptor.voting = set(self.rejoin_client.voted)
 
     def safe(self) -> None:
         a = self.acceptor
         self.disk.append((dict(a.cells), dict(a.known), a.inc))
 
     def votes(self) -> None:
-        self.acceptor.voting = set(self.joiner.voted)
-        if self.joiner.over():
+        self.acceptor.voting = set(self.rejoin_client.voted)
+        if self.rejoin_client.over():
             self.source.gives = True
 
 
@@ -55,7 +57,7 @@
     def __init__(self, seed: int, count: int = 3, proposer: type = Proposer, **kinds: type) -> None:
         self.random = Random(seed)
         self.names = tuple(f"m{n}" for n in range(count))
-        self.sets = Sets([Keeper(n) for n in self.names], count, size=1)
+        self.sets = ReplicaSets([ReplicaCandidate(n) for n in self.names], count, size=1)
         self.members = {n: Member(n, self.sets, kinds) for n in self.names}
         self.proposers = [proposer(f"p{n}/1", 1, seed * 10 + n) for n in range(3)]
         self.calls: list[Call] = []
@@ -87,7 +89,7 @@
             "read": (),
             "swap": (self.random.choice(values), self.random.choice(values)),
         }[kind]
-        change = {"once": Once, "swap": Swap, "read": Read}[kind](*given_)
+        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*given_)
         no = self.proposers[at].ask(self.now, "k", change, self.names, self.now + 400 * MS)
         self.asked[at, no] = kind, given_, self.now
         self.act(at)
@@ -107,7 +109,7 @@
     def arrive(self, at: int, send: Send) -> None:
         """At whatever life of the acceptor is there: worse than any connection would have it."""
         member = self.members[send.to]
-        answer, change = member.acceptor.hear(send.word)
+        answer, change = member.acceptor.hear(send.message)
         if change is not None:
             member.safe()
         self.carry(self.answered, at, send.to, answer)
@@ -122,35 +124,35 @@
             self.act(at)
         for member in self.members.values():
             if self.now % (10 * MS) == 0:
-                member.joiner.tick()
+                member.rejoin_client.tick()
             self.join_on(member)
 
     # Coming back.
 
     def restart(self, most: int) -> None:
         """One more starts, if fewer than so many are coming back. Its disk is gone, old, or as it was."""
-        away = [m for m in self.members.values() if not m.joiner.over()]
+        away = [m for m in self.members.values() if not m.rejoin_client.over()]
         if len(away) >= most:
             return
-        member = self.random.choice([m for m in self.members.values() if m.joiner.over()])
+        member = self.random.choice([m for m in self.members.values() if m.rejoin_client.over()])
         back = self.random.choice([0, 1, 2, 5, 10**6])
         member.start(back, gives=back < 10**6)
         self.restarts += 1
 
     def join_on(self, member: Member) -> None:
-        out, member.joiner.out = member.joiner.out, []
+        out, member.rejoin_client.out = member.rejoin_client.out, []
         for each in out:
-            self.soon(self.joins, member.name, member.lives, each.to, each.word)
+            self.soon(self.joins, member.name, member.lives, each.to, each.message)
 
     def joins(
         self,
         name: str,
         life: int,
         to: str,
-        word: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
+        message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
     ) -> None:
         member = self.members[to]
-        answer = member.source.hear(name, word)
+        answer = member.source.hear(name, message)
         member.safe()
         self.soon(self.joined, name, life, to, answer)
 
@@ -160,7 +162,7 @@
         member = self.members[name]
         if member.lives != life:
             return
-        member.joiner.hear(sender, answer)
+        member.rejoin_client.hear(sender, answer)
         member.safe()
         member.votes()
         self.join_on(member)
@@ -198,18 +200,18 @@
         town = Town(seed)
         agreed += sum(c.result is not None for c in town.play(1, 6))
         back += town.restarts
-        assert all(m.joiner.over() for m in town.members.values())
+        assert all(m.rejoin_client.over() for m in town.members.values())
     assert agreed > 50 and back > 60
 
 
 class MixesLives(Proposer):
     """Counts answers of earlier incarnations with later ones."""
 
-    def _majority(self, op: Op, found: dict[str, messages.Reply]) -> bool:
+    def _majority(self, op: Operation, found: dict[str, messages.Reply]) -> bool:
         return 2 * len(found) > len(op.replicas)
 
 
-class VotesAtOnce(Joiner):
+class VotesAtOnce(RejoinClient):
     """Trusts whatever disk there is."""
 
     def __init__(self, *given_: object) -> None:
@@ -226,22 +228,22 @@
         return change
 
 
-class OneIsEnough(Joiner):
+class OneIsEnough(RejoinClient):
     """Votes once it has copied from a single other."""
 
     def _complete(self) -> None:
-        if any(m.state == "done" for m in self.mates.values()):
+        if any(m.state == "done" for m in self.peers.values()):
             self.voted = set(self.others)
 
 
-class TellsNobody(Source):
+class TellsNobody(RejoinServer):
     """Does not remember that somebody started anew."""
 
     def hear(
-        self, other: str, word: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
+        self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> object:
         before = dict(self.acceptor.known)
-        said = super().hear(other, word)
+        said = super().hear(other, message)
         self.acceptor.known.clear()
         self.acceptor.known.update(before)
         return said
@@ -268,13 +270,13 @@
 def words(proposer: Proposer) -> dict[str, messages.Message]:
     """What it wants sent, by whom it is for."""
     actions, proposer.actions = proposer.actions, []
-    return {a.to: a.word for a in actions if isinstance(a, Send)}
+    return {a.to: a.message for a in actions if isinstance(a, Send)}
 
 
 def says(town: Town, proposer: Proposer, *given_: tuple[str, messages.Message]) -> None:
     """These words come to these members, and their answers at once to the proposer."""
-    for name, word in given_:
-        proposer.hear(1, name, town.members[name].acceptor.hear(word)[0])
+    for name, message in given_:
+        proposer.hear(1, name, town.members[name].acceptor.hear(message)[0])
 
 
 def gone_and_back(town: Town, name: str) -> None:
@@ -282,13 +284,13 @@
     member = town.members[name]
     member.start(10**6, gives=False)
     for _ in range(4):
-        member.joiner.tick()
-        while member.joiner.out:
-            out, member.joiner.out = member.joiner.out, []
+        member.rejoin_client.tick()
+        while member.rejoin_client.out:
+            out, member.rejoin_client.out = member.rejoin_client.out, []
             for each in out:
-                member.joiner.hear(each.to, town.members[each.to].source.hear(name, each.word))
+                member.rejoin_client.hear(each.to, town.members[each.to].source.hear(name, each.message))
     member.votes()
-    assert member.joiner.over()
+    assert member.rejoin_client.over()
 
 
 def ready(proposer: type = Proposer, **kinds: type) -> tuple[Town, Proposer, Proposer]:
@@ -303,11 +305,11 @@
 def began(**kinds: type) -> tuple[Town, Proposer, Proposer, dict, dict]:
     """p wants v and has promises of a and b; q wants w, above it, and has promises of a and c."""
     town, p, q = ready(**kinds)
-    p.ask(0, "k", Once(b"v"), town.names, 10**9)
+    p.ask(0, "k", SetOnce(b"v"), town.names, 10**9)
     mine = words(p)
     says(town, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
     q.highest = 5
-    q.ask(0, "k", Once(b"w"), town.names, 10**9)
+    q.ask(0, "k", SetOnce(b"w"), town.names, 10**9)
     other = words(q)
     says(town, q, ("m0", other["m0"]), ("m2", other["m2"]))
     return town, p, q, words(p), words(q)
@@ -330,7 +332,7 @@
 )
 def test_an_answer_from_before_a_disk_was_lost_is_not_counted_with_one_from_after(broken: dict) -> None:
     town, p, q = ready(**broken)
-    p.ask(0, "k", Once(b"v"), town.names, 10**9)
+    p.ask(0, "k", SetOnce(b"v"), town.names, 10**9)
     asks = words(p)
     says(town, p, ("m0", asks["m0"]), ("m1", asks["m1"]))
     asks = words(p)
@@ -338,7 +340,7 @@
     gone_and_back(town, "m0")
     says(town, p, ("m1", asks["m1"]))
     q.highest = 5
-    q.ask(0, "k", Once(b"w"), town.names, 10**9)
+    q.ask(0, "k", SetOnce(b"w"), town.names, 10**9)
     for _ in range(2):
         asks = words(q)
         says(town, q, ("m0", asks["m0"]), ("m2", asks["m2"]))
@@ -372,85 +374,87 @@
     """Each asks those who do not vote yet once more; that must not keep it from those it has not asked at
     all."""
     names = [f"m{n}" for n in range(12)]
-    sets = Sets([Keeper(n) for n in names], 5, size=64)
+    sets = ReplicaSets([ReplicaCandidate(n) for n in names], 5, size=64)
     acceptors = {n: Acceptor(1, set(), name=n, sets=sets) for n in names}
-    sources = {n: Source(n, sets, a) for n, a in acceptors.items()}
-    joiners = {n: Joiner(n, sets, a, at) for at, (n, a) in enumerate(acceptors.items())}
+    sources = {n: RejoinServer(n, sets, a) for n, a in acceptors.items()}
+    rejoin_clients = {n: RejoinClient(n, sets, a, at) for at, (n, a) in enumerate(acceptors.items())}
     for source in sources.values():
         source.gives = True
     for _ in range(40):  # ticks; between two of them each planner is answered but twice
-        for joiner in joiners.values():
-            joiner.tick()
+        for rejoin_client in rejoin_clients.values():
+            rejoin_client.tick()
         for _ in range(2):
-            for name, joiner in joiners.items():
-                out, joiner.out = joiner.out, []
+            for name, rejoin_client in rejoin_clients.items():
+                out, rejoin_client.out = rejoin_client.out, []
                 for each in out:
-                    joiner.hear(each.to, sources[each.to].hear(name, each.word))
-                acceptors[name].voting = set(joiner.voted)
-    assert all(j.over() for j in joiners.values())
+                    rejoin_client.hear(each.to, sources[each.to].hear(name, each.message))
+                acceptors[name].voting = set(rejoin_client.voted)
+    assert all(j.over() for j in rejoin_clients.values())
 
 
 # One that comes back, by hand.
 
 
-def pair(cells: int) -> tuple[Joiner, Source, Acceptor]:
-    sets = Sets([Keeper("a"), Keeper("b"), Keeper("c")], 3, size=16)
+def pair(cells: int) -> tuple[RejoinClient, RejoinServer, Acceptor]:
+    sets = ReplicaSets([ReplicaCandidate("a"), ReplicaCandidate("b"), ReplicaCandidate("c")], 3, size=16)
     full = Acceptor(1, set(range(16)), name="b", sets=sets)
     for n in range(cells):
         ballot = messages.Ballot(n + 1, "p")
         full.hear(messages.Prepare(f"k{n}", 1, ballot))
         full.hear(messages.Accept(f"k{n}", 1, ballot, b"\x90"))
     blank = Acceptor(1, set(), name="a", sets=sets)
-    source = Source("b", sets, full)
+    source = RejoinServer("b", sets, full)
     source.gives = True
-    return Joiner("a", sets, blank, 7), source, blank
+    return RejoinClient("a", sets, blank, 7), source, blank
 
 
-def run(joiner: Joiner, source: Source, lose: int = 0) -> int:
+def run(rejoin_client: RejoinClient, source: RejoinServer, lose: int = 0) -> int:
     """Carries what goes to and from b; returns how many words it took."""
-    joiner.tick()
+    rejoin_client.tick()
     words = 0
-    while joiner.out:
-        out, joiner.out = joiner.out, []
+    while rejoin_client.out:
+        out, rejoin_client.out = rejoin_client.out, []
         for each in out:
             words += 1
             if each.to == source.name and words != lose:
-                joiner.hear("b", source.hear("a", each.word))
+                rejoin_client.hear("b", source.hear("a", each.message))
     return words
 
 
 def test_copies_come_in_pages_and_only_where_something_differs() -> None:
-    joiner, source, blank = pair(3 * PAGE + 5)
-    run(joiner, source)
-    assert joiner.counts["cells_copied"] == len(blank.cells) == 3 * PAGE + 5
-    assert joiner.mates["b"].state == "done" and not joiner.voted  # one of two others is not enough
-    again = Joiner("a", source.sets, blank, 8)
+    rejoin_client, source, blank = pair(3 * PAGE + 5)
+    run(rejoin_client, source)
+    assert rejoin_client.counts["cells_copied"] == len(blank.cells) == 3 * PAGE + 5
+    assert (
+        rejoin_client.peers["b"].state == "done" and not rejoin_client.voted
+    )  # one of two others is not enough
+    again = RejoinClient("a", source.sets, blank, 8)
     run(again, source)
-    assert again.counts["cells_heard"] == 0 and again.mates["b"].state == "done"
+    assert again.counts["cells_heard"] == 0 and again.peers["b"].state == "done"
     assert not source.lists
 
 
 def test_a_lost_page_begins_the_copying_anew_and_it_ends() -> None:
-    joiner, source, blank = pair(3 * PAGE)
-    run(joiner, source, lose=4)
-    assert joiner.mates["b"].state == "copy"
+    rejoin_client, source, blank = pair(3 * PAGE)
+    run(rejoin_client, source, lose=4)
+    assert rejoin_client.peers["b"].state == "copy"
     for _ in range(3):  # it waits a while for the page, then asks who is there, then enters
-        run(joiner, source)
-    assert joiner.mates["b"].state == "done" and len(blank.cells) == 3 * PAGE
+        run(rejoin_client, source)
+    assert rejoin_client.peers["b"].state == "done" and len(blank.cells) == 3 * PAGE
 
 
 def test_one_that_lost_its_votes_gives_none_until_it_has_them_again() -> None:
-    joiner, source, _ = pair(5)
+    rejoin_client, source, _ = pair(5)
     source.gives = False
-    run(joiner, source)
-    assert joiner.mates["b"].state == "hail" and not joiner.voted
+    run(rejoin_client, source)
+    assert rejoin_client.peers["b"].state == "hail" and not rejoin_client.voted
 
 
 def test_a_later_start_known_to_anybody_is_gone_above() -> None:
-    joiner, source, blank = pair(5)
+    rejoin_client, source, blank = pair(5)
     source.acceptor.known["a"] = messages.Incarnation(4, 1)
-    run(joiner, source)
-    run(joiner, source)
+    run(rejoin_client, source)
+    run(rejoin_client, source)
     assert blank.inc == messages.Incarnation(5, 7) and source.acceptor.known["a"] == messages.Incarnation(
         5, 7
     )
@@ -458,22 +462,22 @@
 
 def test_one_that_has_to_rise_votes_on_nothing_until_it_has_entered_anew() -> None:
     """Another process of its name was there: whoever knows only the lower number would count both."""
-    joiner, source, blank = pair(5)
-    run(joiner, source)
-    joiner.mates["c"].done = True
-    joiner._complete()
-    blank.voting = set(joiner.voted)
+    rejoin_client, source, blank = pair(5)
+    run(rejoin_client, source)
+    rejoin_client.peers["c"].done = True
+    rejoin_client._complete()
+    blank.voting = set(rejoin_client.voted)
     assert blank.voting
-    joiner.voted.pop()  # it is not over yet
-    joiner.tick()
-    hail = next(each for each in joiner.out if each.to == "c")
-    joiner.hear("c", messages.RejoinReply(hail.word.no, messages.Incarnation(9, 1), True))
-    assert blank.inc == messages.Incarnation(10, 7) and not blank.voting and not joiner.voted
-    assert not any(m.done for m in joiner.mates.values())
+    rejoin_client.voted.pop()  # it is not over yet
+    rejoin_client.tick()
+    hail = next(each for each in rejoin_client.out if each.to == "c")
+    rejoin_client.hear("c", messages.RejoinReply(hail.message.no, messages.Incarnation(9, 1), True))
+    assert blank.inc == messages.Incarnation(10, 7) and not blank.voting and not rejoin_client.voted
+    assert not any(m.done for m in rejoin_client.peers.values())
 
 
 def test_a_floor_comes_with_the_copies() -> None:
-    joiner, source, blank = pair(5)
+    rejoin_client, source, blank = pair(5)
     source.acceptor.let_go("k4")
-    run(joiner, source)
+    run(rejoin_client, source)
     assert blank.floor == source.acceptor.floor == 6 and "k4" not in blank.cells
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -13,8 +13,8 @@
 from hazelhold.audit.history import NEVER, Call, linearizable
 from hazelhold.replica import messages
 from hazelhold.replica.acceptor import Acceptor, Cell
-from hazelhold.replica.proposer import Done, Once, Proposer, Read, Send, Swap
-from hazelhold.replica.sets import Keeper, replicas
+from hazelhold.replica.proposer import CompareAndSwap, Done, Proposer, Read, Send, SetOnce
+from hazelhold.replica.sets import ReplicaCandidate, replicas
 
 NAMES = ("a", "b", "c")
 FAR = 10**12
@@ -47,14 +47,14 @@
         self.done: tuple[tuple[int, str, bytes], ...] = ()
         self.votes: frozenset[tuple] = frozenset()  # every accept that any acceptor ever made
         for number, proposer_ in enumerate(self.proposers):
-            proposer_.ask(0, "k", Once(b"v%d" % number), NAMES, FAR)
+            proposer_.ask(0, "k", SetOnce(b"v%d" % number), NAMES, FAR)
             self.collect(number)
 
     def collect(self, number: int) -> None:
         proposer = self.proposers[number]
         for action in proposer.actions:
             if isinstance(action, Send):
-                self.flying |= {(number, action.to, action.word)}
+                self.flying |= {(number, action.to, action.message)}
             else:
                 self.done += ((number, action.outcome, action.value),)
         proposer.actions = []
@@ -99,11 +99,11 @@
     def deliver(self, item: tuple, answered: bool) -> None:
         """A request comes, and its answer at once or never. An answer that comes later changes nothing that a
         later coming of what follows from it does not: so all orders are here."""
-        number, name, word = item
+        number, name, message = item
         self.flying -= {item}
-        answer, _ = self.acceptors[name].hear(word)
+        answer, _ = self.acceptors[name].hear(message)
         if isinstance(answer, messages.Accepted):
-            self.votes |= {(name, word.ballot, word.value)}
+            self.votes |= {(name, message.ballot, message.value)}
         if answered:
             self.proposers[number].hear(1, name, answer)
             self.collect(number)
@@ -194,11 +194,11 @@
 class Forgets(Acceptor):
     """Does not keep what it promised."""
 
-    def hear(self, word: messages.Prepare | messages.Accept) -> tuple[messages.Message, object]:
-        before = self.cells.get(word.key, Cell())
-        said = super().hear(word)
-        if isinstance(word, messages.Prepare) and word.key in self.cells:
-            self.cells[word.key] = before
+    def hear(self, message: messages.Prepare | messages.Accept) -> tuple[messages.Message, object]:
+        before = self.cells.get(message.key, Cell())
+        said = super().hear(message)
+        if isinstance(message, messages.Prepare) and message.key in self.cells:
+            self.cells[message.key] = before
         return said
 
 
@@ -237,12 +237,17 @@
 class SeenByOne(Proposer):
     """Reads without comparing what a majority says."""
 
-    def hear(self, now: int, sender: str, word: messages.Message) -> None:
-        op = self.ops.get(word.key)
-        if isinstance(word, messages.QueryReply) and op and op.phase == "look" and word.ballot == op.ballot:
-            self._end(now, op, "agreed", word.value)
+    def hear(self, now: int, sender: str, message: messages.Message) -> None:
+        op = self.ops.get(message.key)
+        if (
+            isinstance(message, messages.QueryReply)
+            and op
+            and op.phase == "look"
+            and message.ballot == op.ballot
+        ):
+            self._end(now, op, "agreed", message.value)
         else:
-            super().hear(now, sender, word)
+            super().hear(now, sender, message)
 
 
 class HalfIsEnough(Proposer):
@@ -267,11 +272,11 @@
 
 def test_an_old_epoch_and_one_without_its_disk_are_refused_by_name() -> None:
     acceptor = Acceptor(2, True)
-    word = messages.Prepare("k", 1, messages.Ballot(1, "p"))
-    answer, change = acceptor.hear(word)
+    message = messages.Prepare("k", 1, messages.Ballot(1, "p"))
+    answer, change = acceptor.hear(message)
     assert (answer.why, answer.now, change) == ("epoch", 2, None)
     blank = Acceptor(1, False)
-    assert blank.hear(word)[0].why == "no_vote" and not blank.cells
+    assert blank.hear(message)[0].why == "no_vote" and not blank.cells
 
 
 # One proposer's face: outcomes, waiting, giving up.
@@ -288,7 +293,7 @@
             if isinstance(action, Done):
                 found.append(action)
             elif action.to not in deaf:
-                answer, _ = acceptors[action.to].hear(action.word)
+                answer, _ = acceptors[action.to].hear(action.message)
                 proposer.hear(now, action.to, answer)
     return found
 
@@ -296,8 +301,8 @@
 def test_once_swap_and_read_in_turn() -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one, two = Proposer("p/1", 1, 1), Proposer("q/1", 1, 2)
-    one.ask(0, "k", Once(b"x"), NAMES, FAR)
-    one.ask(0, "k", Swap(b"x", b"y"), NAMES, FAR)
+    one.ask(0, "k", SetOnce(b"x"), NAMES, FAR)
+    one.ask(0, "k", CompareAndSwap(b"x", b"y"), NAMES, FAR)
     one.ask(0, "k", Read(), NAMES, FAR)
     assert [(d.outcome, d.value) for d in table(one, acceptors)] == [
         ("agreed", b"x"),
@@ -305,7 +310,7 @@
         ("agreed", b"y"),
     ]
     assert not one.ops and not one.waiting
-    two.ask(0, "k", Once(b"z"), NAMES, FAR)
+    two.ask(0, "k", SetOnce(b"z"), NAMES, FAR)
     table(two, acceptors)
     two.wake(two.next_at())  # its ballot was below the last: it tries above it
     assert [d.value for d in table(two, acceptors)] == [b"y"]
@@ -318,11 +323,11 @@
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one, two = proposer("p/1", 1, 1), Proposer("q/1", 1, 2)
     one.ask(0, "k", Read(), NAMES, 1000)
-    late = [(a.to, acceptors[a.to].hear(a.word)[0]) for a in one.actions]
+    late = [(a.to, acceptors[a.to].hear(a.message)[0]) for a in one.actions]
     one.actions = []
     one.wake(1000)  # nothing came: it gave up
     one.actions = []
-    two.ask(1001, "k", Once(b"x"), NAMES, FAR)
+    two.ask(1001, "k", SetOnce(b"x"), NAMES, FAR)
     assert [d.value for d in table(two, acceptors)] == [b"x"]
     one.ask(1002, "k", Read(), NAMES, FAR)
     for name, answer in late:
@@ -336,23 +341,23 @@
 def test_the_next_change_of_a_key_needs_one_round_and_its_ballot_carries_one_value(proposer: type) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one = proposer("p/1", 1, 1)
-    one.ask(0, "k", Once(b"x"), NAMES, FAR)
+    one.ask(0, "k", SetOnce(b"x"), NAMES, FAR)
     table(one, acceptors)
-    one.ask(1, "k", Swap(b"x", b"y"), NAMES, 1000)
-    assert [type(a.word) for a in one.actions] == [messages.Accept] * 3
+    one.ask(1, "k", CompareAndSwap(b"x", b"y"), NAMES, 1000)
+    assert [type(a.message) for a in one.actions] == [messages.Accept] * 3
     carried: dict[messages.Ballot, set[bytes]] = {}
 
     def hear(actions: list) -> None:
         for action in actions:
-            if isinstance(action.word, messages.Accept):
-                carried.setdefault(action.word.ballot, set()).add(action.word.value)
-            one.hear(2, action.to, acceptors[action.to].hear(action.word)[0])
+            if isinstance(action.message, messages.Accept):
+                carried.setdefault(action.message.ballot, set()).add(action.message.value)
+            one.hear(2, action.to, acceptors[action.to].hear(action.message)[0])
 
     hear([a for a in one.actions if a.to == "a"])  # the others do not hear of it
     one.actions = []
     one.wake(1000)
     one.actions = []
-    one.ask(1001, "k", Swap(b"x", b"z"), NAMES, FAR)
+    one.ask(1001, "k", CompareAndSwap(b"x", b"z"), NAMES, FAR)
     while sends := [a for a in one.actions if isinstance(a, Send)]:
         one.actions = []
         hear(sends)
@@ -369,11 +374,13 @@
     for number, each in enumerate(turns):
         if hints and "k" in acceptors["a"].cells:
             each.promised("k", acceptors["a"].cells["k"].promised)
-        each.ask(number, "k", Swap(value, value + b"x"), NAMES, FAR)
+        each.ask(number, "k", CompareAndSwap(value, value + b"x"), NAMES, FAR)
         value += b"x"
         done: list[Done] = []
         while not done:
-            accepts += sum(isinstance(a, Send) and isinstance(a.word, messages.Accept) for a in each.actions)
+            accepts += sum(
+                isinstance(a, Send) and isinstance(a.message, messages.Accept) for a in each.actions
+            )
             done = one_step(each, acceptors)
         assert [(one.outcome, one.value) for one in done] == [("agreed", value)]
     assert (accepts == len(NAMES) * len(turns)) is hints
@@ -386,7 +393,7 @@
     actions, proposer.actions = proposer.actions, []
     for action in actions:
         if isinstance(action, Send):
-            proposer.hear(1, action.to, acceptors[action.to].hear(action.word)[0])
+            proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
     found = [action for action in proposer.actions if isinstance(action, Done)]
     proposer.actions = [action for action in proposer.actions if isinstance(action, Send)]
     return found
@@ -396,7 +403,7 @@
 def test_without_a_majority_nothing_is_promised_and_the_asker_is_told(deaf: tuple, outcome: str) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", Once(b"x"), NAMES, 2_000_000)
+    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 2_000_000)
     found = table(proposer, acceptors, deaf=deaf)
     while not found and proposer.next_at() is not None:
         now = proposer.next_at()
@@ -409,9 +416,9 @@
 def test_an_accept_that_left_without_answers_is_open_not_refused() -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", Once(b"x"), NAMES, 100_000)
+    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 100_000)
     for action in [a for a in proposer.actions if isinstance(a, Send)]:
-        proposer.hear(1, action.to, acceptors[action.to].hear(action.word)[0])
+        proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
     proposer.actions = []  # its accepts are lost, or their answers are
     proposer.wake(100_000)
     assert [(a.outcome, a.value) for a in proposer.actions] == [("open", b"")]
@@ -420,7 +427,7 @@
 def test_votes_of_blank_members_do_not_make_a_majority() -> None:
     acceptors = {"a": Acceptor(1, True), "b": Acceptor(1, False), "c": Acceptor(1, False)}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", Once(b"x"), NAMES, 1_000_000)
+    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 1_000_000)
     found, now = table(proposer, acceptors), 0
     while not found:
         now = max(now, proposer.next_at())
@@ -433,7 +440,7 @@
 
 
 def test_a_key_keeps_its_planners_when_others_come_and_go_and_spreads_over_zones() -> None:
-    fleet = [Keeper(f"p{n}", f"z{n % 3}") for n in range(16)]
+    fleet = [ReplicaCandidate(f"p{n}", f"z{n % 3}") for n in range(16)]
     before = {f"k{n}": replicas(f"k{n}", fleet, 3) for n in range(2000)}
     assert all(
         len({next(p.zone for p in fleet if p.name == name) for name in found}) == 3
@@ -447,11 +454,11 @@
     assert set(replicas("k", fleet[:2], 3)) == {"p0", "p1"}
 
 
-def plain(key: str, planners: list[Keeper], count: int) -> tuple[str, ...]:
+def plain(key: str, planners: list[ReplicaCandidate], count: int) -> tuple[str, ...]:
     """The sets as they are told of: all drawn in order, each time the best of the zones used least."""
     draws = {p: xxhash.xxh3_64_intdigest(f"{len(key)}/{key}/{p.name}".encode()) for p in planners}
     order = sorted(planners, key=lambda p: -draws[p])
-    found: list[Keeper] = []
+    found: list[ReplicaCandidate] = []
     while order and len(found) < count:
         used = {zone: sum(p.zone == zone for p in found) for zone in {p.zone for p in order}}
         found.append(next(p for p in order if used[p.zone] == min(used.values())))
@@ -464,7 +471,7 @@
     st.integers(0, 10**6), st.lists(st.integers(0, 4), min_size=1, max_size=30), st.sampled_from([1, 3, 5, 7])
 )
 def test_sets_are_those_of_the_plain_form(key: int, zones: list[int], count: int) -> None:
-    planners = [Keeper(f"p{n}", f"z{zone}") for n, zone in enumerate(zones)]
+    planners = [ReplicaCandidate(f"p{n}", f"z{zone}") for n, zone in enumerate(zones)]
     assert replicas(f"k{key}", planners, count) == plain(f"k{key}", planners, count)
 
 
@@ -530,7 +537,7 @@
             "read": (),
             "swap": (random.choice([b"x", b"y", b"z"]), random.choice([b"x", b"y", b"z"])),
         }[kind]
-        change = {"once": Once, "swap": Swap, "read": Read}[kind](*given_)
+        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*given_)
         if hints:
             cells = acceptors[random.choice(NAMES)].cells
             proposers[at].promised("k", cells["k"].promised if "k" in cells else messages.NO_BALLOT)
@@ -553,7 +560,7 @@
                     later(random.randint(100, 60_000), arrive, at, action)
 
     def arrive(at: int, action: Send) -> None:
-        answer, _ = acceptors[action.to].hear(action.word)
+        answer, _ = acceptors[action.to].hear(action.message)
         for _ in range(random.choice([0, 1, 1, 1, 1, 2])):
             later(random.randint(100, 60_000), answered, at, action.to, answer)
 
