--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -34,7 +34,7 @@
         self.engine, self.net, self.tap, self.perform = engine, net, tap, perform
         self.ticker = Ticker(net.now, engine.next_at, self._work, batch_s)
         self.keeper: Keeper | None = None
-        self.copies: ReplicaHost | None = None
+        self.replica_host: ReplicaHost | None = None
         self.handed_over = False  # another process has the state: nothing goes in any more
 
     def _work(self, now: int) -> None:
@@ -102,9 +102,9 @@
 
     def _ask_others(self, actions: list[Action]) -> list[Action]:
         """Begins the askings among these actions, which wait for nothing; returns the others."""
-        if self.copies is None:
+        if self.replica_host is None:
             return actions
         for action in actions:
             if isinstance(action, Agree):
-                self.copies.ask(*action)
+                self.replica_host.ask(*action)
         return [a for a in actions if not isinstance(a, Agree)]
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -73,7 +73,7 @@
         self.handing_over, self.take_over = False, take_over
         self._make_connections(seed)
         self._make_members()
-        self._make_copies(votes)
+        self._make_replica_host(votes)
         self._make_follower(file, revisions)
         self._make_keeper(disk)
 
@@ -95,14 +95,14 @@
 
             self.members = MembershipHost(self.config.name, self.config.membership, self.net, self.recorder)
 
-    def _make_copies(self, votes: Disk | None) -> None:
+    def _make_replica_host(self, votes: Disk | None) -> None:
         """Agreement on claims, if the planner's file has it on."""
-        self.copies = None
+        self.replica_host = None
         config = self.config
         if config.copies.listen:
             from hazelhold.replica.host import ReplicaHost
 
-            self.copies = self.driver.copies = ReplicaHost(
+            self.replica_host = self.driver.replica_host = ReplicaHost(
                 config.name,
                 config.copies,
                 self.net,
@@ -111,7 +111,7 @@
                 self.recorder,
             )
             if self.members is not None:
-                self.members.beside = self.copies.status
+                self.members.beside = self.replica_host.status
 
     def _make_follower(self, file: PlannerConfig, revisions: Disk | None) -> None:
         """The follower of the fleet's configuration, if the planner's file has it on."""
@@ -155,7 +155,7 @@
                 nursery.start_soon(self.keeper.run)
                 nursery.start_soon(self.keeper.tend)
                 nursery.start_soon(self.keeper.let_go)
-            if self.copies is not None:
+            if self.replica_host is not None:
                 await self._claim(nursery)
             if self.follower is not None:
                 await self.follower.open(self.take_over)
@@ -184,8 +184,8 @@
         """From here on guests that must not run twice are claimed among the planners."""
         from hazelhold.replica.gate import ClaimGate
 
-        self.copies.open()
-        await nursery.start(self.copies.run)
+        self.replica_host.open()
+        await nursery.start(self.replica_host.run)
         self.engine.claim_by(
             self.net.now(), ClaimGate(self.config.name, round(self.config.copies.claim_ms * 1000))
         )
--- a/tests/fleetconfig_model.py
+++ b/tests/fleetconfig_model.py
@@ -168,7 +168,7 @@
         acceptor = self.machines[send.to]
 
         def hear() -> None:
-            answer, _ = acceptor.acceptor.hear(send.word)
+            answer, _ = acceptor.acceptor.hear(send.message)
             back = self.to_life(machine, lambda: self.from_acceptor(machine, send.to, answer))
             self.send(send.to, machine.name, back)
 
--- a/tests/fleetconfig_space.py
+++ b/tests/fleetconfig_space.py
@@ -113,7 +113,7 @@
             wanted, proposer.actions = proposer.actions, []
             for each in wanted:
                 if isinstance(each, Send):
-                    self.flying |= {(number, each.to, each.word)}
+                    self.flying |= {(number, each.to, each.message)}
                 else:
                     self._own_chain(core)
                     core.register_answered(
