--- a/bench/capacity/rows_client.py
+++ b/bench/capacity/rows_client.py
@@ -35,7 +35,7 @@
 
 def heard(core: ClientCore, now: int, message: m.Message) -> None:
     """What a planner says, through its bytes."""
-    core.said(now, "planner-0", CODEC.decode(m.ENCODER.encode(message)))
+    core.receive(now, "planner-0", CODEC.decode(m.ENCODER.encode(message)))
 
 
 @measurement(
--- a/bench/client.py
+++ b/bench/client.py
@@ -33,9 +33,9 @@
     for number in range(guests):
         now, name = number * 1000, f"g{number}"
         core.submit(now, TaskRequest(name, "plain", "s", 1.0, 1.0, 5 * SECOND, "rerunnable"))
-        core.said(now, "p", m.Held(guest=name))
-        core.said(now, "p", m.Placed(guest=name, machine="m"))
-        core.said(now, "p", m.GuestEnded(guest=name, how="done"))
+        core.receive(now, "p", m.Held(guest=name))
+        core.receive(now, "p", m.Placed(guest=name, machine="m"))
+        core.receive(now, "p", m.GuestEnded(guest=name, how="done"))
         core.advance(now)
         core.actions.clear()
     spent = time.process_time() - start
--- a/hazelhold/client/places.py
+++ b/hazelhold/client/addresses.py
@@ -10,15 +10,15 @@
 from hazelhold.config.load import ConfigError, build, parse, read_text, split_address
 
 
-class PlacesConfig(Struct, frozen=True):
+class PlannerAddresses(Struct, frozen=True):
     """Addresses (host:port) by the planners' names; a name belongs to one planner over all its restarts."""
 
     planners: dict[str, str]
 
 
-def read_places(path: Path) -> dict[str, str]:
+def read_addresses(path: Path) -> dict[str, str]:
     """The planners that a file names; ConfigError tells all that is wrong with it."""
-    config = build(PlacesConfig, parse(read_text(path), str(path)), str(path))
+    config = build(PlannerAddresses, parse(read_text(path), str(path)), str(path))
     faults, seen = [], {}
     if not config.planners:
         faults.append(("planners", "names no planner"))
@@ -41,7 +41,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.planners = read_places(path)
+        self.planners = read_addresses(path)
         self.seen = self._mark()
         self.refused = 0
 
@@ -60,7 +60,7 @@
             return None
         self.seen = mark
         try:
-            self.planners = read_places(self.path)
+            self.planners = read_addresses(self.path)
         except ConfigError as wrong:
             self.refused += 1
             return wrong
--- a/hazelhold/client/backoff.py
+++ b/hazelhold/client/backoff.py
@@ -85,7 +85,7 @@
         over = self.asked - self.TIMES * self.taken - self.FREE
         return over <= 0 or self.random.random() >= over / self.asked
 
-    def told(self, now: int, taken: bool) -> None:
+    def record(self, now: int, taken: bool) -> None:
         """The planner took an ask, or refused it for overload."""
         self._fade(now)
         self.taken += taken
--- a/hazelhold/client/blocking.py
+++ b/hazelhold/client/blocking.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from hazelhold.client.addresses import read_addresses
 from hazelhold.client.client import Client, Standing, open_client
-from hazelhold.client.places import read_places
 from hazelhold.client.types import ClientPolicy, Outcome, TaskRequest
 
 
@@ -20,7 +20,7 @@
         self.ready = threading.Event()
         self.client: Client | None = None
         if isinstance(planners, Path):
-            read_places(planners)  # what is wrong with it is told here, not in the thread
+            read_addresses(planners)  # what is wrong with it is told here, not in the thread
         self.thread = threading.Thread(
             target=trio.run, args=(self._main, name, planners, policy), daemon=True, name="hazelhold-client"
         )
--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -9,9 +9,9 @@
 import structlog
 import trio
 
+from hazelhold.client.addresses import Watch
 from hazelhold.client.core import ClientCore
-from hazelhold.client.places import Watch
-from hazelhold.client.types import ClientPolicy, Connect, Leave, Outcome, Send, TaskRequest, Tell
+from hazelhold.client.types import ClientPolicy, Connect, Leave, Notify, Outcome, Send, TaskRequest
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.service.net import Net, TcpNet
@@ -134,9 +134,9 @@
             if wrong := self.watch.changed():
                 self.log.warning("planners_refused", reason=str(wrong))
             elif self.watch.planners != self.planners:
-                self._planners_are(dict(self.watch.planners))
+                self._update_planners(dict(self.watch.planners))
 
-    def _planners_are(self, planners: dict[str, str]) -> None:
+    def _update_planners(self, planners: dict[str, str]) -> None:
         moved = [p for p, at in planners.items() if self.planners.get(p, at) != at]
         kept = {p: self.planners[p] for p in self.core.up if p not in planners and p in self.planners}
         self.planners = kept | planners
@@ -144,7 +144,7 @@
         for planner in moved:
             if wire := self.wires.get(planner):
                 wire.cut()
-        self.core.planners_are(self.net.now(), list(planners))
+        self.core.update_planners(self.net.now(), list(planners))
         self._act()
 
     def _work(self, now: int) -> None:
@@ -167,10 +167,10 @@
             elif isinstance(action, Leave):
                 if wire := self.wires.pop(action.planner, None):
                     wire.cut()
-            elif isinstance(action, Tell):
+            elif isinstance(action, Notify):
                 self._told(action)
 
-    def _told(self, tell: Tell) -> None:
+    def _told(self, tell: Notify) -> None:
         slot = self.slots.get(tell.outcome.guest)
         if slot is None:
             return
@@ -222,7 +222,7 @@
         self._act()
 
     def _heard(self, planner: str, message: m.Message) -> None:
-        self.core.said(self.net.now(), planner, message)
+        self.core.receive(self.net.now(), planner, message)
         if isinstance(message, m.State):
             for event, found in self.queries.get(message.guest, ()):
                 found.append(message)
--- a/hazelhold/client/core.py
+++ b/hazelhold/client/core.py
@@ -19,23 +19,23 @@
 from random import Random
 
 from hazelhold.client.backoff import AdaptiveThrottle, ReconnectBackoff, RetryBudget
-from hazelhold.client.choice import Choice
+from hazelhold.client.choice import PlannerChooser
 from hazelhold.client.types import (
     SECOND,
     Action,
     ClientPolicy,
     Connect,
     Leave,
+    Notify,
     Outcome,
     Send,
     TaskRequest,
-    Tell,
 )
 from hazelhold.protocol import messages as m
 
 
 @dataclass
-class PendingTask:
+class PendingGuest:
     """One guest on its way, from submit to its end. Dropped with its last outcome."""
 
     request: TaskRequest
@@ -57,7 +57,7 @@
 
     def __init__(self, name: str, planners: list[str], policy: ClientPolicy, random: Random) -> None:
         self.name, self.policy, self.random = name, policy, random
-        self.choice = Choice(planners, random)
+        self.chooser = PlannerChooser(planners, random)
         self.budget = RetryBudget(policy.retry_share, policy.retry_burst)
         self.backoffs = {p: self._new_backoff() for p in planners}
         self.throttles = {p: AdaptiveThrottle(random) for p in planners}
@@ -66,7 +66,7 @@
         self.up: dict[str, bool] = dict.fromkeys(planners, False)  # emptied of unlisted ones
         self.mute_since: dict[str, int] = {}  # planner: the first word to it that it has not answered
         self.dead: dict[str, bool] = dict.fromkeys(planners, False)  # a dial was refused: nobody acts there
-        self.pending: dict[str, PendingTask] = {}
+        self.pending: dict[str, PendingGuest] = {}
         self.actions: list[Action] = []
         self.counts: Counter[str] = Counter()
         self.agenda: list[tuple[int, int, str, str, int]] = []
@@ -77,14 +77,14 @@
         for planner in self.up:
             self.actions.append(Connect(planner))
 
-    def planners_are(self, now: int, planners: list[str]) -> None:
+    def update_planners(self, now: int, planners: list[str]) -> None:
         """The planners that may be asked from here on. New ones are dialled at a drawn moment; one that is no
         longer named gets nothing new, and keeps its connection while it has guests of ours."""
         self.listed = dict.fromkeys(planners)
         for planner in planners:
             if planner not in self.up:
                 self.up[planner] = self.dead[planner] = False
-                self.choice.learn(planner)
+                self.chooser.learn(planner)
                 self.backoffs[planner], self.throttles[planner] = (
                     self._new_backoff(),
                     AdaptiveThrottle(self.random),
@@ -110,7 +110,7 @@
                 self.return_at,
                 self.mute_since,
                 self.throttles,
-                self.choice.known,
+                self.chooser.stats,
             ):
                 table.pop(planner, None)
             self.actions.append(Leave(planner))
@@ -122,7 +122,7 @@
         before its patience ends, and an end after placed."""
         if request.guest in self.pending:
             raise ValueError(f"{request.guest!r} is on its way")
-        task = PendingTask(request, now + request.patience, now + request.life)
+        task = PendingGuest(request, now + request.patience, now + request.life)
         self.pending[request.guest] = task
         self.budget.fresh()
         self._at(task.deadline, "deadline", request.guest, 0)
@@ -176,7 +176,7 @@
             return
         self.up[planner] = False
         self.mute_since.pop(planner, None)
-        self.choice.failed(planner, now)
+        self.chooser.failed(planner, now)
         self.backoffs[planner].lost(window)
         self._return(now, planner, 0)
 
@@ -201,7 +201,7 @@
 
     # What planners say.
 
-    def said(self, now: int, planner: str, message: m.Message) -> None:
+    def receive(self, now: int, planner: str, message: m.Message) -> None:
         self.mute_since.pop(planner, None)
         task = self.pending.get(message.guest) if isinstance(message, m.Named) else None
         if task is None or task.planner != planner:
@@ -213,33 +213,33 @@
         elif message.ask != task.ask:
             self.counts["late_answers"] += 1
         elif isinstance(message, m.Held):
-            self.throttles[planner].told(now, True)
+            self.throttles[planner].record(now, True)
         elif isinstance(message, m.Placed):
             self._placed(now, task, message.machine)
         elif task.state not in ("asked", "doubt"):
             return
         elif isinstance(message, m.TurnedBack):
-            self.choice.answered(planner, now - task.sent_at, False, now)
+            self.chooser.answered(planner, now - task.sent_at, False, now)
             self._retry(now, task, "turned_back", message.again_after)
         elif isinstance(message, m.Rejected):
             if message.code in ("full", "stopping", "overloaded"):
-                self.throttles[planner].told(now, False)
-                self.choice.failed(planner, now)
+                self.throttles[planner].record(now, False)
+                self.chooser.failed(planner, now)
                 self._retry(now, task, "rejected", message.again_after)
             else:
                 self._finish(task, "rejected", reason=message.code)
         elif isinstance(message, m.BrokenOff):
-            self.choice.answered(planner, now - task.sent_at, False, now)
+            self.chooser.answered(planner, now - task.sent_at, False, now)
             self._may_have_run(now, task, "broken_off")
 
-    def _placed(self, now: int, task: PendingTask, machine: str) -> None:
+    def _placed(self, now: int, task: PendingGuest, machine: str) -> None:
         if task.state != "placed":
-            self.choice.answered(task.planner, now - task.sent_at, True, now)
+            self.chooser.answered(task.planner, now - task.sent_at, True, now)
             self.budget.served()
             task.state = "placed"
             self._tell(task, "placed", False, machine)
 
-    def _state(self, now: int, task: PendingTask, message: m.State) -> None:
+    def _state(self, now: int, task: PendingGuest, message: m.State) -> None:
         state = message.state
         if state == "running":
             self._placed(now, task, message.machine)
@@ -260,7 +260,7 @@
             # turned_back, unknown, or an end that leaves it wanted: it does not run.
             self._retry(now, task, "turned_back" if state == "turned_back" else "unanswered", 0)
 
-    def _may_have_run(self, now: int, task: PendingTask, reason: str) -> None:
+    def _may_have_run(self, now: int, task: PendingGuest, reason: str) -> None:
         """It may have run, or may still."""
         task.first_unsure = task.first_unsure or task.sent_at
         task.reason = reason
@@ -276,17 +276,17 @@
         else:
             self._retry(now, task, reason, 0)
 
-    def _doubt(self, now: int, task: PendingTask, wait: int) -> None:
+    def _doubt(self, now: int, task: PendingGuest, wait: int) -> None:
         task.state = "doubt"
         self._when(task, now + wait, "settle")
 
     # Going, and going again.
 
-    def _attempt(self, now: int, task: PendingTask) -> None:
+    def _attempt(self, now: int, task: PendingGuest) -> None:
         left = task.deadline - now
         if left < self.policy.least:
             return  # the deadline follows
-        planner = self.choice.pick([p for p in self.listed if self.up[p]], now)
+        planner = self.chooser.pick([p for p in self.listed if self.up[p]], now)
         if planner is None:
             task.state, task.due = "idle", now
             self._redial_sooner(now)
@@ -322,7 +322,7 @@
         )
         self._when(task, task.until + SECOND // 20, "unanswered")
 
-    def _retry(self, now: int, task: PendingTask, reason: str, advised: int) -> None:
+    def _retry(self, now: int, task: PendingGuest, reason: str, advised: int) -> None:
         """Once more, if there is time and the budget allows it."""
         task.reason = reason
         if task.cancelled:
@@ -341,11 +341,11 @@
             task.state, task.due = "idle", now + wait
             self._when(task, now + wait, "go")
 
-    def _final(self, task: PendingTask) -> str:
+    def _final(self, task: PendingGuest) -> str:
         """What is true of a guest that is given up between asks."""
         return "broken_off" if task.first_unsure and task.request.effect != "rerunnable" else "turned_back"
 
-    def _query(self, now: int, task: PendingTask) -> None:
+    def _query(self, now: int, task: PendingGuest) -> None:
         self._send(now, task.planner, m.Query(guest=task.request.guest, ask=task.ask))
 
     def _send(self, now: int, planner: str, message: m.Message) -> None:
@@ -355,13 +355,13 @@
             self.mute_since[planner] = now
             self._at(now + self.policy.silent, "mute", planner, now)
 
-    def _finish(self, task: PendingTask, state: str, machine: str = "", reason: str = "") -> None:
+    def _finish(self, task: PendingGuest, state: str, machine: str = "", reason: str = "") -> None:
         self._tell(task, state, True, machine, reason or task.reason)
         self.pending.pop(task.request.guest, None)
 
-    def _tell(self, task: PendingTask, state: str, final: bool, machine: str = "", reason: str = "") -> None:
+    def _tell(self, task: PendingGuest, state: str, final: bool, machine: str = "", reason: str = "") -> None:
         self.counts[state] += 1
-        self.actions.append(Tell(Outcome(task.request.guest, state, machine, reason, task.ask + 1), final))
+        self.actions.append(Notify(Outcome(task.request.guest, state, machine, reason, task.ask + 1), final))
 
     # The passing of time.
 
@@ -396,10 +396,10 @@
                     self._query(now, task)
                 self._when(task, now + SECOND // 2, "settle")
             elif what == "unanswered" and task.state == "asked":
-                self.choice.failed(task.planner, now)
+                self.chooser.failed(task.planner, now)
                 self._may_have_run(now, task, "unanswered")
 
-    def _deadline(self, now: int, task: PendingTask) -> None:
+    def _deadline(self, now: int, task: PendingGuest) -> None:
         """The owner waits no longer. What is placed stays placed; what is not is told as what it is."""
         if task.state == "placed":
             return
@@ -410,7 +410,7 @@
             reason="deadline",
         )
 
-    def _when(self, task: PendingTask, when: int, what: str) -> None:
+    def _when(self, task: PendingGuest, when: int, what: str) -> None:
         task.due = when
         self._at(when, what, task.request.guest, when)
 
--- a/hazelhold/client/types.py
+++ b/hazelhold/client/types.py
@@ -114,11 +114,11 @@
     planner: str
 
 
-class Tell(NamedTuple):
+class Notify(NamedTuple):
     """Tell the caller; `final` is set when nothing more comes for this guest."""
 
     outcome: Outcome
     final: bool
 
 
-Action = Send | Connect | Leave | Tell
+Action = Send | Connect | Leave | Notify
--- a/hazelhold/emulate/town.py
+++ b/hazelhold/emulate/town.py
@@ -14,7 +14,7 @@
 from msgspec.structs import replace
 
 from hazelhold.client.core import ClientCore
-from hazelhold.client.types import ClientPolicy, Connect, Leave, Send, TaskRequest, Tell
+from hazelhold.client.types import ClientPolicy, Connect, Leave, Notify, Send, TaskRequest
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.emulate.clock import Clock
 from hazelhold.engine.advice import Doorman
@@ -350,7 +350,7 @@
     def heard(self, name: str, number: int, message: m.Message) -> None:
         if self.links.get(name) == number:
             core = self.cores[name]
-            core.said(self.clock.now, "p", message)
+            core.receive(self.clock.now, "p", message)
             self._act(core)
 
     def lost(self, name: str, window: int) -> None:
@@ -388,7 +388,7 @@
                 self.links.pop(core.name, None)
                 self.back.pop(core.name, None)
                 self.office.owners.pop(core.name, None)
-            elif isinstance(action, Tell):
+            elif isinstance(action, Notify):
                 self._told(action)
         due = core.next_at()
         if due is not None and due < self.wakes.get(core.name, 1 << 62):
@@ -417,7 +417,7 @@
         if self.office.up and self.office.life == life:
             self.office.frame(name, message)
 
-    def _told(self, tell: Tell) -> None:
+    def _told(self, tell: Notify) -> None:
         outcome = tell.outcome
         self.counts[outcome.state] += 1
         if outcome.state == "placed":
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -13,7 +13,7 @@
 from hazelhold.client import BlockingClient, ClientPolicy, TaskRequest, open_client
 from hazelhold.client.backoff import ReconnectBackoff, RetryBudget
 from hazelhold.client.core import ClientCore
-from hazelhold.client.types import Connect, Send, Tell
+from hazelhold.client.types import Connect, Notify, Send
 from hazelhold.engine.advice import Advice, Doorman
 from hazelhold.protocol import messages as m
 from tests.helpers import MS, planner_config
@@ -40,7 +40,7 @@
         for action in actions:
             if isinstance(action, Send):
                 self.sent.append((action.planner, action.message))
-            elif isinstance(action, Tell):
+            elif isinstance(action, Notify):
                 self.told.append((action.outcome.guest, action.outcome.state, action.final))
             elif isinstance(action, Connect):
                 self.dials.append(action.planner)
@@ -57,7 +57,7 @@
         return sum(isinstance(s, m.Query) for _, s in self.sent)
 
     def says(self, now: int, planner: str, message: m.Message) -> None:
-        self.core.said(now, planner, message)
+        self.core.receive(now, planner, message)
         self.run(now)
 
     def passes(self, start: int, end: int) -> None:
@@ -181,13 +181,13 @@
 
 def test_a_planner_that_fails_is_passed_over_and_comes_back() -> None:
     caller = Caller()
-    choice = caller.core.choice
+    chooser = caller.core.chooser
     for _ in range(4):
-        choice.failed("p", 0)
-    assert {choice.pick(["p", "q"], MS) for _ in range(50)} == {"q"} and choice.pick(["p"], MS) == "p"
-    assert "p" in {choice.pick(["p", "q"], 60 * S) for _ in range(200)} or choice.known["p"].bad > 0.5
-    choice.answered("p", 1, True, 61 * S)
-    assert choice.known["p"].in_a_row == 0
+        chooser.failed("p", 0)
+    assert {chooser.pick(["p", "q"], MS) for _ in range(50)} == {"q"} and chooser.pick(["p"], MS) == "p"
+    assert "p" in {chooser.pick(["p", "q"], 60 * S) for _ in range(200)} or chooser.stats["p"].bad > 0.5
+    chooser.answered("p", 1, True, 61 * S)
+    assert chooser.stats["p"].in_a_row == 0
 
 
 events = st.lists(
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -10,8 +10,8 @@
 from trio.testing import MockClock
 
 from hazelhold.client import ClientPolicy, MayHaveRunError, RefusedError, TaskRequest, open_client
+from hazelhold.client.addresses import Watch, read_addresses
 from hazelhold.client.backoff import AdaptiveThrottle
-from hazelhold.client.places import Watch, read_places
 from hazelhold.client.types import Outcome
 from hazelhold.config.load import ConfigError
 from hazelhold.emulate.town import BIN, SECOND, Demand, Town
@@ -70,10 +70,10 @@
     for now in range(0, 20 * SECOND, 10 * MS):
         if throttle.allows(now):
             sent += 1
-            throttle.told(now, now % (200 * MS) == 0)  # a twentieth is taken
+            throttle.record(now, now % (200 * MS) == 0)  # a twentieth is taken
     assert sent < 500  # of 2,000
     opened = [
-        throttle.allows(now) and (throttle.told(now, True) or True)
+        throttle.allows(now) and (throttle.record(now, True) or True)
         for now in range(20 * SECOND, 40 * SECOND, 10 * MS)
     ]
     assert sum(opened[-500:]) == 500
@@ -170,7 +170,7 @@
         for number in range(40):
             outcome = await client.place(want(f"g{number}"))
             placed += outcome.state == "placed"
-        assert placed == 40 and client.core.choice.known["bad"].bad > client.core.choice.known["good"].bad
+        assert placed == 40 and client.core.chooser.stats["bad"].bad > client.core.chooser.stats["good"].bad
         assert (await client.query("g39")).state == "running"
 
     beside({"bad": bad, "good": placing}, test)
@@ -274,7 +274,7 @@
                 assert client.core.up == {"a:1": True, "b:2": True}
                 assert (await client.place(want("g2"))).state == "placed"
                 assert client.core.pending["g2"].planner == "b:2"
-                client.core.said(net.now(), "a:1", m.GuestEnded(guest="g1", how="done"))
+                client.core.receive(net.now(), "a:1", m.GuestEnded(guest="g1", how="done"))
                 await trio.sleep(2)
                 assert client.core.up == {"b:2": True} and list(client.wires) == ["b:2"]
             nursery.cancel_scope.cancel()
@@ -282,7 +282,7 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
     with pytest.raises(ConfigError, match="no such key|is missing"):
         path.write_text('{planer: {"b:2": "b:2"}}')
-        read_places(path)
+        read_addresses(path)
     with pytest.raises(ConfigError, match="is not host:port(.|\n)*has the address of"):
         path.write_text('{planners: {b: "b", c: "b"}}')
         Watch(path)
