--- a/bench/capacity/rows_claims.py
+++ b/bench/capacity/rows_claims.py
@@ -38,7 +38,7 @@
     def claim(self, number: int) -> None:
         key = f"claim/task-{number:08d}"
         take = Take("planner-0", 1, 0, 0, "worker-00001", number)
-        self.proposer.ask(number, key, take, self.sets(key), number + 10**9)
+        self.proposer.propose(number, key, take, self.sets(key), number + 10**9)
         while self.proposer.actions:
             actions, self.proposer.actions = self.proposer.actions, []
             for action in actions:
@@ -50,12 +50,12 @@
 
         def vote() -> None:
             nonlocal answer
-            answer = self.voters[action.to].hear(action.message)[0]
+            answer = self.voters[action.to].receive(action.message)[0]
 
         self.votes_time += processor_time(vote)
         self.messages += 2
         self.bytes += len(encode(action.message)) + len(encode(answer))
-        self.proposer.hear(now, action.to, answer)
+        self.proposer.receive(now, action.to, answer)
 
 
 def agreed(claims: int, planners: int = GROUP) -> Round:
@@ -159,12 +159,12 @@
         proposer = Proposer("p/1", 1, 1)
         for number in range(1, size + 1):
             key = f"claim/task-{number:08d}"
-            proposer.ask(number, key, Take("p", 1, 0, 0, "worker-00001", number), votes.sets(key), 10**12)
+            proposer.propose(number, key, Take("p", 1, 0, 0, "worker-00001", number), votes.sets(key), 10**12)
             while proposer.actions:
                 actions, proposer.actions = proposer.actions, []
                 for action in (a for a in actions if isinstance(a, Send)):
-                    answer, changes = votes.hear(action.message, 0)
+                    answer, changes = votes.receive(action.message, 0)
                     votes.store.commit(changes)
-                    proposer.hear(number, action.to, answer)
+                    proposer.receive(number, action.to, answer)
         yield votes.store.bytes - before
         votes.store.close()
--- a/bench/copies.py
+++ b/bench/copies.py
@@ -140,7 +140,7 @@
             mine = number
             event = asker.events[mine] = trio.Event()
             began = time.perf_counter()
-            part.ask(mine, f"claim/g{mine}", Take("p", 1, 0, 0, "m", mine), part.net.now() + 5_000_000)
+            part.propose(mine, f"claim/g{mine}", Take("p", 1, 0, 0, "m", mine), part.net.now() + 5_000_000)
             await event.wait()
             assert asker.ends.pop(mine) == "agreed"
             if note:
@@ -180,7 +180,9 @@
                 scopes.pop().cancel()
             event = asker.events[number] = trio.Event()
             began = time.perf_counter()
-            part.ask(number, f"claim/g{number}", Take("p", 1, 0, 0, "m", number), part.net.now() + 5_000_000)
+            part.propose(
+                number, f"claim/g{number}", Take("p", 1, 0, 0, "m", number), part.net.now() + 5_000_000
+            )
             await event.wait()
             longest = max(longest, time.perf_counter() - began)
             done += asker.ends.pop(number) == "agreed"
@@ -280,20 +282,20 @@
             differ += len(msgspec.msgpack.encode(messages.CellCopy(key, ballot, ballot, value)))
     sources = {n: RejoinServer(n, sets, a) for n, a in full.items()}
     for source in sources.values():
-        source.gives = True
+        source.can_serve = True
     rejoin_client, spent, longest = RejoinClient("a", sets, mine, 7), 0, 0.0
     began = time.perf_counter()
     for _ in range(5):
         rejoin_client.tick()
-        while rejoin_client.out:
-            out, rejoin_client.out = rejoin_client.out, []
+        while rejoin_client.outgoing:
+            out, rejoin_client.outgoing = rejoin_client.outgoing, []
             for each in out:
                 start = time.perf_counter()
-                answer = sources[each.to].hear("a", each.message)
+                answer = sources[each.to].receive("a", each.message)
                 spent += len(encode(each.message)) + len(encode(answer))
                 longest = max(longest, time.perf_counter() - start)
-                rejoin_client.hear(each.to, answer)
-    assert rejoin_client.over() and len(mine.cells) == count
+                rejoin_client.receive(each.to, answer)
+    assert rejoin_client.is_complete() and len(mine.cells) == count
     return {
         "cells": count,
         "behind": behind,
@@ -313,12 +315,12 @@
     drawn = time.perf_counter() - began
     proposer, sent = Proposer("p0/1", 1, 1), 0
     acceptors = {f"p{n}": Acceptor(1, True) for n in range(count)}
-    proposer.ask(0, "claim/g", Take("p0", 1, 0, 0, "m", 1), sets("claim/g"), 10**9)
+    proposer.propose(0, "claim/g", Take("p0", 1, 0, 0, "m", 1), sets("claim/g"), 10**9)
     while proposer.actions:
         actions, proposer.actions = proposer.actions, []
         for action in (a for a in actions if isinstance(a, Send)):
             sent += 2
-            proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
+            proposer.receive(1, action.to, acceptors[action.to].receive(action.message)[0])
     return {
         "planners": count,
         "words_a_claim": sent,
--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -87,7 +87,7 @@
         for name in names:
             process = made.processes[name]
             for _ in range(20):
-                process.core.hear(process.clock(made.now), spoilt(random, kept, names))
+                process.core.receive(process.clock(made.now), spoilt(random, kept, names))
                 made._carry_out(process)
                 done += 1
             assert len(process.core.table.members) <= MOST
--- a/hazelhold/emulate/heartbeats.py
+++ b/hazelhold/emulate/heartbeats.py
@@ -62,7 +62,7 @@
         for address in sorted(to | set(self.seeds) - {self.me.address}):
             self.actions.append(SendDatagram(address, "", body))
 
-    def hear(self, now: int, body: bytes) -> None:
+    def receive(self, now: int, body: bytes) -> None:
         self.now = now
         try:
             datagram = messages.decode(body, self.terms.deployment)
--- a/hazelhold/emulate/parley.py
+++ b/hazelhold/emulate/parley.py
@@ -115,7 +115,7 @@
     def _resume(self, process: Process) -> None:
         process.paused, process.resumed = False, self.now
         while process.up and process.inbox:
-            process.core.hear(process.clock(self.now), process.inbox.popleft())
+            process.core.receive(process.clock(self.now), process.inbox.popleft())
             self._carry_out(process)
         if process.up:
             self._wake(process, -1)
@@ -161,7 +161,7 @@
         if process.paused:
             process.inbox.append(body)
             return
-        process.core.hear(process.clock(self.now), body)
+        process.core.receive(process.clock(self.now), body)
         self._carry_out(process)
 
     def _wake(self, process: Process, due: int) -> None:
--- a/hazelhold/fleetconfig/control_host.py
+++ b/hazelhold/fleetconfig/control_host.py
@@ -157,7 +157,7 @@
 
     def _carry_out(self, now: int, action: c.Action) -> None:
         if isinstance(action, c.AskRegister):
-            self.replica_host.ask(action.asking, KEY, action.change, action.deadline)
+            self.replica_host.propose(action.asking, KEY, action.change, action.deadline)
         elif isinstance(action, c.Answer):
             self.door.send(Send(action.asker, action.answer))
         elif isinstance(action, c.Store):
@@ -240,4 +240,6 @@
         counts["stored"] = self.peers.stored
         counts["commits"], counts["disk_failures"] = self.writer.commits, self.writer.failures
         counts["unexpected_planners"] = self.fleet.unexpected
-        return control_status(self.net.now(), self.name, self.core, self.fleet, self.replica_host.cut, counts)
+        return control_status(
+            self.net.now(), self.name, self.core, self.fleet, self.replica_host.unavailable_reason, counts
+        )
--- a/hazelhold/membership/core.py
+++ b/hazelhold/membership/core.py
@@ -81,7 +81,7 @@
             MembershipChange("away", self.me.name, {"late_us": late, "doubt": self.local_health.level})
         )
 
-    def hear(self, now: int, body: bytes) -> None:
+    def receive(self, now: int, body: bytes) -> None:
         """Takes a datagram. One that cannot be taken is counted by its cause, and does nothing."""
         self._notice(now)
         try:
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -122,7 +122,7 @@
     def _drain(self) -> None:
         """Takes what has come, before any timer says that it has not."""
         for body, source in self.port.pending():
-            self.core.hear(self.net.now(), body)
+            self.core.receive(self.net.now(), body)
             self._carry_out(source)
 
     async def _tend(self) -> None:
--- a/hazelhold/replica/acceptor.py
+++ b/hazelhold/replica/acceptor.py
@@ -71,7 +71,7 @@
         was let go had promised, so that nothing of before comes back."""
         return self.empty.promised.number
 
-    def let_go(self, key: str) -> None:
+    def discard(self, key: str) -> None:
         """Forgets a cell whose value may be forgotten. The new floor has to be safe with it."""
         if cell := self.cells.pop(key, None):
             self._sum(key, -digest(key, cell))
@@ -83,7 +83,7 @@
     def votes_on(self, slot: int) -> bool:
         return self.voting if isinstance(self.voting, bool) else slot in self.voting
 
-    def entered(self, name: str, inc: messages.Incarnation) -> bool:
+    def record_incarnation(self, name: str, inc: messages.Incarnation) -> bool:
         """Another has started anew; False if a later start of it is known. To be made safe before it is
         told so."""
         if inc < self.known.get(name, messages.NO_INCARNATION):
@@ -102,7 +102,7 @@
         self.set(found.key, new)
         return Change(found.key, new)
 
-    def hear(
+    def receive(
         self, message: messages.Prepare | messages.Accept | messages.Query
     ) -> tuple[messages.Message, Change | None]:
         key, epoch, ballot = message.key, message.epoch, message.ballot
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -101,29 +101,35 @@
         config: CopiesConfig,
         net: Net,
         disk: Disk,
-        told: Callable[[int, str, bytes, str], None],
+        on_outcome: Callable[[int, str, bytes, str], None],
         recorder: Recorder | None = None,
         retention: Retention = keep_open_claims,
     ) -> None:
-        self.name, self.config, self.net, self.told, self.recorder = name, config, net, told, recorder
+        self.name, self.config, self.net, self.on_outcome, self.recorder = (
+            name,
+            config,
+            net,
+            on_outcome,
+            recorder,
+        )
         draw = SystemRandom()
         self.process = f"{name}/{net.wall()}/{draw.getrandbits(62):x}"
         self.proposer = Proposer(self.process, config.epoch, draw.getrandbits(62))
         self.votes = Votes(disk, name, config, draw.getrandbits(62), retention)
         self.sets = self.votes.sets
-        self.vote_writer = VoteWriter(self.votes, config, self._stirred)
+        self.vote_writer = VoteWriter(self.votes, config, self._notify)
         self.far = {
             p.name: RemoteReplica(p.name, config.reach.get(p.name, p.address))
             for p in config.planners
             if p.name != name
         }
         # The proposer's number: the asker's, and when it asked; emptied by each end.
-        self.asked: dict[int, tuple[int, int]] = {}
+        self.proposals: dict[int, tuple[int, int]] = {}
         self.packed: tuple[Struct | None, bytes] = None, b""  # the message sent last, and its frame
         self.counts: Counter[str] = Counter()
         self.log = structlog.get_logger().bind(planner=name)
-        self.stir = trio.Event()
-        self.cut = ""  # why nothing could be agreed lately
+        self.wake_event = trio.Event()
+        self.unavailable_reason = ""  # why nothing could be agreed lately
         self.address = ""
 
     def open(self) -> None:
@@ -134,7 +140,9 @@
         if self.votes.why:
             self.log.error("votes_lost", why=self.votes.why, folder=self.config.folder)
         self.vote_writer.begin(self.net.wall())
-        self.log.info("votes", cells=len(self.votes.acceptor.cells), vouched=self.votes.rejoin_client.over())
+        self.log.info(
+            "votes", cells=len(self.votes.acceptor.cells), vouched=self.votes.rejoin_client.is_complete()
+        )
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Until it is cancelled; `open` first."""
@@ -160,19 +168,19 @@
 
     # Askings.
 
-    def ask(self, no: int, key: str, change: Asked, deadline: int) -> None:
+    def propose(self, no: int, key: str, change: Asked, deadline: int) -> None:
         """Agrees on a change; `told` hears of it by the deadline, on this clock."""
         mine = self.proposer.number + 1
-        self.asked[mine] = no, self.net.now()
+        self.proposals[mine] = no, self.net.now()
         kind = type(change).__name__.lower()
         self._note(key, "ask", Note(self.process, mine, [kind, *change]))
         if (cell := self.votes.acceptor.cells.get(key)) is not None:
             self.proposer.promised(key, cell.promised)
-        self.proposer.ask(self.net.now(), key, change, self.sets(key), deadline)
-        self._stirred()
+        self.proposer.propose(self.net.now(), key, change, self.sets(key), deadline)
+        self._notify()
 
-    def _stirred(self) -> None:
-        self.stir.set()
+    def _notify(self) -> None:
+        self.wake_event.set()
 
     async def _tend(self) -> None:
         """Carries out what the proposer wants, and wakes it in time."""
@@ -188,23 +196,23 @@
             due = self.proposer.next_at()
             span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
             with trio.move_on_after(span):
-                await self.stir.wait()
+                await self.wake_event.wait()
             await trio.lowlevel.checkpoint()
-            self.stir = trio.Event()
+            self.wake_event = trio.Event()
 
     def _done(self, done: Done) -> None:
-        no, began = self.asked.pop(done.asked)
+        no, began = self.proposals.pop(done.number)
         self.counts["asked_" + done.outcome] += 1
         self._note(
             done.key,
             "agreed",
-            Note(self.process, done.asked, [], done.outcome, done.value, done.reason, done.rounds),
+            Note(self.process, done.number, [], done.outcome, done.value, done.reason, done.rounds),
         )
-        if done.outcome == "agreed" and self.cut:
-            self.cut = ""
+        if done.outcome == "agreed" and self.unavailable_reason:
+            self.unavailable_reason = ""
             self.log.warning("agrees_again")
-        elif done.outcome != "agreed" and done.reason not in (self.cut, "contended", "busy"):
-            self.cut = done.reason
+        elif done.outcome != "agreed" and done.reason not in (self.unavailable_reason, "contended", "busy"):
+            self.unavailable_reason = done.reason
             heard = sorted(f.name for f in self.far.values() if f.heard >= began)
             self.log.warning(
                 "cannot_agree",
@@ -212,17 +220,17 @@
                 key=done.key,
                 replicas=self.sets(done.key),
                 heard=heard,
-                votes=self._standing(),
+                votes=self._voting_status(),
             )
-        self.told(no, done.outcome, done.value, done.reason)
+        self.on_outcome(no, done.outcome, done.value, done.reason)
 
     def status(self) -> dict[str, str]:
         """For operators: whether claims are agreed from here, why not, and who is not heard."""
         silent = sorted(f.name for f in self.far.values() if f.used and self.net.now() - f.heard > LATELY)
         named = ", ".join(silent[:8]) + (f" and {len(silent) - 8} more" if silent[8:] else "")
-        return {"agrees": self.cut or "yes", "votes": self._standing(), "silent": named}
+        return {"agrees": self.unavailable_reason or "yes", "votes": self._voting_status(), "silent": named}
 
-    def _standing(self) -> str:
+    def _voting_status(self) -> str:
         some, all_ = len(self.votes.acceptor.voting), len(self.votes.rejoin_client.others)
         return "yes" if some == all_ else f"on {some} of {all_} slots"
 
@@ -234,7 +242,7 @@
 
     def _send(self, send: Send) -> None:
         if send.to == self.name:
-            answer, changes = self.votes.hear(send.message, self.net.wall())
+            answer, changes = self.votes.receive(send.message, self.net.wall())
             self.vote_writer.take(changes, lambda: self._answered(self.name, answer))
             return
         self._post(send.to, send.message)
@@ -260,15 +268,15 @@
         if isinstance(answer, messages.RejoinReply | messages.CellPage):
             self._copied(sender, answer)
             return
-        self.proposer.hear(self.net.now(), sender, answer)
-        self._stirred()
+        self.proposer.receive(self.net.now(), sender, answer)
+        self._notify()
 
     # Coming back.
 
     async def _rejoin(self) -> None:
         """Until this planner votes on all its slots again."""
         rejoin_client, began = self.votes.rejoin_client, self.net.now()
-        while not rejoin_client.over():
+        while not rejoin_client.is_complete():
             rejoin_client.tick()
             self._join_on()
             await trio.sleep(REJOIN)
@@ -276,7 +284,7 @@
             self._vote([])  # again, if the disk failed under its copies: they are in all that is written anew
             await trio.sleep(REJOIN / 10)
         lost = self.votes.why
-        self.vote_writer.take(self.votes.seated(), lambda: None)
+        self.vote_writer.take(self.votes.restore_seat(), lambda: None)
         self.log.warning(
             "votes_again" if lost else "votes",
             slots=len(rejoin_client.others),
@@ -287,12 +295,12 @@
         )
 
     def _join_on(self) -> None:
-        out, self.votes.rejoin_client.out = self.votes.rejoin_client.out, []
+        out, self.votes.rejoin_client.outgoing = self.votes.rejoin_client.outgoing, []
         for each in out:
             self._post(each.to, each.message)
 
     def _copied(self, sender: str, message: messages.RejoinReply | messages.CellPage) -> None:
-        self._vote(self.votes.told(sender, message, self.net.wall()))
+        self._vote(self.votes.receive_rejoin_reply(sender, message, self.net.wall()))
         self._join_on()
 
     def _vote(self, changes: list[Change]) -> None:
@@ -392,15 +400,15 @@
             self.counts["words_dropped"] += 1
             return
         if isinstance(message, messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest):
-            answer, changes = self.votes.asked(sender, message)
+            answer, changes = self.votes.receive_rejoin(sender, message)
         else:
-            answer, changes = self.votes.hear(message, self.net.wall())
+            answer, changes = self.votes.receive(message, self.net.wall())
         self.vote_writer.take(changes, lambda: wire.send(answer))
 
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(5.0)
-            if self.votes.rejoin_client.over() and (changes := self.votes.sweep(self.net.wall())):
+            if self.votes.rejoin_client.is_complete() and (changes := self.votes.sweep(self.net.wall())):
                 self.vote_writer.take(changes, lambda: None)
 
 
@@ -408,8 +416,8 @@
     """Makes votes safe and lets answers go: one commit at a time, what comes meanwhile shares the next. While
     the disk fails nothing is answered; every `retry_ms` all votes are written anew as a whole."""
 
-    def __init__(self, votes: Votes, config: CopiesConfig, stirred: Callable[[], None]) -> None:
-        self.votes, self.config, self.stirred = votes, config, stirred
+    def __init__(self, votes: Votes, config: CopiesConfig, on_commit: Callable[[], None]) -> None:
+        self.votes, self.config, self.on_commit = votes, config, on_commit
         self.store = votes.store
         self.queue: deque[tuple[list[Change], Callable[[], object]]] = deque()  # emptied by each commit
         self.busy = self.failed = False
@@ -449,18 +457,18 @@
         changes = list({(c.kind, c.key): c for each, _ in taken for c in each}.values())
         if changes:
             self.store.apply(changes)
-            wrong = await self._slowly(self.store.log, frames.batch(changes))
+            wrong = await self._run_with_timeout(self.store.log, frames.batch(changes))
             if wrong is None and self.store.due():
-                wrong = await self._slowly(self.store.finish, *self.store.prepare(wall))
+                wrong = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
             if wrong is not None:
                 self._fails(wrong)
                 return
             self.commits += 1
         for _, then in taken:
             then()
-        self.stirred()
+        self.on_commit()
 
-    async def _slowly(self, call: Callable[..., None], *given: object) -> OSError | None:
+    async def _run_with_timeout(self, call: Callable[..., None], *given: object) -> OSError | None:
         if self.store.disk.threaded:
             return await slowly(self.store, self.config.slow_ms, call, *given)
         try:
@@ -479,7 +487,7 @@
         for changes, _ in self.queue:
             self.store.apply(changes)
         self.queue.clear()
-        wrong = await self._slowly(self.store.finish, *self.store.prepare(wall))
+        wrong = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
         if wrong is None:
             self.failed = False
             self.log.warning("votes_work_again", waiting=len(self.queue))
--- a/hazelhold/replica/proposer.py
+++ b/hazelhold/replica/proposer.py
@@ -61,7 +61,7 @@
     heard of may have been chosen and changed by others since, so that the change of an agreed asking was made
     up to `rounds` times, the last on what others had made of it. Whoever swaps has to bear that."""
 
-    asked: int
+    number: int
     key: str
     outcome: str
     value: bytes
@@ -126,7 +126,7 @@
         self.ahead: dict[str, tuple[messages.Ballot, bytes]] = {}
         self.number = self.timer_no = self.under_way = 0
 
-    def ask(self, now: int, key: str, change: Change, replicas: Iterable[str], deadline: int) -> int:
+    def propose(self, now: int, key: str, change: Change, replicas: Iterable[str], deadline: int) -> int:
         """Begins an asking; its Done follows, by `deadline` at the latest if `wake` is called in time."""
         self.number += 1
         op = Operation(self.number, key, change, deadline, tuple(replicas))
@@ -162,7 +162,7 @@
             elif tries == op.tries and self.ops.get(op.key) is op:
                 self._round(now, op)
 
-    def hear(self, now: int, sender: str, message: messages.Message) -> None:
+    def receive(self, now: int, sender: str, message: messages.Message) -> None:
         """An acceptor's answer. What belongs to no ballot under way does nothing."""
         op = self.ops.get(message.key)
         if isinstance(message, messages.Refused):
--- a/hazelhold/replica/rejoin.py
+++ b/hazelhold/replica/rejoin.py
@@ -58,26 +58,26 @@
         self, name: str, sets: ReplicaSets, acceptor: Acceptor, nonce: int, trusted: bool = False
     ) -> None:
         self.name, self.sets, self.acceptor, self.nonce = name, sets, acceptor, nonce
-        self.others = sets.kept_by(name)  # by slot of ours: the other members
+        self.others = sets.slots_of(name)  # by slot of ours: the other members
         self.shared: dict[str, set[int]] = defaultdict(set)  # by planner: slots that both keep
         for slot, others in self.others.items():
             for other in others:
                 self.shared[other].add(slot)
         self.peers = {other: RejoinPeer() for other in self.shared}
         self.voted: set[int] = set()  # slots with all copied: the host lets it vote once that is safe
-        self.out: list[OutgoingMessage] = []  # emptied by the host
+        self.outgoing: list[OutgoingMessage] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
         self.no = 0
         if trusted or not self.peers:  # its own disk is enough
             acceptor.inc = messages.Incarnation(acceptor.inc.number + 1, nonce)
             self.voted = set(self.others)
 
-    def over(self) -> bool:
+    def is_complete(self) -> bool:
         return len(self.voted) == len(self.others)
 
     def tick(self) -> None:
         """Now and then: asks again whoever has not answered, or does not vote itself yet."""
-        if self.over():
+        if self.is_complete():
             return
         waits = any(m.state in ("wait", "enter", "copy") for m in self.peers.values())
         for other, mate in self.peers.items():
@@ -94,10 +94,10 @@
         if not any(m.state in ("enter", "copy") for m in self.peers.values()):
             self._next()
 
-    def hear(self, other: str, message: messages.RejoinReply | messages.CellPage) -> list[Change]:
+    def receive(self, other: str, message: messages.RejoinReply | messages.CellPage) -> list[Change]:
         """Returns what was copied: to be made safe before any vote on it."""
         mate = self.peers.get(other)
-        if mate is None or message.no != mate.no or self.over():
+        if mate is None or message.no != mate.no or self.is_complete():
             return []
         if isinstance(message, messages.RejoinReply):
             mate.known = max(mate.known, message.known)
@@ -145,7 +145,7 @@
                 changes.append(change)
         for name, inc in page.known.items():
             if name != self.name:
-                self.acceptor.entered(name, inc)
+                self.acceptor.record_incarnation(name, inc)
         self.acceptor.raise_floor(page.floor)
         mate.cells, mate.moved = mate.cells + len(page.cells), True
         self.counts["cells_heard"] += len(page.cells)
@@ -163,7 +163,7 @@
     def _next(self) -> None:
         """One at a time: what the one has sent, the next need not."""
         waiting = [o for o, m in self.peers.items() if m.state == "wait"]
-        if waiting and not self.over():
+        if waiting and not self.is_complete():
             other = min(waiting, key=lambda o: self.peers[o].done)  # those not copied from yet come first
             self._enter(other, self.peers[other])
 
@@ -177,7 +177,7 @@
     def _ask(self, other: str, mate: RejoinPeer, kind: type, **more: object) -> None:
         self.no += 1
         mate.no = self.no
-        self.out.append(OutgoingMessage(other, kind(no=self.no, **more)))
+        self.outgoing.append(OutgoingMessage(other, kind(no=self.no, **more)))
 
 
 class RejoinServer:
@@ -185,21 +185,21 @@
 
     def __init__(self, name: str, sets: ReplicaSets, acceptor: Acceptor) -> None:
         self.name, self.sets, self.acceptor = name, sets, acceptor
-        self.gives = False
+        self.can_serve = False
         self.lists: dict[
             str, tuple[messages.Incarnation, list[str], list[int]]
         ] = {}  # by rejoin client; the last copying of each
 
-    def hear(
+    def receive(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> messages.RejoinReply | messages.CellPage:
         """The answer. What is known of incarnations has to be safe before it leaves."""
         known = self.acceptor.known.get(other, messages.NO_INCARNATION)
         if isinstance(message, messages.RejoinQuery):
-            return messages.RejoinReply(message.no, known, self.gives)
+            return messages.RejoinReply(message.no, known, self.can_serve)
         if isinstance(message, messages.RejoinEntry):
-            if not self.gives or not self.acceptor.entered(other, message.inc):
-                return messages.RejoinReply(message.no, known, self.gives)
+            if not self.can_serve or not self.acceptor.record_incarnation(other, message.inc):
+                return messages.RejoinReply(message.no, known, self.can_serve)
             self.lists[other] = self._list(other, message)
             return self._page(other, message.no, 0)
         inc, _, _ = self.lists.get(other, (messages.NO_INCARNATION, [], []))
@@ -211,7 +211,7 @@
         self, other: str, message: messages.RejoinEntry
     ) -> tuple[messages.Incarnation, list[str], list[int]]:
         """Keys of the slots that differ, those whose fate is open first."""
-        both = {s for s, others in self.sets.kept_by(self.name).items() if other in others}
+        both = {s for s, others in self.sets.slots_of(self.name).items() if other in others}
         mine = self.acceptor.digests_of(both)
         differ = {s for s in both if mine.get(s, 0) != message.digests.get(s, 0)}
         cells = self.acceptor.cells
--- a/hazelhold/replica/sets.py
+++ b/hazelhold/replica/sets.py
@@ -68,7 +68,7 @@
             found = self.slots[slot] = replicas(f"slot/{slot}", self.planners, self.count)
         return found
 
-    def kept_by(self, name: str) -> dict[int, tuple[str, ...]]:
+    def slots_of(self, name: str) -> dict[int, tuple[str, ...]]:
         """The slots that a planner keeps, each with its other members."""
         if name not in self.kept:
             members = {slot: self.of(slot) for slot in range(self.size)}
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -167,11 +167,11 @@
         acceptor.inc = self.kept.get(self.name, messages.NO_INCARNATION)
         acceptor.known = {n: inc for n, inc in self.kept.items() if n != self.name}
         self.why = "no_seat" if seat is None else "" if seen.complete else "damaged"
-        self.source.gives = not self.why
+        self.source.can_serve = not self.why
         trusted = not self.why and ledger.image("vouch", "") is not None
         ledger.apply([drop("vouch", "")])
         self.rejoin_client = RejoinClient(self.name, self.sets, acceptor, self.nonce, trusted)
-        if self.rejoin_client.over():
+        if self.rejoin_client.is_complete():
             ledger.apply(self.incarnations())
             acceptor.voting = set(self.rejoin_client.voted)
         return seen
@@ -189,27 +189,29 @@
             self.store.close()
             raise StateError(f"the folder {wrong}")
 
-    def hear(
+    def receive(
         self, message: messages.Prepare | messages.Accept | messages.Query, wall: int
     ) -> tuple[messages.Message, list[Change]]:
         """The answer, and what has to be safe before it leaves."""
-        answer, change = self.acceptor.hear(message)
+        answer, change = self.acceptor.receive(message)
         if change is None:
             return answer, []
         self._ages(change.key, change.cell, wall)
         return answer, [put("cell", change.key, CellImage(*change.cell))]
 
-    def asked(
+    def receive_rejoin(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> tuple[messages.RejoinReply | messages.CellPage, list[Change]]:
         """Somebody comes back: the answer, and what has to be safe before it leaves."""
-        answer = self.source.hear(other, message)
+        answer = self.source.receive(other, message)
         return answer, self.incarnations()
 
-    def told(self, other: str, message: messages.RejoinReply | messages.CellPage, wall: int) -> list[Change]:
+    def receive_rejoin_reply(
+        self, other: str, message: messages.RejoinReply | messages.CellPage, wall: int
+    ) -> list[Change]:
         """What somebody told this one that comes back: what has to be safe before it votes on it."""
         changes, floor = [], self.acceptor.floor
-        for change in self.rejoin_client.hear(other, message):
+        for change in self.rejoin_client.receive(other, message):
             self._ages(change.key, change.cell, wall)
             changes.append(put("cell", change.key, CellImage(*change.cell)))
         if self.acceptor.floor > floor:
@@ -230,9 +232,9 @@
                 changes.append(put("inc", name, IncImage(*inc)))
         return changes
 
-    def seated(self) -> list[Change]:
+    def restore_seat(self) -> list[Change]:
         """All is copied: these votes are good to give from here on."""
-        self.why, self.source.gives = "", True
+        self.why, self.source.can_serve = "", True
         return [
             put("seat", "", Seat(self.name, self.config.deployment, self.config.epoch, digest(self.config)))
         ]
@@ -249,6 +251,6 @@
             _, key, ballot = self.aging.popleft()
             cell = cells.get(key)
             if cell is not None and cell.accepted == ballot:
-                self.acceptor.let_go(key)
+                self.acceptor.discard(key)
                 changes.append(drop("cell", key))
         return [put("floor", "", Floor(self.acceptor.floor)), *changes] if changes else []
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -106,5 +106,5 @@
             return actions
         for action in actions:
             if isinstance(action, Agree):
-                self.replica_host.ask(*action)
+                self.replica_host.propose(*action)
         return [a for a in actions if not isinstance(a, Agree)]
--- a/tests/fleetconfig_model.py
+++ b/tests/fleetconfig_model.py
@@ -150,7 +150,7 @@
                 if isinstance(each, Send):
                     self.to_acceptor(machine, each)
                 else:
-                    asking = machine.asked.pop(each.asked)
+                    asking = machine.asked.pop(each.number)
                     core.register_answered(self.now, asking, each.outcome, each.value, each.reason)
         times = [at for at in (core.next_at(), proposer.next_at()) if at is not None]
         if times and not self.now < machine.wakes_at <= max(self.now, min(times)):
@@ -168,19 +168,21 @@
         acceptor = self.machines[send.to]
 
         def hear() -> None:
-            answer, _ = acceptor.acceptor.hear(send.message)
+            answer, _ = acceptor.acceptor.receive(send.message)
             back = self.to_life(machine, lambda: self.from_acceptor(machine, send.to, answer))
             self.send(send.to, machine.name, back)
 
         self.send(machine.name, send.to, self.to_machine(acceptor, hear))
 
     def from_acceptor(self, machine: Machine, name: str, answer: Message) -> None:
-        machine.proposer.hear(self.now, name, answer)
+        machine.proposer.receive(self.now, name, answer)
 
     def act(self, machine: Machine, action: a.Action) -> None:
         name = machine.name
         if isinstance(action, a.AskRegister):
-            asked = machine.proposer.ask(self.now, KEY, action.change, tuple(self.machines), action.deadline)
+            asked = machine.proposer.propose(
+                self.now, KEY, action.change, tuple(self.machines), action.deadline
+            )
             machine.asked[asked] = action.asking
         elif isinstance(action, a.Answer):
             self.answered(machine, action)
--- a/tests/fleetconfig_space.py
+++ b/tests/fleetconfig_space.py
@@ -104,7 +104,7 @@
                 if isinstance(action, a.AskRegister) and self.asks[number]:
                     self.asks[number] -= 1
                     self.asking[number] = action.asking
-                    proposer.ask(1, KEY, action.change, NAMES, FAR)
+                    proposer.propose(1, KEY, action.change, NAMES, FAR)
                 elif isinstance(action, a.Answer):
                     answer = action.answer
                     self.answers += ((answer.id, answer.outcome, answer.number),)
@@ -148,10 +148,10 @@
         orders are here."""
         number, name, word = item
         self.flying -= {item}
-        answer, _ = self.acceptors[name].hear(word)
+        answer, _ = self.acceptors[name].receive(word)
         if isinstance(answer, w.Accepted):
             self._vote(name, word)
-        self.proposers[number].hear(1, name, answer)
+        self.proposers[number].receive(1, name, answer)
         self._carry(number)
         self._forget_idle()
 
--- a/tests/test_copies_host.py
+++ b/tests/test_copies_host.py
@@ -88,7 +88,7 @@
     async def agree(self, name: str, key: str, change: object, span: float = 2.0) -> tuple[str, bytes, str]:
         self.number += 1
         number, part = self.number, self.parts[name]
-        part.ask(number, key, change, part.net.now() + round(span * 1e6))
+        part.propose(number, key, change, part.net.now() + round(span * 1e6))
         await self.until(lambda: number in self.ends[name])
         return self.ends[name].pop(number)
 
@@ -163,7 +163,10 @@
         await made.start("p1")
         made.disks["p1"].fails = {"write": 5}
         await made.until(
-            lambda: made.parts["p1"].vote_writer.failures > 0 and made.parts["p1"].votes.rejoin_client.over()
+            lambda: (
+                made.parts["p1"].vote_writer.failures > 0
+                and made.parts["p1"].votes.rejoin_client.is_complete()
+            )
         )
         await trio.sleep(3)
         assert not made.parts["p1"].votes.acceptor.voting
@@ -213,16 +216,18 @@
     value = c.encode(c.Claim("p0", 1, 0, 0, "over", "m", "done"))
     held = c.encode(c.Claim("p0", 1, 0, 0, "held", "m"))
     for key, body in (("claim/over", value), ("claim/held", held)):
-        votes.store.apply(votes.hear(messages.Accept(key, 1, messages.Ballot(7, "x"), body), 0)[1])
+        votes.store.apply(votes.receive(messages.Accept(key, 1, messages.Ballot(7, "x"), body), 0)[1])
     assert votes.sweep(59_000_000) == []
     votes.store.apply(votes.sweep(61_000_000))
     assert list(votes.acceptor.cells) == ["claim/held"]
-    assert votes.hear(messages.Accept("claim/over", 1, messages.Ballot(7, "y"), b"?"), 0)[0].why == "ballot"
+    assert (
+        votes.receive(messages.Accept("claim/over", 1, messages.Ballot(7, "y"), b"?"), 0)[0].why == "ballot"
+    )
     votes.store.begin(62_000_000)
     votes.store.close()
     again = Votes(disk, "p0", alone, 2)
     again.open(62_000_000, "p0 2")
-    assert again.hear(messages.Prepare("claim/over", 1, messages.Ballot(7, "y")), 0)[0].why == "ballot"
+    assert again.receive(messages.Prepare("claim/over", 1, messages.Ballot(7, "y")), 0)[0].why == "ballot"
     assert again.acceptor.cells["claim/held"].value == held
 
 
@@ -237,7 +242,7 @@
     ended = c.encode(c.Claim("p0", 1, 0, 0, "over", "m", "done"))
     bodies = {"head": ended, "empty": b"", "other": msgspec.msgpack.encode({"number": 7})}
     for key, body in bodies.items():
-        votes.store.apply(votes.hear(messages.Accept(key, 1, messages.Ballot(7, "x"), body), 0)[1])
+        votes.store.apply(votes.receive(messages.Accept(key, 1, messages.Ballot(7, "x"), body), 0)[1])
     lasting = set(bodies) if retention is keep_all else {"other"}
     votes.store.begin(1)
     votes.store.close()
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -210,7 +210,7 @@
             while True:
                 await port.readable()
                 for body, source in port.pending():
-                    core.hear(1000, body)
+                    core.receive(1000, body)
                     for action in core.actions:
                         port.send(action.body, source) if hasattr(action, "body") else None
                     core.actions.clear()
@@ -236,8 +236,8 @@
 
     core = MembershipCore(Row("p0", 5, 9, 0, ALIVE, "a"), [], MembershipSettings("d"), 1, 0)
     core.start(0)
-    core.hear(5, b"torn")
-    core.hear(6, messages.encode("elsewhere", core.me, messages.Ping(1, "p0"), []))
+    core.receive(5, b"torn")
+    core.receive(6, messages.encode("elsewhere", core.me, messages.Ping(1, "p0"), []))
     text = generate_latest(MembershipMetrics(core, "127.0.0.1:1").registry).decode()
     assert 'hazelhold_members{state="alive"} 1.0' in text
     assert 'hazelhold_member_events_total{what="stranger"} 1.0' in text
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -42,7 +42,7 @@
         b"\x9a" * 1300,
         datagram(messages.Ack(1, "me"), (Row("y", 1 << 60, 1, 0, ALIVE, "a"),)),
     ]:
-        core.hear(1000, body)
+        core.receive(1000, body)
     assert core.counts == {"spoilt": 5, "stranger": 1, "newer_version": 1, "too_long": 1}
     assert len(core.table.members) == 1 and not core.actions
 
@@ -50,10 +50,10 @@
 @given(st.binary(max_size=300), st.integers(0, 200), st.integers(0, 255))
 def test_no_bytes_raise(noise: bytes, place: int, value: int) -> None:
     core = alone_core()
-    core.hear(10, noise)
+    core.receive(10, noise)
     body = bytearray(datagram(messages.Sync(1, [5] * messages.BUCKETS), (Row("x", 5, 3, 0, ALIVE, "at-x"),)))
     body[place % len(body)] = value
-    core.hear(20, bytes(body))
+    core.receive(20, bytes(body))
     core.wake(30)
 
 
@@ -65,7 +65,7 @@
     made.run(3)
     core = made.processes["m0"].core
     for number in range(1000):
-        core.hear(
+        core.receive(
             made.processes["m0"].clock(made.now),
             datagram(
                 messages.Rows(),
@@ -100,7 +100,7 @@
     core = made.processes["m0"].core
     before = {n: key(m.row) for n, m in core.table.members.items()}
     for body in kept:
-        core.hear(made.processes["m0"].clock(made.now), body)
+        core.receive(made.processes["m0"].clock(made.now), body)
     assert core.counts["earlier_life"] >= len(kept) > 20
     assert {n: key(m.row) for n, m in core.table.members.items()} == before
 
@@ -108,7 +108,7 @@
 def test_answers_to_questions_are_bounded_in_number_and_size() -> None:
     core = alone_core()
     for number in range(200):
-        core.hear(2000, datagram(messages.ViewQuery(number + 1), name="-"))
+        core.receive(2000, datagram(messages.ViewQuery(number + 1), name="-"))
     assert sum(not isinstance(a, MembershipChange) for a in core.actions) <= TERMS.answers_a_second + 1
     assert core.counts["put_off"] >= 150
 
@@ -131,7 +131,7 @@
             ),
             "x",
         )
-    core.hear(
+    core.receive(
         1000,
         datagram(
             messages.Sync(1, [5] * messages.BUCKETS),
@@ -140,7 +140,7 @@
             nonce=(1 << 62) + 1,
         ),
     )
-    core.hear(1000, datagram(messages.ViewQuery(3), name="-"))
+    core.receive(1000, datagram(messages.ViewQuery(3), name="-"))
     for at in range(2000, 3_000_000, 50_000):
         core.wake(at)
     sizes = [len(a.body) for a in core.actions if not isinstance(a, MembershipChange)]
--- a/tests/test_rejoin.py
+++ b/tests/test_rejoin.py
@@ -38,7 +38,7 @@
             self.name, self.sets, self.acceptor, self.lives
         )
         self.source = self.kinds.get("source", RejoinServer)(self.name, self.sets, self.acceptor)
-        self.source.gives = gives
+        self.source.can_serve = gives
         self.acceptor.voting = set(self.rejoin_client.voted)
 
     def safe(self) -> None:
@@ -47,8 +47,8 @@
 
     def votes(self) -> None:
         self.acceptor.voting = set(self.rejoin_client.voted)
-        if self.rejoin_client.over():
-            self.source.gives = True
+        if self.rejoin_client.is_complete():
+            self.source.can_serve = True
 
 
 class Town:
@@ -90,7 +90,7 @@
             "swap": (self.random.choice(values), self.random.choice(values)),
         }[kind]
         change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*given_)
-        no = self.proposers[at].ask(self.now, "k", change, self.names, self.now + 400 * MS)
+        no = self.proposers[at].propose(self.now, "k", change, self.names, self.now + 400 * MS)
         self.asked[at, no] = kind, given_, self.now
         self.act(at)
 
@@ -98,7 +98,7 @@
         actions, self.proposers[at].actions = self.proposers[at].actions, []
         for action in actions:
             if isinstance(action, Done):
-                kind, given_, begin = self.asked.pop((at, action.asked))
+                kind, given_, begin = self.asked.pop((at, action.number))
                 agreed = action.outcome == "agreed"
                 self.calls += [Call(kind, given_, None, begin)] * (action.rounds - agreed)
                 if agreed:
@@ -109,13 +109,13 @@
     def arrive(self, at: int, send: Send) -> None:
         """At whatever life of the acceptor is there: worse than any connection would have it."""
         member = self.members[send.to]
-        answer, change = member.acceptor.hear(send.message)
+        answer, change = member.acceptor.receive(send.message)
         if change is not None:
             member.safe()
         self.carry(self.answered, at, send.to, answer)
 
     def answered(self, at: int, name: str, answer: messages.Message) -> None:
-        self.proposers[at].hear(self.now, name, answer)
+        self.proposers[at].receive(self.now, name, answer)
         self.act(at)
 
     def tick(self) -> None:
@@ -131,16 +131,16 @@
 
     def restart(self, most: int) -> None:
         """One more starts, if fewer than so many are coming back. Its disk is gone, old, or as it was."""
-        away = [m for m in self.members.values() if not m.rejoin_client.over()]
+        away = [m for m in self.members.values() if not m.rejoin_client.is_complete()]
         if len(away) >= most:
             return
-        member = self.random.choice([m for m in self.members.values() if m.rejoin_client.over()])
+        member = self.random.choice([m for m in self.members.values() if m.rejoin_client.is_complete()])
         back = self.random.choice([0, 1, 2, 5, 10**6])
         member.start(back, gives=back < 10**6)
         self.restarts += 1
 
     def join_on(self, member: Member) -> None:
-        out, member.rejoin_client.out = member.rejoin_client.out, []
+        out, member.rejoin_client.outgoing = member.rejoin_client.outgoing, []
         for each in out:
             self.soon(self.joins, member.name, member.lives, each.to, each.message)
 
@@ -152,7 +152,7 @@
         message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
     ) -> None:
         member = self.members[to]
-        answer = member.source.hear(name, message)
+        answer = member.source.receive(name, message)
         member.safe()
         self.soon(self.joined, name, life, to, answer)
 
@@ -162,7 +162,7 @@
         member = self.members[name]
         if member.lives != life:
             return
-        member.rejoin_client.hear(sender, answer)
+        member.rejoin_client.receive(sender, answer)
         member.safe()
         member.votes()
         self.join_on(member)
@@ -200,7 +200,7 @@
         town = Town(seed)
         agreed += sum(c.result is not None for c in town.play(1, 6))
         back += town.restarts
-        assert all(m.rejoin_client.over() for m in town.members.values())
+        assert all(m.rejoin_client.is_complete() for m in town.members.values())
     assert agreed > 50 and back > 60
 
 
@@ -239,11 +239,11 @@
 class TellsNobody(RejoinServer):
     """Does not remember that somebody started anew."""
 
-    def hear(
+    def receive(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> object:
         before = dict(self.acceptor.known)
-        said = super().hear(other, message)
+        said = super().receive(other, message)
         self.acceptor.known.clear()
         self.acceptor.known.update(before)
         return said
@@ -276,7 +276,7 @@
 def says(town: Town, proposer: Proposer, *given_: tuple[str, messages.Message]) -> None:
     """These words come to these members, and their answers at once to the proposer."""
     for name, message in given_:
-        proposer.hear(1, name, town.members[name].acceptor.hear(message)[0])
+        proposer.receive(1, name, town.members[name].acceptor.receive(message)[0])
 
 
 def gone_and_back(town: Town, name: str) -> None:
@@ -285,12 +285,14 @@
     member.start(10**6, gives=False)
     for _ in range(4):
         member.rejoin_client.tick()
-        while member.rejoin_client.out:
-            out, member.rejoin_client.out = member.rejoin_client.out, []
+        while member.rejoin_client.outgoing:
+            out, member.rejoin_client.outgoing = member.rejoin_client.outgoing, []
             for each in out:
-                member.rejoin_client.hear(each.to, town.members[each.to].source.hear(name, each.message))
+                member.rejoin_client.receive(
+                    each.to, town.members[each.to].source.receive(name, each.message)
+                )
     member.votes()
-    assert member.rejoin_client.over()
+    assert member.rejoin_client.is_complete()
 
 
 def ready(proposer: type = Proposer, **kinds: type) -> tuple[Town, Proposer, Proposer]:
@@ -298,18 +300,18 @@
     gone_and_back(town, "m0")
     for member in town.members.values():
         member.acceptor.voting = {0}
-        member.source.gives = True
+        member.source.can_serve = True
     return town, proposer("p/1", 1, 1), proposer("q/1", 1, 2)
 
 
 def began(**kinds: type) -> tuple[Town, Proposer, Proposer, dict, dict]:
     """p wants v and has promises of a and b; q wants w, above it, and has promises of a and c."""
     town, p, q = ready(**kinds)
-    p.ask(0, "k", SetOnce(b"v"), town.names, 10**9)
+    p.propose(0, "k", SetOnce(b"v"), town.names, 10**9)
     mine = words(p)
     says(town, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
     q.highest = 5
-    q.ask(0, "k", SetOnce(b"w"), town.names, 10**9)
+    q.propose(0, "k", SetOnce(b"w"), town.names, 10**9)
     other = words(q)
     says(town, q, ("m0", other["m0"]), ("m2", other["m2"]))
     return town, p, q, words(p), words(q)
@@ -332,7 +334,7 @@
 )
 def test_an_answer_from_before_a_disk_was_lost_is_not_counted_with_one_from_after(broken: dict) -> None:
     town, p, q = ready(**broken)
-    p.ask(0, "k", SetOnce(b"v"), town.names, 10**9)
+    p.propose(0, "k", SetOnce(b"v"), town.names, 10**9)
     asks = words(p)
     says(town, p, ("m0", asks["m0"]), ("m1", asks["m1"]))
     asks = words(p)
@@ -340,7 +342,7 @@
     gone_and_back(town, "m0")
     says(town, p, ("m1", asks["m1"]))
     q.highest = 5
-    q.ask(0, "k", SetOnce(b"w"), town.names, 10**9)
+    q.propose(0, "k", SetOnce(b"w"), town.names, 10**9)
     for _ in range(2):
         asks = words(q)
         says(town, q, ("m0", asks["m0"]), ("m2", asks["m2"]))
@@ -359,10 +361,10 @@
 @pytest.mark.parametrize("acceptor", [Acceptor, pytest.param(CopiesVote, marks=BROKEN)])
 def test_what_was_copied_is_no_vote(acceptor: type) -> None:
     town, p, q, mine, other = began(acceptor=acceptor)
-    town.members["m1"].acceptor.hear(mine["m1"])  # p's value at m1 alone
+    town.members["m1"].acceptor.receive(mine["m1"])  # p's value at m1 alone
     gone_and_back(town, "m0")
     reader = Proposer("r/1", 1, 3)
-    reader.ask(0, "k", Read(), town.names, 10**9)
+    reader.propose(0, "k", Read(), town.names, 10**9)
     looks = words(reader)
     says(town, reader, ("m0", looks["m0"]), ("m1", looks["m1"]))
     read = agreed(reader)
@@ -379,17 +381,17 @@
     sources = {n: RejoinServer(n, sets, a) for n, a in acceptors.items()}
     rejoin_clients = {n: RejoinClient(n, sets, a, at) for at, (n, a) in enumerate(acceptors.items())}
     for source in sources.values():
-        source.gives = True
+        source.can_serve = True
     for _ in range(40):  # ticks; between two of them each planner is answered but twice
         for rejoin_client in rejoin_clients.values():
             rejoin_client.tick()
         for _ in range(2):
             for name, rejoin_client in rejoin_clients.items():
-                out, rejoin_client.out = rejoin_client.out, []
+                out, rejoin_client.outgoing = rejoin_client.outgoing, []
                 for each in out:
-                    rejoin_client.hear(each.to, sources[each.to].hear(name, each.message))
+                    rejoin_client.receive(each.to, sources[each.to].receive(name, each.message))
                 acceptors[name].voting = set(rejoin_client.voted)
-    assert all(j.over() for j in rejoin_clients.values())
+    assert all(j.is_complete() for j in rejoin_clients.values())
 
 
 # One that comes back, by hand.
@@ -400,11 +402,11 @@
     full = Acceptor(1, set(range(16)), name="b", sets=sets)
     for n in range(cells):
         ballot = messages.Ballot(n + 1, "p")
-        full.hear(messages.Prepare(f"k{n}", 1, ballot))
-        full.hear(messages.Accept(f"k{n}", 1, ballot, b"\x90"))
+        full.receive(messages.Prepare(f"k{n}", 1, ballot))
+        full.receive(messages.Accept(f"k{n}", 1, ballot, b"\x90"))
     blank = Acceptor(1, set(), name="a", sets=sets)
     source = RejoinServer("b", sets, full)
-    source.gives = True
+    source.can_serve = True
     return RejoinClient("a", sets, blank, 7), source, blank
 
 
@@ -412,12 +414,12 @@
     """Carries what goes to and from b; returns how many words it took."""
     rejoin_client.tick()
     words = 0
-    while rejoin_client.out:
-        out, rejoin_client.out = rejoin_client.out, []
+    while rejoin_client.outgoing:
+        out, rejoin_client.outgoing = rejoin_client.outgoing, []
         for each in out:
             words += 1
             if each.to == source.name and words != lose:
-                rejoin_client.hear("b", source.hear("a", each.message))
+                rejoin_client.receive("b", source.receive("a", each.message))
     return words
 
 
@@ -445,7 +447,7 @@
 
 def test_one_that_lost_its_votes_gives_none_until_it_has_them_again() -> None:
     rejoin_client, source, _ = pair(5)
-    source.gives = False
+    source.can_serve = False
     run(rejoin_client, source)
     assert rejoin_client.peers["b"].state == "hail" and not rejoin_client.voted
 
@@ -470,14 +472,14 @@
     assert blank.voting
     rejoin_client.voted.pop()  # it is not over yet
     rejoin_client.tick()
-    hail = next(each for each in rejoin_client.out if each.to == "c")
-    rejoin_client.hear("c", messages.RejoinReply(hail.message.no, messages.Incarnation(9, 1), True))
+    hail = next(each for each in rejoin_client.outgoing if each.to == "c")
+    rejoin_client.receive("c", messages.RejoinReply(hail.message.no, messages.Incarnation(9, 1), True))
     assert blank.inc == messages.Incarnation(10, 7) and not blank.voting and not rejoin_client.voted
     assert not any(m.done for m in rejoin_client.peers.values())
 
 
 def test_a_floor_comes_with_the_copies() -> None:
     rejoin_client, source, blank = pair(5)
-    source.acceptor.let_go("k4")
+    source.acceptor.discard("k4")
     run(rejoin_client, source)
     assert blank.floor == source.acceptor.floor == 6 and "k4" not in blank.cells
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -47,7 +47,7 @@
         self.done: tuple[tuple[int, str, bytes], ...] = ()
         self.votes: frozenset[tuple] = frozenset()  # every accept that any acceptor ever made
         for number, proposer_ in enumerate(self.proposers):
-            proposer_.ask(0, "k", SetOnce(b"v%d" % number), NAMES, FAR)
+            proposer_.propose(0, "k", SetOnce(b"v%d" % number), NAMES, FAR)
             self.collect(number)
 
     def collect(self, number: int) -> None:
@@ -101,11 +101,11 @@
         later coming of what follows from it does not: so all orders are here."""
         number, name, message = item
         self.flying -= {item}
-        answer, _ = self.acceptors[name].hear(message)
+        answer, _ = self.acceptors[name].receive(message)
         if isinstance(answer, messages.Accepted):
             self.votes |= {(name, message.ballot, message.value)}
         if answered:
-            self.proposers[number].hear(1, name, answer)
+            self.proposers[number].receive(1, name, answer)
             self.collect(number)
 
     def again(self, number: int) -> None:
@@ -194,9 +194,9 @@
 class Forgets(Acceptor):
     """Does not keep what it promised."""
 
-    def hear(self, message: messages.Prepare | messages.Accept) -> tuple[messages.Message, object]:
+    def receive(self, message: messages.Prepare | messages.Accept) -> tuple[messages.Message, object]:
         before = self.cells.get(message.key, Cell())
-        said = super().hear(message)
+        said = super().receive(message)
         if isinstance(message, messages.Prepare) and message.key in self.cells:
             self.cells[message.key] = before
         return said
@@ -237,7 +237,7 @@
 class SeenByOne(Proposer):
     """Reads without comparing what a majority says."""
 
-    def hear(self, now: int, sender: str, message: messages.Message) -> None:
+    def receive(self, now: int, sender: str, message: messages.Message) -> None:
         op = self.ops.get(message.key)
         if (
             isinstance(message, messages.QueryReply)
@@ -247,7 +247,7 @@
         ):
             self._end(now, op, "agreed", message.value)
         else:
-            super().hear(now, sender, message)
+            super().receive(now, sender, message)
 
 
 class HalfIsEnough(Proposer):
@@ -273,10 +273,10 @@
 def test_an_old_epoch_and_one_without_its_disk_are_refused_by_name() -> None:
     acceptor = Acceptor(2, True)
     message = messages.Prepare("k", 1, messages.Ballot(1, "p"))
-    answer, change = acceptor.hear(message)
+    answer, change = acceptor.receive(message)
     assert (answer.why, answer.now, change) == ("epoch", 2, None)
     blank = Acceptor(1, False)
-    assert blank.hear(message)[0].why == "no_vote" and not blank.cells
+    assert blank.receive(message)[0].why == "no_vote" and not blank.cells
 
 
 # One proposer's face: outcomes, waiting, giving up.
@@ -293,24 +293,24 @@
             if isinstance(action, Done):
                 found.append(action)
             elif action.to not in deaf:
-                answer, _ = acceptors[action.to].hear(action.message)
-                proposer.hear(now, action.to, answer)
+                answer, _ = acceptors[action.to].receive(action.message)
+                proposer.receive(now, action.to, answer)
     return found
 
 
 def test_once_swap_and_read_in_turn() -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one, two = Proposer("p/1", 1, 1), Proposer("q/1", 1, 2)
-    one.ask(0, "k", SetOnce(b"x"), NAMES, FAR)
-    one.ask(0, "k", CompareAndSwap(b"x", b"y"), NAMES, FAR)
-    one.ask(0, "k", Read(), NAMES, FAR)
+    one.propose(0, "k", SetOnce(b"x"), NAMES, FAR)
+    one.propose(0, "k", CompareAndSwap(b"x", b"y"), NAMES, FAR)
+    one.propose(0, "k", Read(), NAMES, FAR)
     assert [(d.outcome, d.value) for d in table(one, acceptors)] == [
         ("agreed", b"x"),
         ("agreed", b"y"),
         ("agreed", b"y"),
     ]
     assert not one.ops and not one.waiting
-    two.ask(0, "k", SetOnce(b"z"), NAMES, FAR)
+    two.propose(0, "k", SetOnce(b"z"), NAMES, FAR)
     table(two, acceptors)
     two.wake(two.next_at())  # its ballot was below the last: it tries above it
     assert [d.value for d in table(two, acceptors)] == [b"y"]
@@ -322,16 +322,16 @@
 def test_a_late_answer_to_an_earlier_look_is_not_taken_for_this_ones(proposer: type) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one, two = proposer("p/1", 1, 1), Proposer("q/1", 1, 2)
-    one.ask(0, "k", Read(), NAMES, 1000)
-    late = [(a.to, acceptors[a.to].hear(a.message)[0]) for a in one.actions]
+    one.propose(0, "k", Read(), NAMES, 1000)
+    late = [(a.to, acceptors[a.to].receive(a.message)[0]) for a in one.actions]
     one.actions = []
     one.wake(1000)  # nothing came: it gave up
     one.actions = []
-    two.ask(1001, "k", SetOnce(b"x"), NAMES, FAR)
+    two.propose(1001, "k", SetOnce(b"x"), NAMES, FAR)
     assert [d.value for d in table(two, acceptors)] == [b"x"]
-    one.ask(1002, "k", Read(), NAMES, FAR)
+    one.propose(1002, "k", Read(), NAMES, FAR)
     for name, answer in late:
-        one.hear(1003, name, answer)
+        one.receive(1003, name, answer)
     assert [d.value for d in table(one, acceptors)] == [b"x"]
 
 
@@ -341,26 +341,26 @@
 def test_the_next_change_of_a_key_needs_one_round_and_its_ballot_carries_one_value(proposer: type) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one = proposer("p/1", 1, 1)
-    one.ask(0, "k", SetOnce(b"x"), NAMES, FAR)
+    one.propose(0, "k", SetOnce(b"x"), NAMES, FAR)
     table(one, acceptors)
-    one.ask(1, "k", CompareAndSwap(b"x", b"y"), NAMES, 1000)
+    one.propose(1, "k", CompareAndSwap(b"x", b"y"), NAMES, 1000)
     assert [type(a.message) for a in one.actions] == [messages.Accept] * 3
     carried: dict[messages.Ballot, set[bytes]] = {}
 
-    def hear(actions: list) -> None:
+    def receive(actions: list) -> None:
         for action in actions:
             if isinstance(action.message, messages.Accept):
                 carried.setdefault(action.message.ballot, set()).add(action.message.value)
-            one.hear(2, action.to, acceptors[action.to].hear(action.message)[0])
+            one.receive(2, action.to, acceptors[action.to].receive(action.message)[0])
 
-    hear([a for a in one.actions if a.to == "a"])  # the others do not hear of it
+    receive([a for a in one.actions if a.to == "a"])  # the others do not hear of it
     one.actions = []
     one.wake(1000)
     one.actions = []
-    one.ask(1001, "k", CompareAndSwap(b"x", b"z"), NAMES, FAR)
+    one.propose(1001, "k", CompareAndSwap(b"x", b"z"), NAMES, FAR)
     while sends := [a for a in one.actions if isinstance(a, Send)]:
         one.actions = []
-        hear(sends)
+        receive(sends)
     assert all(len(values) == 1 for values in carried.values())
 
 
@@ -374,7 +374,7 @@
     for number, each in enumerate(turns):
         if hints and "k" in acceptors["a"].cells:
             each.promised("k", acceptors["a"].cells["k"].promised)
-        each.ask(number, "k", CompareAndSwap(value, value + b"x"), NAMES, FAR)
+        each.propose(number, "k", CompareAndSwap(value, value + b"x"), NAMES, FAR)
         value += b"x"
         done: list[Done] = []
         while not done:
@@ -393,7 +393,7 @@
     actions, proposer.actions = proposer.actions, []
     for action in actions:
         if isinstance(action, Send):
-            proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
+            proposer.receive(1, action.to, acceptors[action.to].receive(action.message)[0])
     found = [action for action in proposer.actions if isinstance(action, Done)]
     proposer.actions = [action for action in proposer.actions if isinstance(action, Send)]
     return found
@@ -403,7 +403,7 @@
 def test_without_a_majority_nothing_is_promised_and_the_asker_is_told(deaf: tuple, outcome: str) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 2_000_000)
+    proposer.propose(0, "k", SetOnce(b"x"), NAMES, 2_000_000)
     found = table(proposer, acceptors, deaf=deaf)
     while not found and proposer.next_at() is not None:
         now = proposer.next_at()
@@ -416,9 +416,9 @@
 def test_an_accept_that_left_without_answers_is_open_not_refused() -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 100_000)
+    proposer.propose(0, "k", SetOnce(b"x"), NAMES, 100_000)
     for action in [a for a in proposer.actions if isinstance(a, Send)]:
-        proposer.hear(1, action.to, acceptors[action.to].hear(action.message)[0])
+        proposer.receive(1, action.to, acceptors[action.to].receive(action.message)[0])
     proposer.actions = []  # its accepts are lost, or their answers are
     proposer.wake(100_000)
     assert [(a.outcome, a.value) for a in proposer.actions] == [("open", b"")]
@@ -427,7 +427,7 @@
 def test_votes_of_blank_members_do_not_make_a_majority() -> None:
     acceptors = {"a": Acceptor(1, True), "b": Acceptor(1, False), "c": Acceptor(1, False)}
     proposer = Proposer("p/1", 1, 1)
-    proposer.ask(0, "k", SetOnce(b"x"), NAMES, 1_000_000)
+    proposer.propose(0, "k", SetOnce(b"x"), NAMES, 1_000_000)
     found, now = table(proposer, acceptors), 0
     while not found:
         now = max(now, proposer.next_at())
@@ -541,7 +541,7 @@
         if hints:
             cells = acceptors[random.choice(NAMES)].cells
             proposers[at].promised("k", cells["k"].promised if "k" in cells else messages.NO_BALLOT)
-        no = proposers[at].ask(now, "k", change, NAMES, now + 400_000)
+        no = proposers[at].propose(now, "k", change, NAMES, now + 400_000)
         asked[at, no] = kind, given_, now
         carry(at)
 
@@ -549,7 +549,7 @@
         actions, proposers[at].actions = proposers[at].actions, []
         for action in actions:
             if isinstance(action, Done):
-                kind, given_, begin = asked.pop((at, action.asked))
+                kind, given_, begin = asked.pop((at, action.number))
                 agreed = action.outcome == "agreed"
                 # a round that was not heard of may have been made at any time, or never
                 calls.extend(Call(kind, given_, None, begin) for _ in range(action.rounds - agreed))
@@ -560,12 +560,12 @@
                     later(random.randint(100, 60_000), arrive, at, action)
 
     def arrive(at: int, action: Send) -> None:
-        answer, _ = acceptors[action.to].hear(action.message)
+        answer, _ = acceptors[action.to].receive(action.message)
         for _ in range(random.choice([0, 1, 1, 1, 1, 2])):
             later(random.randint(100, 60_000), answered, at, action.to, answer)
 
     def answered(at: int, name: str, answer: messages.Message) -> None:
-        proposers[at].hear(now, name, answer)
+        proposers[at].receive(now, name, answer)
         carry(at)
 
     def tick() -> None:
