--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -16,7 +16,7 @@
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership import messages
 from hazelhold.membership.core import MembershipSettings, SendDatagram
-from hazelhold.membership.rows import ALIVE, Row, told
+from hazelhold.membership.rows import ALIVE, Row, encode_row
 
 MOST = 64
 
@@ -60,7 +60,7 @@
         deployment,
         Row(random.choice(["ghost-1", "m9", ""]) or "x", 1, 1, 0, ALIVE, "nowhere"),
         payload,
-        [told(ghost)],
+        [encode_row(ghost)],
     )
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -49,15 +49,15 @@
         super().__init__(*given)
         self.local_health = NoDoubt()
 
-    def _notice(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         self.now = max(now, self.now)
 
     def _failed(self, probe: Any) -> None:  # noqa: ANN401
         probe.witnesses.add(self.me.name)
         super()._failed(probe)
 
-    def _called_gone(self, member: Any, row: Any, teller: str) -> None:  # noqa: ANN401
-        self._take(row, teller)
+    def _merge_gone(self, member: Any, row: Any, reporter: str) -> None:  # noqa: ANN401
+        self._take(row, reporter)
 
 
 KINDS: dict[str, Callable[..., Any]] = {"hazelhold": MembershipCore, "swim": Swim, "heartbeats": Heartbeats}
--- a/hazelhold/cli/copies.py
+++ b/hazelhold/cli/copies.py
@@ -58,7 +58,7 @@
     from hazelhold.state.disk import RealDisk
 
     name, copies_config = _copies_config(config)
-    votes.vouch(RealDisk(Path(copies_config.folder)), name, time.time_ns() // 1000)
+    votes.confirm(RealDisk(Path(copies_config.folder)), name, time.time_ns() // 1000)
     click.echo(f"{name} will vote from {copies_config.folder} at its next start, and at that one alone")
 
 
--- a/hazelhold/cli/fleetconfig.py
+++ b/hazelhold/cli/fleetconfig.py
@@ -108,7 +108,7 @@
     from hazelhold.state.disk import RealDisk
 
     read = read_control(file)
-    votes.vouch(RealDisk(Path(read.votes.folder)), read.name, time.time_ns() // 1000)
+    votes.confirm(RealDisk(Path(read.votes.folder)), read.name, time.time_ns() // 1000)
     click.echo(f"{read.name} will vote from {read.votes.folder} at its next start, and at that one alone")
 
 
--- a/hazelhold/membership/__init__.py
+++ b/hazelhold/membership/__init__.py
@@ -1,2 +1,2 @@
-"""Who else is there, as far as that can be known: a hint for routing and for saying what is wrong, never a
+"""Gossip membership among planners (SWIM). A member's view is a hint for routing and diagnosis, never a
 proof."""
--- a/hazelhold/membership/base.py
+++ b/hazelhold/membership/base.py
@@ -1,4 +1,4 @@
-"""What all parts of the membership core share: state, timers, and the datagrams that leave. No I/O."""
+"""State, timers and sending of datagrams, shared by all parts of the membership core. No I/O."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,35 +17,36 @@
 
 
 class MembershipBase:
-    """State, timers and sending of one planner's membership; `Core` is the whole."""
+    """State, timers and sending of one planner's membership. `MembershipCore` is the complete protocol."""
 
-    def __init__(self, me: Row, seeds: list[str], terms: MembershipSettings, seed: int, now: int) -> None:
-        self.terms, self.seeds, self.now = terms, seeds, now
+    def __init__(self, me: Row, seeds: list[str], settings: MembershipSettings, seed: int, now: int) -> None:
+        self.settings, self.seeds, self.now = settings, seeds, now
         self.random = Random(f"membership/{seed}")
-        self.table = Table(me, now, self.random, terms.most_members)
+        self.table = Table(me, now, self.random, settings.most_members)
         self.local_health = LocalHealth()
         self.actions: list[SendDatagram | Reply | MembershipChange] = []
         self.counts: Counter[str] = Counter()
         self.probes: dict[int, Probe] = {}
-        self.probing: set[str] = set()  # whom own probes are after
-        self.asked_for: dict[tuple[str, int], int] = {}  # probes for others, by asker and its number
+        self.probing: set[str] = set()  # members that this planner is probing
+        # indirect probes on behalf of others: (requester, its number) to the number used here
+        self.relayed_probes: dict[tuple[str, int], int] = {}
         self.timers: list[tuple[int, int, str, object]] = []
         self.timer_no = 0
-        self.deadlines: dict[str, int] = {}  # of suspicions, by name
-        self.accused_me = 0  # accusations of this life that were refuted
-        self.settled = False  # somebody answered the join
+        self.deadlines: dict[str, int] = {}  # when each suspicion ends, by name
+        self.refutations = 0  # suspicions of this incarnation that were refuted
+        self.settled = False  # a member answered the join
         self.join_no = self.join_pause = 0
-        self.rival: Row | None = None  # another process under this name, being asked whether it is there
+        self.conflict: Row | None = None  # another process with this name, which is being probed
         self.yielded = self.leaving = self.left = False
-        self.beside: Callable[[], dict[str, str]] = dict  # what else operators are told of this planner
-        self.fruitless = 0  # own probes in a row without answer or witness
+        self.extra_status: Callable[[], dict[str, str]] = dict  # more status values for operators
+        self.unanswered_probes = 0  # consecutive own probes without an ack or a witness
         self.alone_since = -1
         self.away_last = self.away_times = 0
-        self.allowance, self.allowed_at = float(terms.answers_a_second), now
+        self.tokens, self.tokens_at = float(settings.answers_a_second), now
         self.resync = False
-        self.taken = 0  # rows that were news
-        self.recent: dict[str, None] = {}  # who sent something last, at most RECENT, the latest at the end
-        # newer rows than the datagram being heard told; emptied by the next
+        self.taken = 0  # received rows that changed the table
+        self.recent: dict[str, None] = {}  # the last RECENT senders, the latest at the end
+        # rows that are newer than those in the current datagram; emptied by the next datagram
         self.corrections: list[msgspec.Raw] = []
 
     @property
@@ -53,48 +54,51 @@
         return self.table.members[self.table.me].row
 
     def next_at(self) -> int | None:
-        """When `wake` has something to do; None if never again."""
+        """When `wake` is due next, in microseconds; None if no timer is set."""
         return self.timers[0][0] if self.timers else None
 
     def _at(self, when: int, what: str, about: object = None) -> None:
         self.timer_no += 1
         heappush(self.timers, (when, self.timer_no, what, about))
 
-    def _may(self) -> bool:
-        """Bounds what is sent for the asking: no sender gets more out of this planner than it sets itself."""
-        rate = self.terms.answers_a_second
-        self.allowance = min(float(rate), self.allowance + (self.now - self.allowed_at) * rate / 1e6)
-        self.allowed_at = self.now
-        if self.allowance < 1:
+    def _within_rate(self) -> bool:
+        """Limits the rate of replies (token bucket), so that queries cannot make this planner flood the
+        network."""
+        rate = self.settings.answers_a_second
+        self.tokens = min(float(rate), self.tokens + (self.now - self.tokens_at) * rate / 1e6)
+        self.tokens_at = self.now
+        if self.tokens < 1:
             self.counts["put_off"] += 1
             return False
-        self.allowance -= 1
+        self.tokens -= 1
         return True
 
     def _number(self) -> int:
         return self.random.getrandbits(62) + 1
 
-    def _word_on(self, name: str) -> list[msgspec.Raw]:
-        """What is held against the receiver, told to itself first, so that it can refute."""
+    def _accusation_against(self, name: str) -> list[msgspec.Raw]:
+        """The receiver's own row if it is not alive here. It goes first, so that the receiver can refute."""
         member = self.table.members.get(name)
         return [member.raw] if member and member.row.state != ALIVE else []
 
     def _send(
         self, address: str, name: str, payload: messages.Payload, first: list[msgspec.Raw], fill: bool = True
     ) -> None:
-        """One datagram: the rows given, then as many rumours as fit."""
+        """Sends one datagram: the rows `first`, then as many queued gossip rows as fit."""
         rows = first
         if fill:
             room = (
-                messages.MAX_BYTES - 8 - len(messages.encode(self.terms.deployment, self.me, payload, first))
+                messages.MAX_BYTES
+                - 8
+                - len(messages.encode(self.settings.deployment, self.me, payload, first))
             )
-            gossip, _ = self.table.gossip.take(self.table, room, self.tellings())
+            gossip, _ = self.table.gossip.take(self.table, room, self.retransmit_limit())
             rows = [*first, *gossip]
         self.actions.append(
-            SendDatagram(address, name, messages.encode(self.terms.deployment, self.me, payload, rows))
+            SendDatagram(address, name, messages.encode(self.settings.deployment, self.me, payload, rows))
         )
 
-    def tellings(self) -> int:
-        """How often each row is told: enough that all know with any likelihood wanted, by the logarithm
-        (SWIM)."""
+    def retransmit_limit(self) -> int:
+        """How often each row is sent. It grows with the logarithm of the members, which is enough for a row
+        to reach all of them with high probability (SWIM)."""
         return 2 * max(2, ceil(log2(len(self.table) + 1)))
--- a/hazelhold/membership/core.py
+++ b/hazelhold/membership/core.py
@@ -1,17 +1,17 @@
-"""Membership without I/O: datagrams and time in, datagrams and news out; deterministic from its seed.
+"""The membership protocol without I/O: datagrams and time in, datagrams and changes out.
 
-Driven like the engine: `hear(now, body)` and `wake(now)`, then `actions` in order, `next_at()` for when to
-come back. Times are whole microseconds of this process's own monotonic clock, which need agree with
-nobody's.
+The core is deterministic for a given seed. Its host calls `receive(now, body)` and `wake(now)`, carries out
+`actions` in order, and calls again at `next_at()`. Times are whole microseconds of this process's own
+monotonic clock; clocks of different planners need not agree.
 
-The rule of the whole: *alive means answers*. A member is accused only after its probe failed, directly and
-through helpers, and at least one helper said so (a witness: proof that this planner is heard and hears).
-Who is deaf, cannot be heard, is alone or was just paused has no witness and accuses nobody. What nobody
-answered for long without a witness is shown as unanswered in this planner's own view and told to no other.
+*Alive means that it answers.* A member is suspected only after its probe failed, directly and through
+helpers, and at least one helper reported so. Such a helper is a witness: it proves that this planner can
+both send and receive. A planner that cannot send, cannot receive, is alone or was just paused has no witness
+and suspects nobody. A member that has not answered for long, without a witness, is shown as unanswered in
+this planner's own view and is not reported to others.
 
-The parts stand in modules of their own, each resting on the one before: `base` (state, timers, sending),
-`merging` (rows), `exchange` (whole tables), `probing`, `views`; `Core` here hears datagrams and keeps the
-time.
+Each module builds on the one before: `base` (state, timers, sending), `merging` (rows), `exchange` (whole
+tables), `probing`, `views`. `MembershipCore` in this module receives datagrams and runs the timers.
 """
 
 from heapq import heappop
@@ -25,8 +25,8 @@
 
 __all__ = ["RECENT", "MembershipCore", "MembershipChange", "SendDatagram", "Reply", "MembershipSettings"]
 
-RECENT = 24  # whose helpers are drawn from: some three seconds of senders at the usual pace
-HANDLERS = {  # a payload's type: the method that takes it
+RECENT = 24  # senders that helpers are drawn from: about three seconds of senders at the default settings
+HANDLERS = {  # payload type to the method that handles it
     messages.Ping: "_on_ping",
     messages.PingRequest: "_on_ping_request",
     messages.Ack: "_on_ack",
@@ -37,57 +37,58 @@
 
 
 class MembershipCore(Views):
-    """One planner's membership. `me` is its first row: alive, seq 0, with the life to begin with."""
+    """One planner's membership. `me` is its first row: alive, seq 0, with the initial incarnation."""
 
     def start(self, now: int) -> None:
+        """Sets the first timers. `now` is in microseconds, as everywhere in this class."""
         self.now = now
-        self.join_pause = self.terms.join
-        self.settled = not any(s != self.me.address for s in self.seeds)  # nobody to ask: others come
+        self.join_pause = self.settings.join
+        self.settled = not any(s != self.me.address for s in self.seeds)  # no other seed: others join here
         self._at(now, "join")
-        self._at(now + self.random.randrange(self.terms.probe), "probe")
-        self._at(now + self.random.randrange(self.terms.sync), "sync")
-        self._at(now + self.random.randrange(self.terms.heal), "heal")
+        self._at(now + self.random.randrange(self.settings.probe), "probe")
+        self._at(now + self.random.randrange(self.settings.sync), "sync")
+        self._at(now + self.random.randrange(self.settings.heal), "heal")
 
     def wake(self, now: int) -> None:
-        """Does all that is due."""
-        self._notice(now)
+        """Runs all timers that are due."""
+        self._detect_pause(now)
         while self.timers and self.timers[0][0] <= now:
             _, _, what, about = heappop(self.timers)
             if not self.left:
                 getattr(self, f"_{what}_due")(about) if about is not None else getattr(self, f"_{what}_due")()
 
-    def _notice(self, now: int) -> None:
-        """Notices from its own clock that it was away: nothing that it waited for in that time says
-        anything."""
+    def _detect_pause(self, now: int) -> None:
+        """Detects from the own clock that this process was paused. Answers that it missed in that time prove
+        nothing about the others."""
         self.now = max(now, self.now)
         if not self.timers:
             return
         late = self.now - self.timers[0][0]
-        if late <= self.terms.answer or self.left:
+        if late <= self.settings.answer or self.left:
             return
         self.away_last, self.away_times = late, self.away_times + 1
         for probe in list(self.probes.values()):
             self._end_probe(probe)
         self.deadlines = {name: at + late for name, at in self.deadlines.items()}
-        self.local_health.more(1 + late // self.terms.suspect)
+        self.local_health.more(1 + late // self.settings.suspect)
         self.timers = [
             (at + late if what == "gone" else max(at, self.now), no, what, about)
             for at, no, what, about in self.timers
         ]
         self.timers.sort()
-        for name in self.table.live.some(self.random, self.terms.helpers):
-            self._sync_with(name)  # they say at once if this life is accused
+        for name in self.table.live.sample(self.random, self.settings.helpers):
+            self._sync_with(name)  # they report at once if this incarnation is suspected
         self.actions.append(
             MembershipChange("away", self.me.name, {"late_us": late, "doubt": self.local_health.level})
         )
 
     def receive(self, now: int, body: bytes) -> None:
-        """Takes a datagram. One that cannot be taken is counted by its cause, and does nothing."""
-        self._notice(now)
+        """Handles a datagram. One that is not accepted is counted by its cause and has no effect."""
+        self._detect_pause(now)
         try:
-            datagram = messages.decode(body, self.terms.deployment)
-        except messages.UnreadableError as wrong:
-            self.counts[str(wrong)] += 1
+            datagram = messages.decode(body, self.settings.deployment)
+        except messages.UnreadableError as error:
+            self.counts[str(error)] += 1
             return
         payload = datagram.payload
         if isinstance(payload, messages.ViewQuery):
@@ -97,12 +98,13 @@
             self.counts["not_taken"] += 1
             return
         if datagram.sender == self.me.name:
-            self._namesake(datagram)
+            self._name_conflict(datagram)
             return
         known = self.table.row(datagram.sender)
         if known is not None and (datagram.life, datagram.nonce) < (known.life, known.nonce):
-            self.counts["earlier_life"] += 1  # a replay, or a process that should yield: told what stands
-            if self._may():
+            # a replay, or a process that should yield: it gets the current row
+            self.counts["earlier_life"] += 1
+            if self._within_rate():
                 self._send(
                     datagram.at, datagram.sender, messages.Rows(), [self.table.members[datagram.sender].raw]
                 )
@@ -118,24 +120,28 @@
             self.counts["not_taken"] += 1
             return
         if self.taken > taken and isinstance(payload, messages.Rows):
-            self._resync()  # a comparison that brought something is followed by another
+            self._resync()  # a comparison that brought new rows is followed by another
         getattr(self, HANDLERS[type(payload)])(datagram, payload)
         known = self.table.row(datagram.sender)
-        if (known is None or (datagram.life, datagram.nonce) > (known.life, known.nonce)) and self._may():
-            self._send_sync(datagram.at, datagram.sender)  # its row is not here
+        if (
+            known is None or (datagram.life, datagram.nonce) > (known.life, known.nonce)
+        ) and self._within_rate():
+            self._send_sync(datagram.at, datagram.sender)  # its row is missing here
 
-    def _namesake(self, datagram: messages.Datagram) -> None:
-        """A datagram from a process of this planner's own name: the answer to a challenge, or a rival's
-        traffic."""
+    def _name_conflict(self, datagram: messages.Datagram) -> None:
+        """Handles a datagram from a process with this planner's own name: an ack to the probe of a
+        conflicting member, or that member's other traffic."""
         if datagram.nonce == self.me.nonce:
             self.counts["own_word"] += 1
             return
         self.counts["namesake"] += 1
-        rival = self.rival
+        conflict = self.conflict
         if (
-            rival
+            conflict
             and isinstance(datagram.payload, messages.Ack)
-            and (datagram.life, datagram.nonce) >= (rival.life, rival.nonce) > (self.me.life, self.me.nonce)
+            and (datagram.life, datagram.nonce)
+            >= (conflict.life, conflict.nonce)
+            > (self.me.life, self.me.nonce)
         ):
             self.yielded = True
             self.timers.clear()
@@ -152,11 +158,11 @@
             self._send(datagram.at, datagram.sender, messages.Ack(datagram.payload.no, self.me.name), [])
         for row in datagram.rows:
             if row.name == self.me.name and not self.yielded:
-                self._about_me(row, datagram.sender)
+                self._merge_own_row(row, datagram.sender)
 
     def leave(self, now: int) -> None:
-        """Leaves on purpose: tells some members three times; `left` once that is done."""
-        self._notice(now)
+        """Leaves the group: sends the new state to some members three times, then sets `left`."""
+        self._detect_pause(now)
         if self.leaving or self.yielded:
             self.left = True
             return
@@ -165,7 +171,7 @@
         self._leave_due(0)
 
     def _leave_due(self, times: int) -> None:
-        for name in self.table.live.some(self.random, 4):
+        for name in self.table.live.sample(self.random, 4):
             self._send(
                 self.table.row(name).address, name, messages.Rows(), [self.table.members[self.me.name].raw]
             )
@@ -173,4 +179,4 @@
             self.left = True
             self.timers.clear()
             return
-        self._at(self.now + self.terms.leave, "leave", times + 1)
+        self._at(self.now + self.settings.leave, "leave", times + 1)
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -1,4 +1,4 @@
-"""Runs one planner's membership on a datagram port, inside the planner's nursery."""
+"""Runs the membership of one planner on a datagram port, in the planner's nursery."""
 
 import ipaddress
 from collections.abc import Callable
@@ -28,13 +28,14 @@
 
 
 class Note(msgspec.Struct):
-    """What a planner came to believe, in its record."""
+    """A change of a planner's view, as it is written to its record."""
 
     what: str
     life: int
 
 
-def terms(config: MembershipConfig) -> MembershipSettings:
+def settings(config: MembershipConfig) -> MembershipSettings:
+    """The settings of the core, from milliseconds and seconds to microseconds."""
     return MembershipSettings(
         deployment=config.deployment,
         probe=micros(config.probe_ms),
@@ -51,7 +52,8 @@
 
 @lru_cache(maxsize=8192)
 def numeric(address: str) -> tuple[str, int] | None:
-    """host:port with an IP address as host; None for anything else, which a datagram is never sent to."""
+    """Host and port of `host:port` with an IP address as host. None for anything else: names that other
+    members report are never looked up."""
     try:
         host, port = split_address(address)
         ipaddress.ip_address(host)
@@ -61,7 +63,8 @@
 
 
 class MembershipHost:
-    """One planner's membership: `core` holds the view. `run` ends by being cancelled, or after `leave`."""
+    """Hosts one planner's membership; `core` holds its view. `run` ends when it is cancelled or after
+    `leave`."""
 
     def __init__(
         self, name: str, config: MembershipConfig, net: Net, recorder: Recorder | None = None
@@ -70,8 +73,8 @@
         self.log = structlog.get_logger().bind(planner=name)
         self.core: MembershipCore | None = None
         self.port: Port | None = None
-        self.stirred = trio.Event()
-        self.beside: Callable[[], dict[str, str]] = dict  # what else `hazelhold members` shows
+        self.notified = trio.Event()
+        self.extra_status: Callable[[], dict[str, str]] = dict  # more values for `hazelhold members`
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         config, draw = self.config, SystemRandom()
@@ -89,9 +92,9 @@
                 speaks=[VERSION],
             )
             self.core = MembershipCore(
-                me, list(config.seeds), terms(config), draw.getrandbits(62), self.net.now()
+                me, list(config.seeds), settings(config), draw.getrandbits(62), self.net.now()
             )
-            self.core.beside = self.beside
+            self.core.extra_status = self.extra_status
             self.core.start(self.net.now())
             self.log.info(
                 "membership",
@@ -108,7 +111,7 @@
                     from hazelhold.membership.metrics import MembershipMetrics
 
                     nursery.start_soon(MembershipMetrics(self.core, config.metrics).run)
-                await self._tend()
+                await self._run_timers()
                 nursery.cancel_scope.cancel()
         finally:
             self.port.close()
@@ -117,26 +120,26 @@
         while True:
             await self.port.readable()
             self._drain()
-            self.stirred.set()
+            self.notified.set()
 
     def _drain(self) -> None:
-        """Takes what has come, before any timer says that it has not."""
+        """Handles all datagrams that have arrived, before a timer could count them as missing."""
         for body, source in self.port.pending():
             self.core.receive(self.net.now(), body)
             self._carry_out(source)
 
-    async def _tend(self) -> None:
+    async def _run_timers(self) -> None:
         core = self.core
         while not core.left:
             self._drain()
             core.wake(self.net.now())
             self._carry_out(None)
             due = core.next_at()
-            span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
-            with trio.move_on_after(span):
-                await self.stirred.wait()
+            timeout = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
+            with trio.move_on_after(timeout):
+                await self.notified.wait()
             await trio.lowlevel.checkpoint()
-            self.stirred = trio.Event()
+            self.notified = trio.Event()
 
     def _carry_out(self, source: object) -> None:
         actions, self.core.actions = self.core.actions, []
@@ -147,7 +150,7 @@
             elif isinstance(action, Reply):
                 self.port.send(action.body, source)
             else:
-                self._say(action)
+                self._log_change(action)
 
     def _send(self, body: bytes, address: str) -> None:
         to = numeric(address) if self.port.numeric else address
@@ -160,21 +163,21 @@
         if self.recorder is not None:
             self.recorder.note(self.net.now(), name, "member", Note(what, life))
 
-    def _say(self, news: MembershipChange) -> None:
-        self._note(news.name, news.what, news.cause.get("life", -1))
-        if news.what == "yielded":
-            self.log.error("member_yielded", member=news.name, **news.cause)
+    def _log_change(self, change: MembershipChange) -> None:
+        self._note(change.name, change.what, change.cause.get("life", -1))
+        if change.what == "yielded":
+            self.log.error("member_yielded", member=change.name, **change.cause)
         else:
-            say = self.log.warning if news.what in WARNINGS else self.log.info
-            say("member", state=news.what, member=news.name, **news.cause)
+            log = self.log.warning if change.what in WARNINGS else self.log.info
+            log("member", state=change.what, member=change.name, **change.cause)
 
     async def leave(self) -> None:
-        """Tells the others, for as long as that takes: under a second."""
+        """Leaves the group and waits until the others were informed, at most a second."""
         if self.core is None:
             return
         self.core.leave(self.net.now())
         self._carry_out(None)
-        self.stirred.set()
+        self.notified.set()
         with trio.move_on_after(1.0):
             while not self.core.left:
                 await trio.sleep(0.02)
--- a/hazelhold/membership/merging.py
+++ b/hazelhold/membership/merging.py
@@ -1,4 +1,4 @@
-"""Takes what others tell of members: which rows hold, suspicions, confirmations, refutations. No I/O."""
+"""Merges rows from other members: precedence, suspicions, confirmations, refutations. No I/O."""
 
 import msgspec
 
@@ -11,18 +11,18 @@
 
 
 class Merging(MembershipBase):
-    """Rows of others and of this planner itself, and the suspicions that rest on them."""
+    """Merges rows about others and about this planner, and runs the suspicions that follow."""
 
-    def _merge(self, row: Row, teller: str) -> None:
-        """Takes a row that somebody told, if it is newer than what stands."""
+    def _merge(self, row: Row, reporter: str) -> None:
+        """Merges a row that `reporter` sent; it is taken if it is newer than the row in the table."""
         if row.name == self.me.name:
-            self._about_me(row, teller)
+            self._merge_own_row(row, reporter)
             return
         member = self.table.members.get(row.name)
         if member is None:
             if row.state in (GONE, LEFT):
-                return  # nobody that this planner ever knew
-            if len(self.table.members) >= self.terms.most_members:
+                return  # this planner never knew the member
+            if len(self.table.members) >= self.settings.most_members:
                 self.counts["table_full"] += 1
                 return
         elif key(row) < key(member.row):
@@ -34,108 +34,111 @@
                 self._confirm(member, row.by)
             return
         elif row.state == GONE:
-            self._called_gone(member, row, teller)
+            self._merge_gone(member, row, reporter)
             return
-        self._take(row, teller)
+        self._take(row, reporter)
 
-    def _called_gone(self, member: Member, row: Row, teller: str) -> None:
-        """Others' word that one is gone holds here once it had the least time to say otherwise: after a
-        split has healed each half still holds the other gone, and tells it so."""
+    def _merge_gone(self, member: Member, row: Row, reporter: str) -> None:
+        """Accepts another's report that a member is gone only after the minimum suspicion time, in which the
+        member can refute it: after a partition has healed, each side still has the other as gone, and reports
+        it so."""
         if key(member.row)[:4] != key(row)[:4] or member.row.state != SUSPECTED:
-            self._take(msgspec.structs.replace(row, state=SUSPECTED), teller)
-        elif self.now - member.suspected >= self.terms.suspect and not self.fruitless:
-            self._take(row, teller)
+            self._take(msgspec.structs.replace(row, state=SUSPECTED), reporter)
+        elif self.now - member.suspected >= self.settings.suspect and not self.unanswered_probes:
+            self._take(row, reporter)
             return
-        self._due_by(member, member.suspected + self.terms.suspect)
+        self._due_by(member, member.suspected + self.settings.suspect)
 
     def _due_by(self, member: Member, deadline: int) -> None:
-        """The suspicion ends then, or before if that was set already."""
+        """Ends the suspicion at `deadline`, or earlier if an earlier end is set."""
         name = member.row.name
         if name not in self.deadlines or deadline < self.deadlines[name]:
             self.deadlines[name] = deadline
             self._at(deadline, "gone", (name, key(member.row)))
 
-    def _take(self, row: Row, teller: str, **more: object) -> None:
+    def _take(self, row: Row, reporter: str, **details: object) -> None:
         self.taken += 1
-        before = self.table.put(row, self.now)
+        previous = self.table.put(row, self.now)
         member = self.table.members[row.name]
         self.deadlines.pop(row.name, None)
         if row.state == SUSPECTED:
             member.suspected = self.now
             self._confirm(member, row.by)
         elif row.state in (GONE, LEFT):
-            self._at(self.now + self.terms.forget, "forget", (row.name, key(row)))
-        if before is None or before.state != row.state or not same_life(before, row):
-            self._tell(row, before, teller, member, more)
+            self._at(self.now + self.settings.forget, "forget", (row.name, key(row)))
+        if previous is None or previous.state != row.state or not same_life(previous, row):
+            self._report(row, previous, reporter, member, details)
 
-    def _tell(
-        self, row: Row, before: Row | None, teller: str, member: Member, more: dict[str, object]
+    def _report(
+        self, row: Row, previous: Row | None, reporter: str, member: Member, details: dict[str, object]
     ) -> None:
         cause = {
-            "from": STATES[before.state] if before else "unknown",
+            "from": STATES[previous.state] if previous else "unknown",
             "life": row.life,
             "seq": row.seq,
-            "told_by": teller,
+            "told_by": reporter,
             "by": row.by,
             "accusers": list(member.accusers),
             "doubt": self.local_health.level,
-            **more,
+            **details,
         }
         self.counts[f"became_{STATES[row.state]}"] += 1
         self.actions.append(MembershipChange(STATES[row.state], row.name, cause))
 
     def _confirm(self, member: Member, by: str) -> None:
-        """One more who accuses: the suspicion waits less, and is told again."""
+        """Adds a confirmation: the suspicion becomes shorter, and the row is sent again."""
         if by in member.accusers or len(member.accusers) > CONFIRMATIONS:
             return
-        member.accuse(by)
+        member.add_accuser(by)
         self.table.gossip.add(member.row.name)
-        span = suspicion_timeout(
-            self.terms.suspect,
-            self.terms.suspect_most,
+        timeout = suspicion_timeout(
+            self.settings.suspect,
+            self.settings.suspect_most,
             len(member.accusers),
             expected_confirmations(len(self.table)),
         )
-        self._due_by(member, member.suspected + self.local_health(span))
+        self._due_by(member, member.suspected + self.local_health(timeout))
 
     def _gone_due(self, about: tuple) -> None:
-        name, stood = about
+        name, expected_key = about
         member = self.table.members.get(name)
         deadline = self.deadlines.get(name)
-        if member is None or key(member.row) != stood or deadline is None:
+        if member is None or key(member.row) != expected_key or deadline is None:
             return
-        if deadline > self.now or self.fruitless:  # whoever has no answers now may have missed the refutation
-            self._at(max(deadline, self.now + self.terms.answer), "gone", about)
+        if deadline > self.now or self.unanswered_probes:  # without acks, a refutation may have been missed
+            self._at(max(deadline, self.now + self.settings.answer), "gone", about)
             return
         row = msgspec.structs.replace(member.row, state=GONE, by=self.me.name)
         self._take(row, self.me.name, accusers=list(member.accusers))
 
     def _forget_due(self, about: tuple) -> None:
-        name, stood = about
+        name, expected_key = about
         member = self.table.members.get(name)
-        if member and key(member.row) == stood:
+        if member and key(member.row) == expected_key:
             self.table.forget(name)
 
-    def _about_me(self, row: Row, teller: str) -> None:
-        """Somebody's word on this planner: an accusation is refuted, another process under the name is
-        asked."""
+    def _merge_own_row(self, row: Row, reporter: str) -> None:
+        """Handles a row about this planner: refutes a suspicion, and probes another process with this
+        name."""
         mine = self.me
         if not same_life(row, mine):
             if (row.life, row.nonce) > (mine.life, mine.nonce):
                 if self.settled:
                     self._challenge(row)
                 else:
-                    self._new_life(row.life + 1)  # an earlier process's, still remembered
+                    self._new_life(row.life + 1)  # of an earlier process, still remembered
             return
         if key(row) <= key(mine) or self.leaving:
             if row.state != ALIVE:
-                self.corrections.append(self.table.members[mine.name].raw)  # refuted, and not heard there
+                self.corrections.append(
+                    self.table.members[mine.name].raw
+                )  # refuted, but the refutation did not arrive there
             return
         if row.state == LEFT or row.seq + 1 >= SEQ_BOUND:
             self._new_life(mine.life + 1)
             return
         if row.state != ALIVE:
-            self.accused_me += 1
+            self.refutations += 1
             self.local_health.more()
             self.actions.append(
                 MembershipChange(
@@ -144,7 +147,7 @@
                     {
                         "held": STATES[row.state],
                         "by": row.by,
-                        "told_by": teller,
+                        "told_by": reporter,
                         "seq": row.seq + 1,
                         "doubt": self.local_health.level,
                     },
@@ -155,7 +158,7 @@
 
     def _my_row(self, **changes: object) -> None:
         self.table.put(msgspec.structs.replace(self.me, by="", **changes), self.now)
-        for name in self.table.live.some(self.random, self.terms.helpers):
+        for name in self.table.live.sample(self.random, self.settings.helpers):
             self._send(self.table.row(name).address, name, messages.Rows(), [])
 
     def _new_life(self, life: int) -> None:
@@ -165,19 +168,20 @@
         self._my_row(life=life, seq=0)
 
     def _challenge(self, row: Row) -> None:
-        """A younger life of this name is told of: is it there? If so this one yields; a ghost is outlived."""
-        if self.rival is None:
-            self.rival = row
-            self._at(self.now, "rival", 0)
-
-    def _rival_due(self, tries: int) -> None:
-        rival = self.rival
-        if rival is None or (rival.life, rival.nonce) < (self.me.life, self.me.nonce):
-            self.rival = None
+        """Probes a younger incarnation of this name that was reported. If it answers, this process yields;
+        otherwise it takes a greater incarnation."""
+        if self.conflict is None:
+            self.conflict = row
+            self._at(self.now, "conflict", 0)
+
+    def _conflict_due(self, tries: int) -> None:
+        conflict = self.conflict
+        if conflict is None or (conflict.life, conflict.nonce) < (self.me.life, self.me.nonce):
+            self.conflict = None
             return
         if tries == 4:
-            self.rival = None
-            self._new_life(rival.life + 1)
+            self.conflict = None
+            self._new_life(conflict.life + 1)
             return
-        self._send(rival.address, "", messages.Ping(self._number(), self.me.name), [], fill=False)
-        self._at(self.now + self.terms.answer, "rival", tries + 1)
+        self._send(conflict.address, "", messages.Ping(self._number(), self.me.name), [], fill=False)
+        self._at(self.now + self.settings.answer, "conflict", tries + 1)
--- a/hazelhold/membership/messages.py
+++ b/hazelhold/membership/messages.py
@@ -1,8 +1,8 @@
 """The datagrams between planners: MessagePack, at most 1,200 bytes, one payload each.
 
-Each names its deployment, so that strangers are told apart, and its sender with life and nonce, so that
-what an earlier life sent is known as such. `at` is where the sender is reached: answers never go by a
-datagram's source, which address translation and the rig's wires change.
+Each names its deployment, so that foreign datagrams are recognized, and its sender with `life` and `nonce`
+(its incarnation), so that datagrams of an earlier incarnation are recognized. `at` is the sender's address:
+replies never go to a datagram's source, which address translation and the test rig's proxies change.
 """
 
 from typing import Annotated
@@ -20,25 +20,25 @@
 
 
 class Payload(Struct, array_like=True, frozen=True):
-    """What a datagram is for, besides the rows that it carries."""
+    """The purpose of a datagram, besides the rows that it carries."""
 
 
 class Ping(Payload, tag=1):
-    """Are you there? Answered by the member `who` alone, at whatever address it came."""
+    """Probes the member `who`. No other member answers, whatever address the ping arrived at."""
 
     no: Number
     who: Name
 
 
 class Ack(Payload, tag=2):
-    """`who` answered the ping `no`: the sender itself, or a helper who asked it."""
+    """`who` answered the ping `no`. Sent by `who` itself or by the helper that probed it."""
 
     no: Number
     who: Name
 
 
 class PingRequest(Payload, tag=3):
-    """Ping `who` (at `where`) in my place."""
+    """Requests an indirect probe of `who` (at the address `where`)."""
 
     no: Number
     who: Name
@@ -46,47 +46,48 @@
 
 
 class Nack(Payload, tag=4):
-    """A helper's answer: I hear you, and `who` does not answer me either."""
+    """A helper's reply that `who` does not answer it either. It proves that the sender and the helper reach
+    each other."""
 
     no: Number
     who: Name
 
 
 class Sync(Payload, tag=5):
-    """Digests of my table by bucket: send me what differs."""
+    """The digests of the sender's table by bucket, which requests the buckets that differ."""
 
     no: Number
     digests: Annotated[list[Bits], Meta(max_length=64)]
 
 
 class Rows(Payload, tag=6):
-    """Rows, in answer to the sync `to` (0: unasked). `want`: buckets to send me."""
+    """Rows, in reply to the sync `to` (0: unsolicited). `want`: buckets that the sender requests."""
 
     to: Number = 0
     want: Annotated[list[Annotated[int, Meta(ge=0, lt=64)]], Meta(max_length=64)] = []
 
 
 class ViewQuery(Payload, tag=7):
-    """An operator's question: your view, from the name after `after`."""
+    """An operator's query for the receiver's view, from the name after `after`."""
 
     no: Number
     after: Annotated[str, Meta(max_length=100)] = ""
 
 
 class MemberView(Struct, array_like=True, frozen=True):
-    """A member in somebody's view. Times in microseconds, -1 where there is none."""
+    """A member as a planner sees it. Times in microseconds, -1 where there is none."""
 
     row: Row
-    since: int  # how long its state has stood
-    heard: int  # how long ago it last answered here
+    since: int  # time since its state changed
+    heard: int  # time since its last ack
     rtt: int
-    unanswered: int  # own probes in a row that nobody could confirm nor answer
-    via: str  # through whom it last answered; empty if directly
+    unanswered: int  # consecutive probes by this planner without an ack or a witness
+    via: str  # the helper through which it last answered; empty if directly
     accusers: list[str]
 
 
 class ViewPage(Payload, tag=8):
-    """A part of a view, by name. `mine` holds the planner's own standing."""
+    """A part of a view, ordered by name. `mine` holds the planner's own status."""
 
     no: Number
     seen: list[MemberView]
@@ -95,11 +96,11 @@
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    """One datagram."""
+    """A datagram as it is received."""
 
     version: Annotated[int, Meta(ge=1, le=1 << 31)]
     deployment: Annotated[str, Meta(max_length=100)]
-    sender: Annotated[str, Meta(max_length=100)]  # empty: no member but an operator's command
+    sender: Annotated[str, Meta(max_length=100)]  # empty: an operator's command, not a member
     life: Count
     nonce: Nonce
     at: Annotated[str, Meta(max_length=120)]
@@ -108,7 +109,7 @@
 
 
 class _EncodedDatagram(Struct, array_like=True, frozen=True):
-    """A datagram whose rows are encoded already."""
+    """A datagram to send, whose rows are already encoded."""
 
     version: int
     deployment: str
@@ -121,14 +122,14 @@
 
 
 class _Header(Struct, array_like=True, frozen=True):
-    """What datagrams of every version begin with."""
+    """The fields that datagrams of every version begin with."""
 
     version: int
     deployment: str
 
 
 class UnreadableError(Exception):
-    """A datagram that cannot be taken; its text is the cause as it is counted."""
+    """A datagram that is not accepted. The text is the cause under which it is counted."""
 
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -137,14 +138,15 @@
 
 
 def encode(deployment: str, me: Row, payload: Payload, rows: list[msgspec.Raw]) -> bytes:
-    """A datagram from `me`; `rows` are encoded already."""
+    """Encodes a datagram from `me`; `rows` are already encoded."""
     return ENCODER.encode(
         _EncodedDatagram(VERSION, deployment, me.name, me.life, me.nonce, me.address, payload, rows)
     )
 
 
 def decode(body: bytes, deployment: str) -> Datagram:
-    """The datagram; UnreadableError names the cause (`too_long`, `stranger`, `newer_version`, `spoilt`)."""
+    """Decodes a datagram. UnreadableError gives the cause: `too_long`, `stranger`, `newer_version` or
+    `spoilt`."""
     if len(body) > MAX_BYTES:
         raise UnreadableError("too_long")
     try:
--- a/hazelhold/membership/metrics.py
+++ b/hazelhold/membership/metrics.py
@@ -1,5 +1,5 @@
-"""Figures of a planner's membership for Prometheus, on an address of one's own; loaded only if one is
-configured."""
+"""Prometheus metrics of a planner's membership, served on an address of their own. The module is imported
+only if that address is configured."""
 
 import trio
 from prometheus_client import CollectorRegistry, start_http_server
@@ -11,7 +11,7 @@
 
 
 class MembershipMetrics:
-    """Collected when asked for, from the core as it stands."""
+    """Collects the metrics from the core's current state at each scrape."""
 
     def __init__(self, core: MembershipCore, address: str) -> None:
         self.core = core
--- a/hazelhold/membership/rows.py
+++ b/hazelhold/membership/rows.py
@@ -1,10 +1,10 @@
-"""What is told of a member, and which of two tellings holds: a total order, so that any order of merging
-agrees.
+"""The rows that members exchange, and their precedence: a total order, so that merging in any order gives
+the same result.
 
-A row is (life, nonce) of one process under a name, `seq`, which only that process raises, and a state. The
-younger life holds; within a life `left` is final, then the greater `seq`, then the worse state. So a
-suspicion or a `gone` of a life is undone by that life's own word alone (a greater `seq`), and no other
-member can bring it back.
+A row holds (life, nonce), the incarnation of one process with the name; `seq`, which only that process
+raises; and a state. The younger incarnation takes precedence; within an incarnation `left` is final, then
+the greater `seq`, then the worse state. So `suspected` or `gone` is refuted only by the incarnation itself
+(with a greater `seq`); no other member can revive it.
 """
 
 from typing import Annotated
@@ -22,7 +22,7 @@
 
 
 class Row(Struct, array_like=True, frozen=True):
-    """One member as it is told of. `by` names who accuses it or called it gone; empty where nobody does."""
+    """A member as it is reported. `by` names the member that suspects it or reported it gone, if any."""
 
     name: Name
     life: Count
@@ -40,27 +40,29 @@
 
 
 def key(row: Row) -> Key:
-    """What decides between two rows of one name: the greater holds."""
+    """The precedence of a row among those of one name: the greatest key wins."""
     return row.life, row.nonce, row.state == LEFT, row.seq, row.state
 
 
 def same_life(a: Row, b: Row) -> bool:
+    """Whether both rows are of the same incarnation."""
     return a.life == b.life and a.nonce == b.nonce
 
 
 ENCODER = msgspec.msgpack.Encoder()
 
 
-def told(row: Row) -> msgspec.Raw:
-    """The row as it goes on the wire."""
+def encode_row(row: Row) -> msgspec.Raw:
+    """The row in its encoded form, as it is sent."""
     return msgspec.Raw(ENCODER.encode(row))
 
 
 def digest(row: Row) -> int:
-    """63 bits of all that has to agree between members: not of who accuses."""
+    """A 63-bit hash of all that must agree between members, which excludes who suspects."""
     text = b"%b/%d/%d/%d/%d" % (row.name.encode(), row.life, row.nonce, row.seq, row.state)
     return xxhash.xxh3_64_intdigest(text) >> 1
 
 
 def bucket(name: str, buckets: int) -> int:
+    """The bucket of the table that holds the name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % buckets
--- a/hazelhold/membership/settings.py
+++ b/hazelhold/membership/settings.py
@@ -1,28 +1,25 @@
-"""What a deployment sets for membership, and the actions of its core.
-
-Times are whole microseconds.
-"""
+"""The settings of a deployment's membership, and the actions of its core. Times are in whole microseconds."""
 
 from typing import NamedTuple
 
 
 class MembershipSettings(NamedTuple):
-    """What a deployment sets. Times in microseconds."""
+    """The settings of a deployment. Times in microseconds."""
 
     deployment: str
-    probe: int = 250_000  # how often another member is probed
-    answer: int = 200_000  # how long a ping is waited for; a whole probe takes four times that
-    suspect: int = 1_500_000  # how long a suspicion waits at least, with all confirmations
-    suspect_most: int = 6_000_000  # and without any
-    sync: int = 10_000_000  # how often whole tables are compared
-    heal: int = 2_000_000  # how often somebody who is gone, or a seed that is not known, is tried
-    join: int = 250_000  # the first pause between attempts to join; it doubles up to `join_most`
+    probe: int = 250_000  # interval between probes
+    answer: int = 200_000  # timeout of a ping; a whole probe takes four times that
+    suspect: int = 1_500_000  # minimum duration of a suspicion, with all confirmations
+    suspect_most: int = 6_000_000  # maximum duration, without any confirmation
+    sync: int = 10_000_000  # interval between comparisons of whole tables
+    heal: int = 2_000_000  # interval between contacts to a member that is gone or a seed that is not known
+    join: int = 250_000  # first interval between join messages; it doubles up to `join_most`
     join_most: int = 4_000_000
-    leave: int = 200_000  # between the tellings of a leave
-    forget: int = 3_600_000_000  # how long who is gone or left is kept
+    leave: int = 200_000  # interval between the messages of a leave
+    forget: int = 3_600_000_000  # how long a member that is gone or left is kept
     helpers: int = 3
     most_members: int = 4096
-    answers_a_second: int = 40  # table comparisons and pages answered, at most
+    answers_a_second: int = 40  # maximum rate of replies to syncs, indirect probes and view queries
 
 
 class SendDatagram(NamedTuple):
@@ -34,13 +31,13 @@
 
 
 class Reply(NamedTuple):
-    """A datagram back to where the one being heard came from: to operators' commands alone."""
+    """A datagram to the source of the current one. Used only for operators' commands."""
 
     body: bytes
 
 
 class MembershipChange(NamedTuple):
-    """Something that an operator should see. `name` is whom it is about."""
+    """An event for operators and the record. `name` is the member that it concerns."""
 
     what: str
     name: str
--- a/hazelhold/membership/table.py
+++ b/hazelhold/membership/table.py
@@ -1,8 +1,7 @@
-"""All members as one planner knows them, what is still to be told of them, and digests for comparing whole
-tables.
+"""All members that a planner knows, the queue of rows to gossip, and digests for comparing whole tables.
 
-Every operation costs the same whatever the number of members, but for the round's new shuffle (once for as
-many probes).
+Every operation takes constant time in the number of members, except the shuffle of a new probe round, which
+happens once for as many probes.
 """
 
 from random import Random
@@ -10,11 +9,12 @@
 import msgspec
 
 from hazelhold.membership.messages import BUCKETS
-from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row, bucket, digest, key, same_life, told
+from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row, bucket, digest, encode_row, key, same_life
 
 
 class Member:
-    """One member, and what this planner alone knows of it. Times are this planner's."""
+    """A member's row, and what only this planner knows about the member. Times are on this planner's clock,
+    in microseconds."""
 
     __slots__ = (
         "row",
@@ -33,45 +33,47 @@
     def __init__(self, row: Row, now: int) -> None:
         self.bucket = bucket(row.name, BUCKETS)
         self.heard = self.rtt = -1
-        self.unanswered = 0  # own probes in a row without an answer or a witness
+        self.unanswered = 0  # consecutive own probes without an ack or a witness
         self.via = ""
-        self.accusers: list[str] = []  # bounded by the confirmations that count
+        self.accusers: list[str] = []  # at most as many as the confirmations that count
         self.suspected = 0  # when the suspicion began here
         self.set(row, now)
 
-    def accuse(self, by: str) -> None:
-        """One more accuser, who is told of from now on: each confirmation has to reach the others."""
+    def add_accuser(self, by: str) -> None:
+        """Adds a member that suspects this one and puts it into the row, since each confirmation has to reach
+        the others."""
         self.accusers.append(by)
         self.row = msgspec.structs.replace(self.row, by=by)
-        self.raw = told(self.row)
+        self.raw = encode_row(self.row)
 
     def set(self, row: Row, now: int) -> None:
-        self.row, self.raw, self.digest, self.since = row, told(row), digest(row), now
+        """Replaces the row."""
+        self.row, self.raw, self.digest, self.since = row, encode_row(row), digest(row), now
 
 
 class Pool:
-    """Names of which one is drawn in constant time."""
+    """A set of names from which random ones are drawn in constant time."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
-        self.places: dict[str, int] = {}
+        self.positions: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        if name not in self.places:
-            self.places[name] = len(self.names)
+        if name not in self.positions:
+            self.positions[name] = len(self.names)
             self.names.append(name)
 
     def drop(self, name: str) -> None:
-        place = self.places.pop(name, None)
-        if place is None:
+        position = self.positions.pop(name, None)
+        if position is None:
             return
         last = self.names.pop()
-        if place < len(self.names):
-            self.names[place] = last
-            self.places[last] = place
+        if position < len(self.names):
+            self.names[position] = last
+            self.positions[last] = position
 
-    def some(self, random: Random, count: int, but: tuple[str, ...] = ()) -> list[str]:
-        """Up to so many different names, none of `but`."""
+    def sample(self, random: Random, count: int, but: tuple[str, ...] = ()) -> list[str]:
+        """Up to `count` different random names, none of `but`."""
         drawn = random.sample(self.names, min(len(self.names), count + len(but)))
         return [n for n in drawn if n not in but][:count]
 
@@ -80,11 +82,11 @@
 
 
 class GossipQueue:
-    """Names whose rows are still to be told: those told least first, each up to a bound."""
+    """Names whose rows are still to be gossiped: those sent least often first, each up to a limit."""
 
     def __init__(self) -> None:
         self.rounds: list[dict[str, None]] = []
-        self.told: dict[str, int] = {}
+        self.times_sent: dict[str, int] = {}
 
     def add(self, name: str) -> None:
         self.drop(name)
@@ -94,55 +96,56 @@
         while len(self.rounds) <= times:
             self.rounds.append({})
         self.rounds[times][name] = None
-        self.told[name] = times
+        self.times_sent[name] = times
 
     def drop(self, name: str) -> None:
-        times = self.told.pop(name, None)
+        times = self.times_sent.pop(name, None)
         if times is not None:
             del self.rounds[times][name]
             if not self.rounds[times]:
-                self.rounds[times] = {}  # a dict that was large stays slow to go through
+                self.rounds[times] = {}  # a dict that was large remains slow to iterate
 
-    def take(self, raws: "Table", room: int, most: int) -> tuple[list[msgspec.Raw], int]:
-        """Rows that fit in `room` bytes, and the room left; each name is told `most` times at most."""
-        found: list[msgspec.Raw] = []
+    def take(self, table: "Table", room: int, max_times: int) -> tuple[list[msgspec.Raw], int]:
+        """Returns rows that fit in `room` bytes, and the bytes left. Each name is returned `max_times` times
+        at most."""
+        rows: list[msgspec.Raw] = []
         taken: list[tuple[str, int]] = []
-        if not self.told:
-            return found, room
+        if not self.times_sent:
+            return rows, room
         for times, names in enumerate(self.rounds):
             for name in names:
-                raw = raws.members[name].raw
+                raw = table.members[name].raw
                 if len(raw) > room:
                     break
                 room -= len(raw)
-                found.append(raw)
+                rows.append(raw)
                 taken.append((name, times))
-            if room < 60:  # no row is shorter
+            if room < 60:  # the length of the shortest row
                 break
         for name, times in taken:
             self.drop(name)
-            if times + 1 < most:
+            if times + 1 < max_times:
                 self._put(name, times + 1)
-        return found, room
+        return rows, room
 
 
 class Table:
-    """Members by name, the planner itself among them."""
+    """All members by name, including the planner itself."""
 
-    def __init__(self, me: Row, now: int, random: Random, most: int) -> None:
-        self.me, self.random, self.most = me.name, random, most
+    def __init__(self, me: Row, now: int, random: Random, max_members: int) -> None:
+        self.me, self.random, self.max_members = me.name, random, max_members
         self.members: dict[str, Member] = {}
         self.digests = [0] * BUCKETS
         self.in_bucket: list[dict[str, None]] = [{} for _ in range(BUCKETS)]
-        self.live, self.lost = Pool(), Pool()  # others: alive or suspected; gone
+        self.live, self.lost = Pool(), Pool()  # other members: alive or suspected; gone
         self.gossip = GossipQueue()
-        self.at_address: dict[str, str] = {}  # the last member told at an address; as many as members
-        self.order: list[str] = []  # whom to probe, this round
+        self.at_address: dict[str, str] = {}  # the member last reported at each address
+        self.order: list[str] = []  # probe targets of this round
         self.at = 0
         self.put(me, now)
 
     def __len__(self) -> int:
-        """Members held alive or suspected, this one included."""
+        """The number of members that are alive or suspected, including this one."""
         return len(self.live) + 1
 
     def row(self, name: str) -> Row | None:
@@ -154,7 +157,7 @@
         return member is None or key(row) > key(member.row)
 
     def put(self, row: Row, now: int) -> Row | None:
-        """Takes a row that is newer than what stands; returns what stood before."""
+        """Stores a row that is newer than the current one; returns the row that it replaces."""
         member = self.members.get(row.name)
         before = member.row if member else None
         if member is None:
@@ -178,25 +181,25 @@
         if row.name != self.me:
             if row.state in (ALIVE, SUSPECTED):
                 self.lost.drop(row.name)
-                self._bring(row.name)
+                self._add_target(row.name)
             else:
                 self.live.drop(row.name)
                 (self.lost.add if row.state == GONE else self.lost.drop)(row.name)
         self.gossip.add(row.name)
         return before
 
-    def _bring(self, name: str) -> None:
-        """One more to probe: at a random place of what is left of the round, so that no newcomer comes
-        first."""
-        if name in self.live.places:
+    def _add_target(self, name: str) -> None:
+        """Adds a probe target at a random position in the rest of the round, so that new members are not
+        preferred."""
+        if name in self.live.positions:
             return
         self.live.add(name)
-        place = self.random.randint(self.at, len(self.order))
+        position = self.random.randint(self.at, len(self.order))
         self.order.append(name)
-        self.order[place], self.order[-1] = self.order[-1], self.order[place]
+        self.order[position], self.order[-1] = self.order[-1], self.order[position]
 
     def live_at(self, address: str) -> bool:
-        return self.at_address.get(address, "") in self.live.places
+        return self.at_address.get(address, "") in self.live.positions
 
     def forget(self, name: str) -> None:
         member = self.members.pop(name)
@@ -209,8 +212,8 @@
         self.gossip.drop(name)
 
     def next_probe(self, busy: set[str]) -> str:
-        """Whom to probe next: everyone once a round, in an order drawn anew each round; empty if there is
-        nobody."""
+        """The next probe target: each member once a round, in a new random order each round. Empty if there
+        is no target."""
         for _ in range(2 * len(self.live) + 2):
             if self.at >= len(self.order):
                 self.order = list(self.live.names)
@@ -220,7 +223,7 @@
                     return ""
             name = self.order[self.at]
             self.at += 1
-            if name in self.live.places and name not in busy:
+            if name in self.live.positions and name not in busy:
                 return name
         return ""
 
--- a/hazelhold/membership/views.py
+++ b/hazelhold/membership/views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of one planner's view, in pages of one datagram each. No I/O."""
+"""A planner's view for operators, in pages of one datagram each. No I/O."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
 
 
 class Views(Probing):
-    """The view of this planner: its own standing and each member as it sees it."""
+    """The view of this planner: its own status and each member as it sees it."""
 
     def state_of(self, name: str) -> int | None:
-        """How this planner sees a member; one that only it cannot reach counts as suspected here and
-        nowhere else."""
+        """The state of a member in this planner's view. A member that only this planner cannot reach is shown
+        as suspected here and nowhere else."""
         member = self.table.members.get(name)
         if member is None:
             return None
@@ -26,7 +26,7 @@
         return member.row.state
 
     def status(self) -> dict[str, int | str | bool]:
-        """This planner's own state, for operators."""
+        """This planner's own status, for operators."""
         me = self.me
         return {
             "name": me.name,
@@ -36,15 +36,16 @@
             "settled": self.settled,
             "yielded": self.yielded,
             "leaving": self.leaving,
-            "accused": self.accused_me,
+            "accused": self.refutations,
             "alone_us": self.now - self.alone_since if self.alone_since >= 0 else -1,
             "away_times": self.away_times,
             "away_last_us": self.away_last,
             "members": len(self.table),
-            **self.beside(),
+            **self.extra_status(),
         }
 
-    def seen(self, name: str) -> messages.MemberView:
+    def member_view(self, name: str) -> messages.MemberView:
+        """A member as it is shown to operators."""
         member = self.table.members[name]
         row = msgspec.structs.replace(member.row, state=self.state_of(name))
         return messages.MemberView(
@@ -58,26 +59,26 @@
         )
 
     def _page(self, query: messages.ViewQuery) -> None:
-        """Answers an operator's question with as much of the view as one datagram holds."""
-        if not self._may():
+        """Answers an operator's query with as much of the view as one datagram holds."""
+        if not self._within_rate():
             return
         names = sorted(n for n in self.table.members if n > query.after)
         mine = self.status()
-        seen: list[messages.MemberView] = []
+        views: list[messages.MemberView] = []
         room = (
             messages.MAX_BYTES
             - 60
             - len(
                 messages.encode(
-                    self.terms.deployment, self.me, messages.ViewPage(query.no, [], False, mine), []
+                    self.settings.deployment, self.me, messages.ViewPage(query.no, [], False, mine), []
                 )
             )
         )
         for name in names:
-            each = self.seen(name)
-            room -= len(messages.ENCODER.encode(each))
+            view = self.member_view(name)
+            room -= len(messages.ENCODER.encode(view))
             if room < 0:
                 break
-            seen.append(each)
-        payload = messages.ViewPage(query.no, seen, len(seen) < len(names), mine)
-        self.actions.append(Reply(messages.encode(self.terms.deployment, self.me, payload, [])))
+            views.append(view)
+        payload = messages.ViewPage(query.no, views, len(views) < len(names), mine)
+        self.actions.append(Reply(messages.encode(self.settings.deployment, self.me, payload, [])))
--- a/hazelhold/replica/acceptor.py
+++ b/hazelhold/replica/acceptor.py
@@ -1,9 +1,9 @@
-"""One member of a key's replica set: what it promised and what it accepted, for ever.
+"""The acceptor of a replica: what it promised and accepted for each key, permanently.
 
-`hear` returns the answer and what has to be safe on the disk *before the answer may leave*: an answer that
-left on a promise that a crash forgets is how two values get chosen. A disk can be lost, or come back older
-than it was, and neither shows from inside. So whoever starts is a new incarnation, and votes on a slot only
-once `rejoin` has copied what the others of the set know (`ready`).
+`receive` returns the reply and the change that has to be durable *before the reply may be sent*: if a reply
+leaves and a crash then loses its promise, two values can be chosen. A disk can be lost, or be restored to an
+older state, and a replica cannot detect either by itself. So each start is a new incarnation, which votes on
+a slot only once `rejoin` has copied what the other replicas of the set know.
 """
 
 from collections.abc import Iterable
@@ -17,8 +17,8 @@
 
 
 class Cell(NamedTuple):
-    """What one key's acceptor must never forget. `copied`: what was accepted is another's word, told to
-    whoever prepares, but no vote of this acceptor's."""
+    """The state of one key that an acceptor must never forget. `copied`: the accepted value was copied from
+    another replica. It is reported to proposers that prepare, but it is not a vote of this acceptor."""
 
     promised: messages.Ballot = messages.NO_BALLOT
     accepted: messages.Ballot = messages.NO_BALLOT
@@ -27,22 +27,23 @@
 
 
 class Change(NamedTuple):
-    """To be made durable: this key's cell is now this."""
+    """A change to make durable: the new cell of the key."""
 
     key: str
     cell: Cell
 
 
 def digest(key: str, cell: Cell) -> int:
+    """A hash of a key and its cell, without `copied`."""
     return xxhash.xxh3_64_intdigest(ENCODER.encode((key, cell.promised, cell.accepted, cell.value)))
 
 
 ENCODER = msgpack.Encoder()
-COPY = messages.Ballot(-1, "")  # what a look is told of a copied cell: no majority agrees with it
+COPY = messages.Ballot(-1, "")  # reported to queries for a copied cell: no majority agrees with it
 
 
 class Acceptor:
-    """All cells of one planner in one epoch. `voting`: the slots that it votes on, or whether it does."""
+    """All cells of a planner in one epoch. `voting`: the slots that it votes on, or a bool for all slots."""
 
     def __init__(
         self,
@@ -59,40 +60,42 @@
         self.cells = cells if cells is not None else {}
         self.empty = Cell(messages.Ballot(floor, ""))
         self.inc = messages.NO_INCARNATION
-        self.known: dict[str, messages.Incarnation] = {}  # of the others
-        self.digests: dict[int, int] = {}  # by slot: a sum over its cells, whatever their order
+        self.known: dict[str, messages.Incarnation] = {}  # of the other replicas
+        self.digests: dict[int, int] = {}  # by slot: a sum over its cells, in any order
         if sets is not None:
             for key, cell in self.cells.items():
                 self._sum(key, digest(key, cell))
 
     @property
     def floor(self) -> int:
-        """No ballot below this number is answered for a key without a cell: higher than all that a cell which
-        was let go had promised, so that nothing of before comes back."""
+        """The lowest ballot number that is accepted for a key without a cell. It is higher than all that the
+        discarded cells had promised, so that no earlier ballot can succeed."""
         return self.empty.promised.number
 
     def discard(self, key: str) -> None:
-        """Forgets a cell whose value may be forgotten. The new floor has to be safe with it."""
+        """Removes a cell whose value need not be kept. The new floor has to become durable with it."""
         if cell := self.cells.pop(key, None):
             self._sum(key, -digest(key, cell))
             self.raise_floor(cell.promised.number + 1)
 
     def raise_floor(self, number: int) -> None:
+        """Raises the floor to at least `number`."""
         self.empty = Cell(messages.Ballot(max(self.floor, number), ""))
 
     def votes_on(self, slot: int) -> bool:
+        """Whether this acceptor votes on the keys of the slot."""
         return self.voting if isinstance(self.voting, bool) else slot in self.voting
 
     def record_incarnation(self, name: str, inc: messages.Incarnation) -> bool:
-        """Another has started anew; False if a later start of it is known. To be made safe before it is
-        told so."""
+        """Records a new incarnation of another replica; False if a later one is known. The record has to be
+        durable before it is confirmed."""
         if inc < self.known.get(name, messages.NO_INCARNATION):
             return False
         self.known[name] = inc
         return True
 
     def copy(self, found: messages.CellCopy) -> Change | None:
-        """Takes over what another knows of a key on which this one does not vote yet."""
+        """Merges another replica's cell of a key that this acceptor does not vote on yet."""
         mine = self.cells.get(found.key, self.empty)
         new = mine._replace(promised=max(mine.promised, found.promised))
         if found.accepted > mine.accepted:
@@ -105,6 +108,7 @@
     def receive(
         self, message: messages.Prepare | messages.Accept | messages.Query
     ) -> tuple[messages.Message, Change | None]:
+        """Handles a proposer's message. The change has to be durable before the reply is sent."""
         key, epoch, ballot = message.key, message.epoch, message.ballot
         if epoch != self.epoch:
             return messages.Refused(key, epoch, ballot, "epoch", now=self.epoch), None
@@ -118,33 +122,34 @@
         if ballot < cell.promised:
             return messages.Refused(key, epoch, ballot, "ballot", cell.promised, self.epoch), None
         if isinstance(message, messages.Prepare):
-            answer: messages.Message = messages.Promise(
+            reply: messages.Message = messages.Promise(
                 key, epoch, ballot, accepted=cell.accepted, value=cell.value, **mine
             )
             new = cell._replace(promised=ballot)
         else:
-            answer = messages.Accepted(key, epoch, ballot, **mine)
+            reply = messages.Accepted(key, epoch, ballot, **mine)
             new = Cell(max(ballot, message.next), ballot, message.value)
         if new == cell:
-            return answer, None
+            return reply, None
         self.set(key, new)
-        return answer, Change(key, new)
+        return reply, Change(key, new)
 
     def set(self, key: str, cell: Cell) -> None:
+        """Replaces the cell of a key and updates the digest of its slot."""
         if self.sets is not None:
             old = self.cells.get(key)
             self._sum(key, digest(key, cell) - (digest(key, old) if old is not None else 0))
         self.cells[key] = cell
 
-    def _sum(self, key: str, more: int) -> None:
+    def _sum(self, key: str, difference: int) -> None:
         if self.sets is not None:
             slot = self.sets.slot(key)
-            self.digests[slot] = (self.digests.get(slot, 0) + more) % (1 << 63)
+            self.digests[slot] = (self.digests.get(slot, 0) + difference) % (1 << 63)
 
     def digests_of(self, slots: Iterable[int]) -> dict[int, int]:
-        """What is known in each of these slots, as one number a slot; slots without cells left out."""
+        """One number per slot that summarizes its cells; slots without cells are left out."""
         return {s: d for s in slots if (d := self.digests.get(s, 0))}
 
     def _known(self, key: str) -> dict[str, messages.Incarnation]:
-        peers = self.known if self.sets is None else self.sets(key)
-        return {n: self.known[n] for n in peers if n in self.known}
+        others = self.known if self.sets is None else self.sets(key)
+        return {n: self.known[n] for n in others if n in self.known}
--- a/hazelhold/replica/claims.py
+++ b/hazelhold/replica/claims.py
@@ -1,16 +1,18 @@
-"""The claim on a guest that must not run twice: what one agreed value a guest says, and who may change it.
+"""The claim on a guest that must run at most once: the agreed value of a guest and the rules to change it.
 
-The value names the planner, its life, and the dispatch whose offer may leave: an offer leaves only once the
-claim that names it is agreed, so that the claim always tells at least as much as can have left. No I/O, no
-clock; decided on what the value and the asker's own memory say, never on who is thought alive.
+The value names the planner, its run (`life`) and the dispatch whose offer may be sent. An offer is sent only
+once the claim that names it is agreed, so that the claim always covers everything that may have been sent. No
+I/O, no clock: changes are decided by the value and by the proposing planner's own memory, never by who is
+considered alive.
 
     (nothing) --Take--> held --Fact--> placed --Fact--> over
                   ^       |                              |
                   |       v  (proven: nothing ran)       |  (ended, but not done; a later ask)
                   +---- free <---------------------------+ Take
 
-Facts only join: nothing leads from placed or over back to held but a later ask of the owner's, after an end
-that was not `done`. A claim of a planner whose fate is open stays: who may have left an offer is waited for.
+Facts only join: nothing leads from placed or over back to held except a later submission (`ask`) by the owner
+after an end that was not `done`. The claim of a planner whose fate is unknown remains: others wait for a
+planner that may have sent an offer.
 """
 
 from typing import Literal, NamedTuple
@@ -20,13 +22,16 @@
 
 State = Literal["held", "placed", "over", "free"]
 RANK = {"free": 0, "held": 1, "placed": 2, "over": 3}
-FINISHED = ("done",)  # ends after which the guest is never asked for again
+FINISHED = ("done",)  # ends after which the guest is never submitted again
 
 
 class Claim(Struct, array_like=True, frozen=True):
-    """`held`: this dispatch may have left and may have run. `placed`: it was accepted by the machine. `over`:
-    it ended so. `free`: nothing of it ever ran, and nothing can any more. Fields are only ever added at the
-    end, with a default."""
+    """The agreed value of a guest.
+
+    `held`: the dispatch may have been sent and may have run. `placed`: the machine accepted it. `over`: it
+    ended with `how`. `free`: it never ran and can no longer run. Fields are only ever added at the end, with
+    a default.
+    """
 
     planner: str
     life: int
@@ -35,12 +40,12 @@
     state: State
     machine: str = ""
     how: str = ""
-    no: int = 0  # of the asking, in its life: no two claims are the same bytes
+    no: int = 0  # of the proposal in this run: no two claims have the same bytes
 
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Claim)
-STRANGE = Claim("?", 0, 0, 0, "held")  # what a newer program wrote: nobody here may touch it
+STRANGE = Claim("?", 0, 0, 0, "held")  # written by a newer program: this one must not change it
 
 
 def encode(claim: Claim) -> bytes:
@@ -48,7 +53,7 @@
 
 
 def decode(value: bytes) -> Claim | None:
-    """None if nobody has claimed; what cannot be read counts as held by somebody."""
+    """Decodes a claim. None if there is none; an unreadable one counts as held by another planner."""
     if not value:
         return None
     try:
@@ -58,10 +63,15 @@
 
 
 class Take(NamedTuple):
-    """Claims a dispatch for a planner's life. Taken if nobody has the guest; if this very life has it, which
-    knows what became of its dispatches (of one that stood, only for a later ask); if it is held by the claim,
-    to the byte, that this planner's kept state of an earlier life ends with (`known`): an older disk has an
-    older one, an empty one none; or if the guest ended otherwise than done and its owner has asked anew."""
+    """Claims a dispatch for a planner's run. The claim is taken
+
+    - if no planner holds the guest;
+    - if this same run holds it, which knows what became of its dispatches (a placed guest is claimed again
+      only for a later submission);
+    - if the value equals, byte for byte, the last claim in this planner's persisted state of an earlier run
+      (`known`): an older disk has an older claim, an empty one has none;
+    - if the guest ended otherwise than `done` and its owner has submitted it again.
+    """
 
     planner: str
     life: int
@@ -72,6 +82,7 @@
     known: bytes = b""
 
     def claim(self) -> Claim:
+        """The claim that is agreed if this change succeeds."""
         return Claim(self.planner, self.life, self.ask, self.attempt, "held", self.machine, "", self.no)
 
     def __call__(self, last: bytes) -> bytes:
@@ -85,7 +96,7 @@
 
 
 class Fact(NamedTuple):
-    """What this planner saw become of the guest: placed or over. Joins: it never leads back."""
+    """What this planner observed of the guest: placed or over. A join: it never returns to a lower state."""
 
     planner: str
     ask: int
@@ -103,7 +114,8 @@
 
 
 class Release(NamedTuple):
-    """Nothing of this claim, to the byte, ever left or ran: whoever asks may have the guest."""
+    """Releases exactly this claim (byte for byte), of which nothing was ever sent or ran: any planner may
+    take the guest."""
 
     known: bytes
 
@@ -115,15 +127,15 @@
 
 
 class NextLife(NamedTuple):
-    """A life's number, agreed: no two processes ever get the same."""
+    """Allocates the number of a planner's run: no two processes ever get the same."""
 
     def __call__(self, last: bytes) -> bytes:
         return str(int(last or b"0") + 1).encode()
 
 
 def lasts(value: bytes) -> bool:
-    """Whether the value has to be kept for ever: nothing is known of its end."""
+    """Whether the value has to be kept permanently, since its end is not known."""
     if value[:1].isdigit():
-        return True  # a life's number
+        return True  # the number of a planner's run
     claim = decode(value)
     return claim is not None and claim.state in ("held", "placed")
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -1,8 +1,8 @@
-"""One planner's claims: which offers may leave, what has to be agreed first, and what the answers mean.
+"""The claims of a planner: which offers may be sent, what has to be agreed first, and what outcomes mean.
 
-Without I/O, driven by the engine: it asks `clear` before an offer leaves and hands `told` what was agreed;
-askings come out of `wanted`. Each ends with one `told`, within the span, whoever is cut off or dead: whoever
-hosts this sees to it (`proposer.Proposer` does).
+No I/O. The engine calls `clear` before it sends an offer and passes the outcome of each proposal to `told`;
+proposals come out of `wanted`. Each proposal ends with exactly one `told` within `span`, whichever planners
+are partitioned or dead: the host guarantees that (`proposer.Proposer` does).
 """
 
 from collections import Counter
@@ -11,14 +11,15 @@
 from hazelhold.replica import claims as c
 from hazelhold.replica.proposer import Change, Read
 
-FACTS_MOST = 10_000  # facts under way; past that they are dropped: others then say less, and nothing wrong
-FACT_SPAN = 20_000_000  # microseconds that a fact is tried for
-LIFE = "life/"  # keys of lives; those of guests are in `claim/`
+# Facts in progress. More are dropped: other planners then know less, but nothing wrong.
+FACTS_MOST = 10_000
+FACT_SPAN = 20_000_000  # microseconds after which a fact is given up
+LIFE = "life/"  # prefix of the keys of run numbers; those of guests start with `claim/`
 CLAIM = "claim/"
 
 
 class ProposalRequest(NamedTuple):
-    """To be agreed on by `deadline`; answered by `told` with the number."""
+    """A change to agree on by `deadline` (microseconds). The outcome goes to `told` with the number."""
 
     no: int
     key: str
@@ -27,10 +28,13 @@
 
 
 class Verdict(NamedTuple):
-    """What follows for a case. `mine`: the offer may leave, `value` is its claim; `theirs`: `claim` stands,
-    and this planner must not send; `not_agreed`: with the reason, and `value` if the claim may be agreed yet;
-    `again`: ask `clear` once more; `looked`: answers `look`, with the claim that stands (None: nobody's), or
-    the reason why that is not known."""
+    """The consequence of an outcome for a guest's record.
+
+    `mine`: the offer may be sent, `value` is its claim. `theirs`: `claim` is in force, and this planner must
+    not send. `not_agreed`: with the reason, and with `value` if the claim may still be agreed. `again`: call
+    `clear` once more. `looked`: the reply to `look`, with the claim in force (None: there is none) or the
+    reason why it is not known.
+    """
 
     what: str
     name: str
@@ -40,41 +44,42 @@
 
 
 class PendingProposal(NamedTuple):
+    """A proposal without an outcome yet."""
+
     what: str  # take, look, fact, life
     name: str
     change: Change
 
 
 class ClaimGate:
-    """`planner` is a name in the agreed set; `span` is how long a claim is waited for."""
+    """`planner` is a name in the agreed set; `span` is the timeout of a claim in microseconds."""
 
     def __init__(self, planner: str, span: int) -> None:
         self.planner, self.span = planner, span
-        self.life = 0  # this process's, once agreed
+        self.life = 0  # the number of this run, once agreed
         self.wanted: list[ProposalRequest] = []  # emptied by the engine
         self.under_way: dict[int, PendingProposal] = {}  # emptied by `told`
-        self.taking: dict[str, int] = {}  # case: its asking; emptied with that
-        self.awaiting_run_number: dict[
-            str, None
-        ] = {}  # cases that wait for the life's number; emptied by its answer
-        self.life_asked = False
+        self.taking: dict[str, int] = {}  # record name to its proposal; emptied by the outcome
+        # records that wait for the number of this run; emptied by its outcome
+        self.awaiting_run_number: dict[str, None] = {}
+        self.run_number_proposed = False
         self.facts = self.number = 0
         self.counts: Counter[str] = Counter()
 
     def begin(self, now: int) -> None:
-        """Asks for this life's number."""
-        if not self.life and not self.life_asked:
-            self.life_asked = True
-            self._want(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.span)
+        """Proposes a number for this run, unless there is one or a proposal is in progress."""
+        if not self.life and not self.run_number_proposed:
+            self.run_number_proposed = True
+            self._propose(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.span)
 
     def clear(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool:
-        """Whether this dispatch of the case's may leave now. If not, its claim is on its way, and `told` says
-        what came of it. `known` is the claim that the case has, or had in the life before."""
+        """Whether this dispatch may be sent now. If not, its claim has been proposed, and `told` returns the
+        outcome. `known` is the claim that the record has, or had in the previous run."""
         if self.mine(known):
-            had = c.decode(known)
-            if (had.ask, had.attempt, had.machine) == (ask, attempt, machine):
+            previous = c.decode(known)
+            if (previous.ask, previous.attempt, previous.machine) == (ask, attempt, machine):
                 return True
         if name in self.taking or name in self.awaiting_run_number:
             return False
@@ -83,65 +88,68 @@
             self.begin(now)
             return False
         take = c.Take(self.planner, self.life, ask, attempt, machine, self.number + 1, known)
-        self.taking[name] = self._want(now, PendingProposal("take", name, take), CLAIM + guest, self.span)
+        self.taking[name] = self._propose(now, PendingProposal("take", name, take), CLAIM + guest, self.span)
         return False
 
     def mine(self, value: bytes) -> bool:
-        """Whether this claim is of this very life."""
+        """Whether this claim was made by this run of the planner."""
         claim = c.decode(value)
         return claim is not None and (claim.planner, claim.life) == (self.planner, self.life)
 
     def fact(self, now: int, guest: str, ask: int, state: c.State, machine: str, how: str = "") -> None:
-        """Tells the others what became of a claimed guest; nothing waits for it."""
-        self._tell(now, guest, c.Fact(self.planner, ask, state, machine, how))
+        """Reports what became of a claimed guest to the other planners; nothing waits for the outcome."""
+        self._propose_fact(now, guest, c.Fact(self.planner, ask, state, machine, how))
 
     def release(self, now: int, guest: str, known: bytes) -> None:
-        """Nothing of this claim left, or all of it is proven never to have run."""
+        """Releases a claim of which nothing was sent, or all of which is proven never to have run."""
         if known:
-            self._tell(now, guest, c.Release(known))
+            self._propose_fact(now, guest, c.Release(known))
 
     def look(self, now: int, guest: str, name: str) -> None:
-        """Asks what stands; `told` gives it back under this name."""
-        self._want(now, PendingProposal("look", name, Read()), CLAIM + guest, self.span)
+        """Queries the claim in force; `told` returns it under this name."""
+        self._propose(now, PendingProposal("look", name, Read()), CLAIM + guest, self.span)
 
     def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
-        asking = self.under_way.pop(no, None)
-        if asking is None:
+        """Handles the outcome of proposal `no`."""
+        proposal = self.under_way.pop(no, None)
+        if proposal is None:
             return []
-        self.counts[f"{asking.what}_{outcome}"] += 1
+        self.counts[f"{proposal.what}_{outcome}"] += 1
         agreed = outcome == "agreed"
-        if asking.what == "life":
-            return self._born(agreed, value, reason)
-        if asking.what == "fact":
+        if proposal.what == "life":
+            return self._run_number_agreed(agreed, value, reason)
+        if proposal.what == "fact":
             self.facts -= 1
             return []
-        if asking.what == "look":
+        if proposal.what == "look":
             claim = c.decode(value) if agreed else None
-            return [Verdict("looked", asking.name, value, claim, "" if agreed else reason)]
-        self.taking.pop(asking.name, None)
-        asked = c.encode(asking.change.claim())
+            return [Verdict("looked", proposal.name, value, claim, "" if agreed else reason)]
+        self.taking.pop(proposal.name, None)
+        proposed = c.encode(proposal.change.claim())
         if not agreed:
-            return [Verdict("not_agreed", asking.name, asked if outcome == "open" else b"", reason=reason)]
-        if value == asked:
-            return [Verdict("mine", asking.name, value)]
-        return [Verdict("theirs", asking.name, value, c.decode(value))]
-
-    def _born(self, agreed: bool, value: bytes, reason: str) -> list[Verdict]:
-        self.life_asked = False
+            return [
+                Verdict("not_agreed", proposal.name, proposed if outcome == "open" else b"", reason=reason)
+            ]
+        if value == proposed:
+            return [Verdict("mine", proposal.name, value)]
+        return [Verdict("theirs", proposal.name, value, c.decode(value))]
+
+    def _run_number_agreed(self, agreed: bool, value: bytes, reason: str) -> list[Verdict]:
+        self.run_number_proposed = False
         if agreed:
             self.life = int(value)
         names, self.awaiting_run_number = self.awaiting_run_number, {}
         return [Verdict("again" if agreed else "not_agreed", name, reason=reason) for name in names]
 
-    def _tell(self, now: int, guest: str, change: Change) -> None:
+    def _propose_fact(self, now: int, guest: str, change: Change) -> None:
         if self.facts >= FACTS_MOST:
             self.counts["facts_dropped"] += 1
             return
         self.facts += 1
-        self._want(now, PendingProposal("fact", guest, change), CLAIM + guest, FACT_SPAN)
+        self._propose(now, PendingProposal("fact", guest, change), CLAIM + guest, FACT_SPAN)
 
-    def _want(self, now: int, asking: PendingProposal, key: str, span: int) -> int:
+    def _propose(self, now: int, proposal: PendingProposal, key: str, span: int) -> int:
         self.number += 1
-        self.under_way[self.number] = asking
-        self.wanted.append(ProposalRequest(self.number, key, asking.change, now + span))
+        self.under_way[self.number] = proposal
+        self.wanted.append(ProposalRequest(self.number, key, proposal.change, now + span))
         return self.number
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -1,8 +1,8 @@
-"""Runs one planner's part in agreed values: a door for the others' askings, links for its own, the disk.
+"""Hosts a planner's replica: a listener for the proposals of others, links for its own, and the disk.
 
-A link to another planner is opened by the first asking that needs it, and closed when nobody has for a while.
-What cannot be sent is dropped: the proposer asks again or gives up in time. An answer leaves once what it
-promises is safe; answers that come while a commit is under way share the next.
+A link to another planner is opened when a proposal first needs it and closed when it was idle for a while. A
+message that cannot be sent is dropped: the proposer retries or gives up in time. A reply is sent once what it
+promises is durable; replies that become ready during a commit share the next one.
 """
 
 import os
@@ -19,26 +19,26 @@
 from hazelhold.protocol.messages import Codec, encode
 from hazelhold.protocol.record import Recorder
 from hazelhold.replica import messages
-from hazelhold.replica.proposer import Change as Asked
+from hazelhold.replica.proposer import Change as ProposedChange
 from hazelhold.replica.proposer import Done, Proposer, Send
 from hazelhold.replica.votes import Retention, Votes, keep_open_claims
+from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
 from hazelhold.service.slowly import slowly
-from hazelhold.service.wire import Wire
 from hazelhold.state import frames
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change
 
 VERSION = 1
-HELLO = 2.0  # seconds for a first message
-IDLE = 60.0  # seconds after which an unused link is closed
-RETRY = (0.05, 1.0)  # seconds between dials of a planner that is away, first and longest
-WAITING = 256  # messages kept for a link that is being opened; older ones go
-BUSY = 20_000  # messages that wait for the disk; past that they are dropped, and asked again
+GREETING_TIMEOUT = 2.0  # seconds for a first message
+IDLE_TIMEOUT = 60.0  # seconds after which an unused link is closed
+RETRY_INTERVALS = (0.05, 1.0)  # seconds between dials of an unreachable planner: first and longest interval
+MAX_QUEUED = 256  # messages queued for a link that is being opened; the oldest are dropped
+MAX_WRITES = 20_000  # messages that wait for the disk; more are dropped, and their proposers retry
 
 
 class Greet(Struct, frozen=True, tag_field="t", tag="greet"):
-    """First message of either side."""
+    """The first message of both sides of a connection."""
 
     name: str
     deployment: str
@@ -46,7 +46,7 @@
     version: int = VERSION
 
 
-ASKS = Codec(
+REQUESTS = Codec(
     Greet
     | messages.Prepare
     | messages.Accept
@@ -55,7 +55,7 @@
     | messages.RejoinEntry
     | messages.PageRequest
 )
-ANSWERS = Codec(
+REPLIES = Codec(
     Greet
     | messages.Promise
     | messages.Accepted
@@ -64,12 +64,12 @@
     | messages.RejoinReply
     | messages.CellPage
 )
-LATELY = 5_000_000  # microseconds without an answer after which a planner is named to operators
-REJOIN = 0.5  # seconds after which somebody who has not answered one that comes back is asked again
+SILENT_AFTER = 5_000_000  # microseconds without a reply after which a planner is shown to operators as silent
+REJOIN_INTERVAL = 0.5  # seconds between rejoin requests to a planner that has not replied
 
 
 class Note(Struct, omit_defaults=True):
-    """An asking, or its end, in the planner's record. `change` is the kind with its fields."""
+    """A proposal or its outcome in the planner's record. `change` is the kind of change with its fields."""
 
     process: str
     no: int
@@ -81,19 +81,20 @@
 
 
 class RemoteReplica:
-    """The way to another planner."""
+    """The link to another planner."""
 
     def __init__(self, name: str, address: str) -> None:
         self.name, self.address = name, address
-        self.wire: Wire | None = None
-        self.waiting: deque[messages.Message] = deque(maxlen=WAITING)
+        self.connection: Wire | None = None
+        self.waiting: deque[messages.Message] = deque(maxlen=MAX_QUEUED)
         self.opening = False
         self.used = 0.0
-        self.heard = -1  # its last answer, on this clock
+        self.heard = -1  # time of its last reply, on this planner's clock
 
 
 class ReplicaHost:
-    """One planner's part. `told` hears how each asking ended: number, outcome, value, reason."""
+    """A planner's replica and proposer. `on_outcome` is called with number, outcome, value and reason of each
+    proposal that ends."""
 
     def __init__(
         self,
@@ -112,24 +113,24 @@
             on_outcome,
             recorder,
         )
-        draw = SystemRandom()
-        self.process = f"{name}/{net.wall()}/{draw.getrandbits(62):x}"
-        self.proposer = Proposer(self.process, config.epoch, draw.getrandbits(62))
-        self.votes = Votes(disk, name, config, draw.getrandbits(62), retention)
+        random = SystemRandom()
+        self.process = f"{name}/{net.wall()}/{random.getrandbits(62):x}"
+        self.proposer = Proposer(self.process, config.epoch, random.getrandbits(62))
+        self.votes = Votes(disk, name, config, random.getrandbits(62), retention)
         self.sets = self.votes.sets
         self.vote_writer = VoteWriter(self.votes, config, self._notify)
-        self.far = {
+        self.remotes = {
             p.name: RemoteReplica(p.name, config.reach.get(p.name, p.address))
             for p in config.planners
             if p.name != name
         }
-        # The proposer's number: the asker's, and when it asked; emptied by each end.
+        # By the proposer's number: the caller's number, and the start time; removed at the end.
         self.proposals: dict[int, tuple[int, int]] = {}
         self.packed: tuple[Struct | None, bytes] = None, b""  # the message sent last, and its frame
         self.counts: Counter[str] = Counter()
         self.log = structlog.get_logger().bind(planner=name)
         self.wake_event = trio.Event()
-        self.unavailable_reason = ""  # why nothing could be agreed lately
+        self.unavailable_reason = ""  # why the last proposals were not agreed
         self.address = ""
 
     def open(self) -> None:
@@ -137,8 +138,8 @@
         seen = self.votes.open(self.net.wall(), f"{self.name} {os.getpid()}")
         for note in seen.notes:
             self.log.warning("votes_damaged", note=note)
-        if self.votes.why:
-            self.log.error("votes_lost", why=self.votes.why, folder=self.config.folder)
+        if self.votes.unusable_reason:
+            self.log.error("votes_lost", why=self.votes.unusable_reason, folder=self.config.folder)
         self.vote_writer.begin(self.net.wall())
         self.log.info(
             "votes", cells=len(self.votes.acceptor.cells), vouched=self.votes.rejoin_client.is_complete()
@@ -149,7 +150,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
-                self.address = await self.net.listen(self.config.listen, self._door, nursery)
+                self.address = await self.net.listen(self.config.listen, self._serve, nursery)
                 self.log.info(
                     "copies",
                     address=self.address,
@@ -162,18 +163,19 @@
                 nursery.start_soon(self._idle)
                 nursery.start_soon(self._rejoin)
                 task_status.started()
-                await self._tend()
+                await self._run_proposer()
         finally:
             self.votes.store.close()
 
-    # Askings.
+    # Own proposals.
 
-    def propose(self, no: int, key: str, change: Asked, deadline: int) -> None:
-        """Agrees on a change; `told` hears of it by the deadline, on this clock."""
-        mine = self.proposer.number + 1
-        self.proposals[mine] = no, self.net.now()
+    def propose(self, no: int, key: str, change: ProposedChange, deadline: int) -> None:
+        """Proposes a change. `on_outcome` is called by the deadline, in microseconds on this planner's
+        clock."""
+        number = self.proposer.number + 1
+        self.proposals[number] = no, self.net.now()
         kind = type(change).__name__.lower()
-        self._note(key, "ask", Note(self.process, mine, [kind, *change]))
+        self._note(key, "ask", Note(self.process, number, [kind, *change]))
         if (cell := self.votes.acceptor.cells.get(key)) is not None:
             self.proposer.promised(key, cell.promised)
         self.proposer.propose(self.net.now(), key, change, self.sets(key), deadline)
@@ -182,8 +184,8 @@
     def _notify(self) -> None:
         self.wake_event.set()
 
-    async def _tend(self) -> None:
-        """Carries out what the proposer wants, and wakes it in time."""
+    async def _run_proposer(self) -> None:
+        """Carries out the proposer's actions, and wakes it in time."""
         while True:
             self.proposer.wake(self.net.now())
             while self.proposer.actions:
@@ -194,8 +196,8 @@
                     else:
                         self._done(action)
             due = self.proposer.next_at()
-            span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
-            with trio.move_on_after(span):
+            timeout = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
+            with trio.move_on_after(timeout):
                 await self.wake_event.wait()
             await trio.lowlevel.checkpoint()
             self.wake_event = trio.Event()
@@ -213,7 +215,7 @@
             self.log.warning("agrees_again")
         elif done.outcome != "agreed" and done.reason not in (self.unavailable_reason, "contended", "busy"):
             self.unavailable_reason = done.reason
-            heard = sorted(f.name for f in self.far.values() if f.heard >= began)
+            heard = sorted(f.name for f in self.remotes.values() if f.heard >= began)
             self.log.warning(
                 "cannot_agree",
                 reason=done.reason,
@@ -225,65 +227,68 @@
         self.on_outcome(no, done.outcome, done.value, done.reason)
 
     def status(self) -> dict[str, str]:
-        """For operators: whether claims are agreed from here, why not, and who is not heard."""
-        silent = sorted(f.name for f in self.far.values() if f.used and self.net.now() - f.heard > LATELY)
+        """For operators: whether proposals of this planner are agreed, why not, and which planners are
+        silent."""
+        silent = sorted(
+            f.name for f in self.remotes.values() if f.used and self.net.now() - f.heard > SILENT_AFTER
+        )
         named = ", ".join(silent[:8]) + (f" and {len(silent) - 8} more" if silent[8:] else "")
         return {"agrees": self.unavailable_reason or "yes", "votes": self._voting_status(), "silent": named}
 
     def _voting_status(self) -> str:
-        some, all_ = len(self.votes.acceptor.voting), len(self.votes.rejoin_client.others)
-        return "yes" if some == all_ else f"on {some} of {all_} slots"
+        voting, total = len(self.votes.acceptor.voting), len(self.votes.rejoin_client.others)
+        return "yes" if voting == total else f"on {voting} of {total} slots"
 
     def _note(self, key: str, way: str, note: Note) -> None:
         if self.recorder is not None:
             self.recorder.note(self.net.now(), key, way, note)
 
-    # To the others.
+    # To other planners.
 
     def _send(self, send: Send) -> None:
         if send.to == self.name:
-            answer, changes = self.votes.receive(send.message, self.net.wall())
-            self.vote_writer.take(changes, lambda: self._answered(self.name, answer))
+            reply, changes = self.votes.receive(send.message, self.net.wall())
+            self.vote_writer.take(changes, lambda: self._handle_reply(self.name, reply))
             return
-        self._post(send.to, send.message)
+        self._send_to_planner(send.to, send.message)
 
-    def _post(self, to: str, message: Struct) -> None:
-        far = self.far[to]
-        far.used = trio.current_time()
-        if far.wire is not None:
-            if message is not self.packed[0]:  # the same goes to all of a set
+    def _send_to_planner(self, to: str, message: Struct) -> None:
+        remote = self.remotes[to]
+        remote.used = trio.current_time()
+        if remote.connection is not None:
+            if message is not self.packed[0]:  # the same message goes to a whole set
                 self.packed = message, encode(message)
-            far.wire.put(self.packed[1])
+            remote.connection.put(self.packed[1])
             return
-        far.waiting.append(message)
-        if not far.opening:
-            far.opening = True
-            self.nursery.start_soon(self._link, far)
+        remote.waiting.append(message)
+        if not remote.opening:
+            remote.opening = True
+            self.nursery.start_soon(self._run_link, remote)
 
-    def _answered(
-        self, sender: str, answer: messages.Message | messages.RejoinReply | messages.CellPage
+    def _handle_reply(
+        self, sender: str, reply: messages.Message | messages.RejoinReply | messages.CellPage
     ) -> None:
-        if far := self.far.get(sender):
-            far.heard = self.net.now()
-        if isinstance(answer, messages.RejoinReply | messages.CellPage):
-            self._copied(sender, answer)
+        if remote := self.remotes.get(sender):
+            remote.heard = self.net.now()
+        if isinstance(reply, messages.RejoinReply | messages.CellPage):
+            self._handle_rejoin_reply(sender, reply)
             return
-        self.proposer.receive(self.net.now(), sender, answer)
+        self.proposer.receive(self.net.now(), sender, reply)
         self._notify()
 
-    # Coming back.
+    # Rejoining.
 
     async def _rejoin(self) -> None:
-        """Until this planner votes on all its slots again."""
+        """Runs until this planner votes on all its slots again."""
         rejoin_client, began = self.votes.rejoin_client, self.net.now()
         while not rejoin_client.is_complete():
             rejoin_client.tick()
-            self._join_on()
-            await trio.sleep(REJOIN)
+            self._send_rejoin_messages()
+            await trio.sleep(REJOIN_INTERVAL)
         while len(self.votes.acceptor.voting) < len(rejoin_client.others):
-            self._vote([])  # again, if the disk failed under its copies: they are in all that is written anew
-            await trio.sleep(REJOIN / 10)
-        lost = self.votes.why
+            self._vote([])  # again, if the disk failed while copying; a new generation has it all
+            await trio.sleep(REJOIN_INTERVAL / 10)
+        lost = self.votes.unusable_reason
         self.vote_writer.take(self.votes.restore_seat(), lambda: None)
         self.log.warning(
             "votes_again" if lost else "votes",
@@ -294,116 +299,118 @@
             **rejoin_client.counts,
         )
 
-    def _join_on(self) -> None:
+    def _send_rejoin_messages(self) -> None:
         out, self.votes.rejoin_client.outgoing = self.votes.rejoin_client.outgoing, []
         for each in out:
-            self._post(each.to, each.message)
+            self._send_to_planner(each.to, each.message)
 
-    def _copied(self, sender: str, message: messages.RejoinReply | messages.CellPage) -> None:
+    def _handle_rejoin_reply(self, sender: str, message: messages.RejoinReply | messages.CellPage) -> None:
         self._vote(self.votes.receive_rejoin_reply(sender, message, self.net.wall()))
-        self._join_on()
+        self._send_rejoin_messages()
 
     def _vote(self, changes: list[Change]) -> None:
-        """Votes on what is copied so far, once these and all before them are safe."""
+        """Votes on the slots that are copied so far, once these changes and all before them are durable."""
         slots, inc = set(self.votes.rejoin_client.voted), self.votes.acceptor.inc
         self.vote_writer.take(changes, lambda: self.votes.vote(slots, inc))
 
-    async def _link(self, far: RemoteReplica) -> None:
-        """Opens the way and listens, again and again while anybody needs it."""
-        pause = RETRY[0]
+    async def _run_link(self, remote: RemoteReplica) -> None:
+        """Opens the link and listens; reconnects as long as the link is used."""
+        pause = RETRY_INTERVALS[0]
         while True:
             try:
-                with trio.fail_after(HELLO):
-                    stream = await self.net.dial(far.address)
+                with trio.fail_after(GREETING_TIMEOUT):
+                    stream = await self.net.dial(remote.address)
                 began = trio.current_time()
-                await self._listen(far, stream)
-                if trio.current_time() - began > HELLO:
-                    pause = RETRY[0]
-            except (OSError, trio.TooSlowError) as wrong:
-                self.log.debug("copies_dial_failed", to=far.name, address=far.address, reason=str(wrong))
-            far.wire = None
-            far.waiting.clear()  # it would be late: whoever still waits asks again
-            if trio.current_time() - far.used > IDLE:
-                far.opening = False
+                await self._listen(remote, stream)
+                if trio.current_time() - began > GREETING_TIMEOUT:
+                    pause = RETRY_INTERVALS[0]
+            except (OSError, trio.TooSlowError) as error:
+                self.log.debug(
+                    "copies_dial_failed", to=remote.name, address=remote.address, reason=str(error)
+                )
+            remote.connection = None
+            remote.waiting.clear()  # too late by now: the proposer retries if it still waits
+            if trio.current_time() - remote.used > IDLE_TIMEOUT:
+                remote.opening = False
                 return
             await trio.sleep(pause)
-            pause = min(2 * pause, RETRY[1])
+            pause = min(2 * pause, RETRY_INTERVALS[1])
 
-    async def _listen(self, far: RemoteReplica, stream: trio.abc.Stream) -> None:
-        wire = Wire(stream, ANSWERS, self.net.now)
+    async def _listen(self, remote: RemoteReplica, stream: trio.abc.Stream) -> None:
+        connection = Wire(stream, REPLIES, self.net.now)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(wire.write)
-            with wire.scope:
+            nursery.start_soon(connection.write)
+            with connection.scope:
                 try:
-                    wire.send(self._greet())
-                    greet = await wire.first(Greet, HELLO)
-                    if (greet.name, greet.deployment) != (far.name, self.config.deployment):
+                    connection.send(self._greet())
+                    greet = await connection.first(Greet, GREETING_TIMEOUT)
+                    if (greet.name, greet.deployment) != (remote.name, self.config.deployment):
                         raise FrameError("wrong_planner", f"{greet.name!r} of {greet.deployment!r} answered")
-                    far.wire = wire
-                    while far.waiting:
-                        wire.send(far.waiting.popleft())
-                    for answer in wire.rest():
-                        self._answered(far.name, answer)
-                    async for answer in wire.messages():
-                        if isinstance(answer, Greet):
+                    remote.connection = connection
+                    while remote.waiting:
+                        connection.send(remote.waiting.popleft())
+                    for reply in connection.rest():
+                        self._handle_reply(remote.name, reply)
+                    async for reply in connection.messages():
+                        if isinstance(reply, Greet):
                             raise FrameError("second_greet", "a connection has one greeting")
-                        self._answered(far.name, answer)
-                except FrameError as wrong:
-                    self.counts["far_" + wrong.code] += 1
-                    self.log.info("copies_left", to=far.name, code=wrong.code, reason=wrong.text)
-            far.wire = None
-            wire.finish()
+                        self._handle_reply(remote.name, reply)
+                except FrameError as error:
+                    self.counts["far_" + error.code] += 1
+                    self.log.info("copies_left", to=remote.name, code=error.code, reason=error.text)
+            remote.connection = None
+            connection.finish()
 
     def _greet(self) -> Greet:
         return Greet(self.name, self.config.deployment, self.config.epoch)
 
     async def _idle(self) -> None:
         while True:
-            await trio.sleep(IDLE / 4)
-            for far in self.far.values():
-                if far.wire is not None and trio.current_time() - far.used > IDLE:
-                    far.wire.finish()
+            await trio.sleep(IDLE_TIMEOUT / 4)
+            for remote in self.remotes.values():
+                if remote.connection is not None and trio.current_time() - remote.used > IDLE_TIMEOUT:
+                    remote.connection.finish()
 
-    # From the others.
+    # From other planners.
 
-    async def _door(self, stream: trio.abc.Stream) -> None:
-        """One planner's askings. Whatever is wrong with a connection ends it alone."""
-        wire = Wire(stream, ASKS, self.net.now)
+    async def _serve(self, stream: trio.abc.Stream) -> None:
+        """Serves one planner's connection. An error ends only that connection."""
+        connection = Wire(stream, REQUESTS, self.net.now)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(wire.write)
-            with wire.scope:
+            nursery.start_soon(connection.write)
+            with connection.scope:
                 try:
-                    greet = await wire.first(Greet, HELLO)
+                    greet = await connection.first(Greet, GREETING_TIMEOUT)
                     if greet.version != VERSION:
                         raise FrameError("version", f"version {greet.version}; spoken here: {VERSION}")
-                    if greet.deployment != self.config.deployment or greet.name not in self.far:
+                    if greet.deployment != self.config.deployment or greet.name not in self.remotes:
                         raise FrameError("stranger", f"{greet.name!r} of {greet.deployment!r} has no seat")
-                    wire.send(self._greet())
-                    for message in wire.rest():
-                        self._heard(greet.name, wire, message)
-                    async for message in wire.messages():
-                        self._heard(greet.name, wire, message)
-                except FrameError as wrong:
-                    self.counts["refused_" + wrong.code] += 1
-                    self.log.warning("copies_refused", code=wrong.code, reason=wrong.text)
-            wire.finish()
-
-    def _heard(
+                    connection.send(self._greet())
+                    for message in connection.rest():
+                        self._handle_message(greet.name, connection, message)
+                    async for message in connection.messages():
+                        self._handle_message(greet.name, connection, message)
+                except FrameError as error:
+                    self.counts["refused_" + error.code] += 1
+                    self.log.warning("copies_refused", code=error.code, reason=error.text)
+            connection.finish()
+
+    def _handle_message(
         self,
         sender: str,
-        wire: Wire,
+        connection: Wire,
         message: messages.Message | messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
     ) -> None:
         if isinstance(message, Greet):
             raise FrameError("second_greet", "a connection has one greeting")
-        if len(self.vote_writer.queue) > BUSY:
+        if len(self.vote_writer.queue) > MAX_WRITES:
             self.counts["words_dropped"] += 1
             return
         if isinstance(message, messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest):
-            answer, changes = self.votes.receive_rejoin(sender, message)
+            reply, changes = self.votes.receive_rejoin(sender, message)
         else:
-            answer, changes = self.votes.receive(message, self.net.wall())
-        self.vote_writer.take(changes, lambda: wire.send(answer))
+            reply, changes = self.votes.receive(message, self.net.wall())
+        self.vote_writer.take(changes, lambda: connection.send(reply))
 
     async def _sweep(self) -> None:
         while True:
@@ -413,8 +420,9 @@
 
 
 class VoteWriter:
-    """Makes votes safe and lets answers go: one commit at a time, what comes meanwhile shares the next. While
-    the disk fails nothing is answered; every `retry_ms` all votes are written anew as a whole."""
+    """Makes votes durable, then lets their replies be sent: one commit at a time, and changes that arrive
+    meanwhile share the next. While the disk fails no reply is sent; every `retry_ms` all votes are written
+    as a new generation."""
 
     def __init__(self, votes: Votes, config: CopiesConfig, on_commit: Callable[[], None]) -> None:
         self.votes, self.config, self.on_commit = votes, config, on_commit
@@ -428,11 +436,11 @@
     def begin(self, wall: int) -> None:
         try:
             self.store.begin(wall)
-        except OSError as wrong:
-            self._fails(wrong)
+        except OSError as error:
+            self._disk_failed(error)
 
     def take(self, changes: list[Change], then: Callable[[], object]) -> None:
-        """Calls `then` once the changes, and all before them, are safe; never, if the disk fails first."""
+        """Calls `then` once these changes and all before them are durable; never, if the disk fails first."""
         if not changes and not self.queue and not self.busy and not self.failed:
             then()
             return
@@ -453,41 +461,42 @@
                 self.busy = False
 
     async def _commit(self, wall: int) -> None:
-        taken, self.queue = self.queue, deque()
-        changes = list({(c.kind, c.key): c for each, _ in taken for c in each}.values())
+        batch, self.queue = self.queue, deque()
+        changes = list({(c.kind, c.key): c for each, _ in batch for c in each}.values())
         if changes:
             self.store.apply(changes)
-            wrong = await self._run_with_timeout(self.store.log, frames.batch(changes))
-            if wrong is None and self.store.due():
-                wrong = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
-            if wrong is not None:
-                self._fails(wrong)
+            error = await self._run_with_timeout(self.store.log, frames.batch(changes))
+            if error is None and self.store.due():
+                error = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
+            if error is not None:
+                self._disk_failed(error)
                 return
             self.commits += 1
-        for _, then in taken:
+        for _, then in batch:
             then()
         self.on_commit()
 
-    async def _run_with_timeout(self, call: Callable[..., None], *given: object) -> OSError | None:
+    async def _run_with_timeout(self, call: Callable[..., None], *arguments: object) -> OSError | None:
         if self.store.disk.threaded:
-            return await slowly(self.store, self.config.slow_ms, call, *given)
+            return await slowly(self.store, self.config.slow_ms, call, *arguments)
         try:
-            call(*given)
-        except OSError as wrong:
-            return wrong
+            call(*arguments)
+        except OSError as error:
+            return error
         return None
 
-    def _fails(self, wrong: OSError) -> None:
+    def _disk_failed(self, error: OSError) -> None:
         self.failures += 1
         self.failed = True
-        self.log.error("votes_fail", reason=str(wrong))
+        self.log.error("votes_fail", reason=str(error))
 
     async def _renew(self, wall: int) -> None:
-        """All votes as a new generation. What waited is not answered: it is asked again, or was given up."""
+        """Writes all votes as a new generation. Messages that waited get no reply: their proposers retry or
+        have given up."""
         for changes, _ in self.queue:
             self.store.apply(changes)
         self.queue.clear()
-        wrong = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
-        if wrong is None:
+        error = await self._run_with_timeout(self.store.finish, *self.store.prepare(wall))
+        if error is None:
             self.failed = False
             self.log.warning("votes_work_again", waiting=len(self.queue))
--- a/hazelhold/replica/messages.py
+++ b/hazelhold/replica/messages.py
@@ -1,7 +1,7 @@
-"""The messages between proposers and acceptors of agreed values. Plain data, without I/O.
+"""The messages between proposers and acceptors. Plain data, without I/O.
 
-A ballot is (number, process): the number grows, and the process (name, life and a random part) makes it the
-only one of its number. Every message names the epoch of the configured set that it was made for.
+A ballot is (number, process): the number grows, and the process (name, start time and a random part) makes it
+unique. Every message names the epoch of the configured set that it was made for.
 """
 
 from typing import Literal, NamedTuple
@@ -10,12 +10,14 @@
 
 
 class Ballot(NamedTuple):
+    """A ballot number. Ballots are ordered by number, then by process."""
+
     number: int
     process: str
 
 
 class Incarnation(NamedTuple):
-    """An incarnation of an acceptor: a start of its process, the number above all that others know of it."""
+    """A start of an acceptor's process. The number is higher than all that others know of this acceptor."""
 
     number: int
     nonce: int
@@ -27,9 +29,9 @@
 
 
 class Message(Struct, frozen=True, tag_field="t"):
-    """What concerns one key.
+    """A message about one key.
 
-    The ballot is the attempt: answers to an earlier one are not taken for the next.
+    The ballot identifies the round: replies to an earlier round are not taken for the next.
     """
 
     key: str
@@ -38,60 +40,61 @@
 
 
 class Reply(Message, frozen=True, tag_field="t"):
-    """`inc` is the acceptor's own; `known` the latest that it knows of the others in the key's set, which is
-    how an answer of an earlier incarnation is found out (`proposer`)."""
+    """`inc` is the acceptor's incarnation; `known` the latest that it knows of the other replicas of the key,
+    by which the proposer recognizes replies of an earlier incarnation."""
 
     inc: Incarnation = NO_INCARNATION
     known: dict[str, Incarnation] = {}
 
 
 class Prepare(Message, frozen=True, tag_field="t", tag="prepare"):
-    """Promise me nothing below this ballot, and say what you accepted last."""
+    """Requests a promise to accept nothing below this ballot, and the value accepted last."""
 
 
 class Promise(Reply, frozen=True, tag_field="t", tag="promise"):
-    """The answer to Prepare: what was accepted last, if anything was."""
+    """The reply to Prepare, with the ballot and value accepted last."""
 
-    accepted: Ballot = NO_BALLOT  # NO_BALLOT: nothing was
+    accepted: Ballot = NO_BALLOT  # NO_BALLOT: nothing was accepted
     value: bytes = b""
 
 
 class Accept(Message, frozen=True, tag_field="t", tag="accept"):
-    """`next`: whoever accepts promises that ballot too, so that the proposer's next change of the key needs
-    no Prepare (the one-round step of the CASPaxos paper)."""
+    """Requests acceptance of a value. An acceptor that accepts also promises the ballot `next`, so that the
+    proposer's next change of the key needs no Prepare (the one-round step of the CASPaxos paper)."""
 
     value: bytes
     next: Ballot = NO_BALLOT
 
 
 class Accepted(Reply, frozen=True, tag_field="t", tag="accepted"):
-    """The answer to Accept."""
+    """The positive reply to Accept."""
 
 
 class Query(Message, frozen=True, tag_field="t", tag="look"):
-    """Say what you accepted last; promises nothing and writes nothing."""
+    """Requests the value accepted last. The acceptor promises nothing and writes nothing."""
 
 
 class QueryReply(Reply, frozen=True, tag_field="t", tag="seen"):
-    """The answer to Query."""
+    """The reply to Query, with the ballot and value accepted last."""
 
     accepted: Ballot = NO_BALLOT
     value: bytes = b""
 
 
 class Refused(Message, frozen=True, tag_field="t", tag="refused"):
-    """`ballot` is the one refused; `higher` what was promised instead, `now` the acceptor's epoch."""
+    """The negative reply. `ballot` is the one refused, `higher` the one promised instead, and `now` the
+    acceptor's epoch."""
 
     why: RefusalReason
     higher: Ballot = NO_BALLOT
     now: int = 0
 
 
-# Coming back (`rejoin`). Between two planners; `no` ties an answer to what was asked last.
+# Rejoining (`rejoin`), between two planners. `no` matches a reply to the last request.
 
 
 class CellCopy(NamedTuple):
-    """A cell as it is copied: key, promised, accepted, value."""
+    """A cell as it is copied to another replica."""
 
     key: str
     promised: Ballot
@@ -100,13 +103,14 @@
 
 
 class RejoinQuery(Struct, frozen=True, tag_field="t", tag="hail"):
-    """I have started: which incarnation of me do you know, and may I copy from you?"""
+    """Sent after a start: requests the incarnation of the sender that the receiver knows, and whether the
+    sender can copy from it."""
 
     no: int
 
 
 class RejoinReply(Struct, frozen=True, tag_field="t", tag="hailed"):
-    """`source`: this planner's votes can be copied; one that lost its own has none to give."""
+    """`source`: whether this planner's votes can be copied; one that lost its own cannot serve them."""
 
     no: int
     known: Incarnation
@@ -114,8 +118,8 @@
 
 
 class RejoinEntry(Struct, frozen=True, tag_field="t", tag="enter"):
-    """I am this incarnation now. Tell everybody who asks; and send me the cells of the slots in which yours
-    are not these (digests by slot)."""
+    """Announces the sender's incarnation, which the receiver then reports in its replies, and requests the
+    cells of the slots whose digests differ (`digests` by slot)."""
 
     no: int
     inc: Incarnation
@@ -123,7 +127,7 @@
 
 
 class PageRequest(Struct, frozen=True, tag_field="t", tag="next"):
-    """The page after this many cells."""
+    """Requests the page after the first `after` cells."""
 
     no: int
     inc: Incarnation
@@ -131,8 +135,9 @@
 
 
 class CellPage(Struct, frozen=True, tag_field="t", tag="page"):
-    """Cells from `after` on; `total` in all. `unready`: slots of ours in which the sender does not vote.
-    `known`: all incarnations that it knows. Total -1: it knows nothing of this copying, which begins anew."""
+    """Cells from `after` on, of `total`. `unready`: slots that both share and on which the sender does not
+    vote. `known`: all incarnations that it knows. A `total` of -1: the sender does not know this copy, which
+    has to start again."""
 
     no: int
     after: int
@@ -140,4 +145,4 @@
     cells: list[CellCopy] = []
     unready: list[int] = []
     known: dict[str, Incarnation] = {}
-    floor: int = 0  # of ballots for keys without a cell
+    floor: int = 0  # lowest ballot number for keys without a cell
--- a/hazelhold/replica/proposer.py
+++ b/hazelhold/replica/proposer.py
@@ -1,15 +1,15 @@
-"""Agrees on a key's value by majority of its replica set: a change function over the last value (CASPaxos;
-Rystsov 2018).
-
-Without I/O: `ask` and `hear` and `wake` in, `actions` out, times in microseconds of the host's own clock. A
-round prepares with a ballot of its own, takes the value that was accepted under the highest ballot among a
-majority's promises, applies the change and has a majority accept the result. A read accepts what it found:
-only then is it sure to be what a majority holds. No leader, no lease, no word on who is alive: time only
-decides when to try again and when to give up.
-
-Outcomes: `agreed` (the value now, which may be another's); `refused` with a reason, if no accept of this
-asking left: it is as if it had never been; `open` if one did: its value may be chosen yet by whoever comes
-next.
+"""The proposer: agrees on a key's value by a majority of its replica set. A change is a function of the last
+value (CASPaxos; Rystsov 2018).
+
+No I/O: `propose`, `receive` and `wake` in, `actions` out, times in microseconds of the host's own clock. A
+round prepares with its own ballot, takes the value that was accepted under the highest ballot among a
+majority's promises, applies the change and has a majority accept the result. A read also has its value
+accepted, unless a majority reports the same: only then is it certain that a majority holds it. There is no
+leader, no lease and no opinion on who is alive: time only decides when to retry and when to give up.
+
+Outcomes: `agreed`, with the current value, which may be another proposer's; `refused` with a reason, if no
+accept of this proposal was sent: it has no effect; `open` if one was: a later round may still choose its
+value.
 """
 
 from collections import deque
@@ -22,7 +22,7 @@
 
 
 class SetOnce(NamedTuple):
-    """Write-once: takes an empty key, and keeps what is there otherwise."""
+    """Sets the value of an empty key; otherwise keeps the current value."""
 
     value: bytes
 
@@ -31,7 +31,7 @@
 
 
 class CompareAndSwap(NamedTuple):
-    """Compare-and-set: `value` if what is there is `expect`, else what is there."""
+    """Sets `value` if the current value is `expect`; otherwise keeps the current value."""
 
     expect: bytes
     value: bytes
@@ -41,8 +41,8 @@
 
 
 class Read(NamedTuple):
-    """Asks first what a majority accepted; if all of it say the same, that is the value, and nothing was
-    written."""
+    """Reads the value. It first queries what a majority accepted; if all of them report the same, that is the
+    value, and nothing is written."""
 
     def __call__(self, last: bytes) -> bytes:
         return last
@@ -52,14 +52,19 @@
 
 
 class Send(NamedTuple):
+    """A message to send to the acceptor of a planner."""
+
     to: str
     message: messages.Prepare | messages.Accept | messages.Query
 
 
 class Done(NamedTuple):
-    """`asked` is the number that `ask` gave. `rounds` counts those whose accept left: a round that was not
-    heard of may have been chosen and changed by others since, so that the change of an agreed asking was made
-    up to `rounds` times, the last on what others had made of it. Whoever swaps has to bear that."""
+    """The outcome of a proposal. `number` is the one that `propose` returned.
+
+    `rounds` counts the rounds whose accept was sent. A round without a majority of replies may have been
+    chosen and then changed by others, so the change of an agreed proposal was applied up to `rounds` times,
+    the last time to what others had made of it. Callers that compare and swap have to tolerate that.
+    """
 
     number: int
     key: str
@@ -70,15 +75,17 @@
 
 
 class Times(NamedTuple):
-    round_most: int = 300_000  # how long a round waits for a majority
-    pause: int = 20_000  # the first pause after a lost ballot; drawn up to twice as long each time
-    pause_most: int = 500_000
-    most: int = 8192  # askings under way; more are refused at once
-    known: int = 10_000  # keys whose next change may go without Prepare; the oldest is forgotten
+    """Timeouts in microseconds, and limits."""
+
+    round_timeout: int = 300_000  # how long a round waits for a majority
+    pause: int = 20_000  # first backoff after a lost ballot; its upper limit doubles each time
+    max_pause: int = 500_000
+    max_proposals: int = 8192  # proposals in progress; more are refused at once
+    max_ahead: int = 10_000  # keys whose next change may skip Prepare; the oldest is forgotten
 
 
 class Operation:
-    """One asking under way."""
+    """A proposal in progress."""
 
     __slots__ = (
         "no",
@@ -105,32 +112,33 @@
         self.accepts: dict[str, messages.Accepted] = {}
         self.refusals: dict[str, messages.Refused] = {}
         self.value = b""
-        self.exposed = 0  # rounds whose accept left: what they carried may be chosen
+        self.exposed = 0  # rounds whose accept was sent: their values may be chosen
         self.tries = 0
         self.reason = "no_majority"
 
 
 class Proposer:
-    """One process's askings. `process` is a name that no other process ever has."""
+    """The proposals of one process. `process` is a name that no other process ever has."""
 
     def __init__(self, process: str, epoch: int, seed: int, times: Times = Times()) -> None:  # noqa: B008
         self.process, self.epoch, self.times = process, epoch, times
         self.random = Random(f"proposer/{seed}")
         self.actions: list[Send | Done] = []
         self.ops: dict[str, Operation] = {}  # by key: one at a time
-        self.waiting: dict[str, deque[Operation]] = {}  # behind it; emptied as they end
-        self.timers: list[tuple[int, int, Operation, int]] = []  # each goes at its time
-        self.highest = 0  # number of any ballot seen
-        # A ballot that a majority promised with its last accept, and the value then, by key; used once, and
-        # emptied by use and by `times.known`.
+        self.waiting: dict[str, deque[Operation]] = {}  # queued behind it; emptied as proposals end
+        self.timers: list[tuple[int, int, Operation, int]] = []  # each is removed at its time
+        self.highest = 0  # highest ballot number seen
+        # By key: the ballot that a majority promised with its last accept, and the value. Used once; bounded
+        # by `times.max_ahead`.
         self.ahead: dict[str, tuple[messages.Ballot, bytes]] = {}
         self.number = self.timer_no = self.under_way = 0
 
     def propose(self, now: int, key: str, change: Change, replicas: Iterable[str], deadline: int) -> int:
-        """Begins an asking; its Done follows, by `deadline` at the latest if `wake` is called in time."""
+        """Starts a proposal and returns its number. Its Done follows by `deadline`, if `wake` is called in
+        time."""
         self.number += 1
         op = Operation(self.number, key, change, deadline, tuple(replicas))
-        if self.under_way >= self.times.most:
+        if self.under_way >= self.times.max_proposals:
             self.actions.append(Done(op.no, key, "refused", b"", "busy"))
             return op.no
         self.under_way += 1
@@ -142,17 +150,20 @@
         return op.no
 
     def promised(self, key: str, ballot: messages.Ballot) -> None:
-        """The acceptor of this process has promised that ballot for the key: the others will have, most
-        likely, and a lower one would be lost there. A hint, which saves rounds; nothing rests on it."""
+        """Notes that the acceptor of this process has promised that ballot for the key. The other acceptors
+        probably have, too, and would refuse a lower one. A hint that saves rounds; safety does not depend on
+        it."""
         self.highest = max(self.highest, ballot.number)
         ahead = self.ahead.get(key)
         if ahead is not None and ahead[0] < ballot:
             del self.ahead[key]
 
     def next_at(self) -> int | None:
+        """When `wake` is due next; None if no timer is set."""
         return self.timers[0][0] if self.timers else None
 
     def wake(self, now: int) -> None:
+        """Ends proposals past their deadline and starts the next rounds that are due."""
         while self.timers and self.timers[0][0] <= now:
             _, _, op, tries = heappop(self.timers)
             if op.phase == "over":
@@ -163,7 +174,7 @@
                 self._round(now, op)
 
     def receive(self, now: int, sender: str, message: messages.Message) -> None:
-        """An acceptor's answer. What belongs to no ballot under way does nothing."""
+        """Handles an acceptor's reply. A reply to no ballot in progress has no effect."""
         op = self.ops.get(message.key)
         if isinstance(message, messages.Refused):
             self.highest = max(self.highest, message.higher.number)
@@ -189,23 +200,23 @@
             op.accepts[sender] = message
             if self._majority(op, op.accepts):
                 self.ahead[op.key] = self._next(op), op.value
-                if len(self.ahead) > self.times.known:
+                if len(self.ahead) > self.times.max_ahead:
                     del self.ahead[next(iter(self.ahead))]
                 self._end(now, op, "agreed", op.value)
         elif isinstance(message, messages.Refused):
             self._refused(now, op, sender, message)
 
-    def _majority(self, op: Operation, found: dict[str, messages.Reply]) -> bool:
-        """Whether these are a majority whose answers go together. Whoever another of them knows in a later
-        incarnation may have forgotten what it answered: it is left out."""
-        old = [
+    def _majority(self, op: Operation, replies: dict[str, messages.Reply]) -> bool:
+        """Whether these replies make a majority whose replies are consistent. A replica that another of them
+        knows in a later incarnation may have forgotten its reply, which is therefore left out."""
+        stale = [
             n
-            for n, a in found.items()
-            if any(b.known.get(n, messages.NO_INCARNATION) > a.inc for b in found.values())
+            for n, a in replies.items()
+            if any(b.known.get(n, messages.NO_INCARNATION) > a.inc for b in replies.values())
         ]
-        for name in old:
-            del found[name]
-        return 2 * len(found) > len(op.replicas)
+        for name in stale:
+            del replies[name]
+        return 2 * len(replies) > len(op.replicas)
 
     def _at(self, when: int, op: Operation, tries: int) -> None:
         self.timer_no += 1
@@ -219,26 +230,26 @@
             op.ballot, last = self.ahead.pop(op.key)
             op.tries += 1
             self._accept(op, last)
-            self._at(now + self.times.round_most, op, op.tries)
+            self._at(now + self.times.round_timeout, op, op.tries)
         else:
             self._round(now, op)
 
     def _look(self, now: int, op: Operation) -> None:
-        self.highest += 1  # a number of its own: a late answer to an earlier look is not taken for this one's
+        self.highest += 1  # own number, so that a late reply to an earlier query does not count
         op.ballot, op.phase, op.tries = messages.Ballot(self.highest, self.process), "look", op.tries + 1
         self._send(op, messages.Query(op.key, self.epoch, op.ballot))
-        self._at(now + self.times.round_most, op, op.tries)
+        self._at(now + self.times.round_timeout, op, op.tries)
 
     def _round(self, now: int, op: Operation) -> None:
         self.highest += 1
         op.ballot, op.phase, op.tries = messages.Ballot(self.highest, self.process), "prepare", op.tries + 1
         op.promises, op.accepts, op.refusals = {}, {}, {}
         self._send(op, messages.Prepare(op.key, self.epoch, op.ballot))
-        self._at(now + self.times.round_most, op, op.tries)
+        self._at(now + self.times.round_timeout, op, op.tries)
 
     def _accept(self, op: Operation, last: bytes) -> None:
         op.value, op.phase, op.exposed = op.change(last), "accept", op.exposed + 1
-        self.highest = max(self.highest, op.ballot.number + 1)  # the number of `next` is taken with it
+        self.highest = max(self.highest, op.ballot.number + 1)  # `next` uses that number
         self._send(op, messages.Accept(op.key, self.epoch, op.ballot, op.value, self._next(op)))
 
     def _next(self, op: Operation) -> messages.Ballot:
@@ -251,14 +262,16 @@
         op.refusals[sender] = message
         if 2 * len(op.refusals) < len(op.replicas):
             return  # the others may still be a majority
-        whys = {r.why for r in op.refusals.values()}
-        op.reason = "old_epoch" if "epoch" in whys else "no_votes" if whys == {"no_vote"} else "contended"
+        reasons = {r.why for r in op.refusals.values()}
+        op.reason = (
+            "old_epoch" if "epoch" in reasons else "no_votes" if reasons == {"no_vote"} else "contended"
+        )
         if op.reason == "old_epoch" and max(r.now for r in op.refusals.values()) > self.epoch:
             self._end(now, op, "open" if op.exposed else "refused", b"", op.reason)
             return
         op.phase, op.ballot = "wait", messages.NO_BALLOT
-        most = min(self.times.pause * 2 ** min(op.tries, 10), self.times.pause_most)
-        self._at(now + self.random.randint(self.times.pause // 2, most), op, op.tries)
+        max_pause = min(self.times.pause * 2 ** min(op.tries, 10), self.times.max_pause)
+        self._at(now + self.random.randint(self.times.pause // 2, max_pause), op, op.tries)
 
     def _end(self, now: int, op: Operation, outcome: str, value: bytes, reason: str = "") -> None:
         op.phase = "over"
--- a/hazelhold/replica/rejoin.py
+++ b/hazelhold/replica/rejoin.py
@@ -1,18 +1,20 @@
-"""How an acceptor that starts comes back to its votes, whatever became of its disk.
+"""Recovers an acceptor's votes at each start, whatever happened to its disk.
 
-A disk may be gone, or have been put back older than it was, and its planner cannot tell. So each start is a
-new incarnation: it enters with the others of its sets, which from then on tell everybody of it, and copies
-what they know. It votes on a slot once that is so for
+A disk may be lost or restored to an older state, and its planner cannot tell. So each start is a new
+incarnation. It enters with the other replicas of its sets, which from then on report it in their replies,
+and copies what they know. It votes on a slot once it has done both with
 
-- a majority's number of other members of the slot's set that vote on it themselves, or
-- all other members, if they have votes to give (after all were down at once).
+- as many other replicas of the slot's set as make a majority of the set, each of which votes on the slot
+  itself, or
+- all other replicas of the set, if they can serve their votes (after all were down at once).
 
-Why nothing is forgotten: what an earlier incarnation promised or accepted counts for something only in a
-majority. Such a majority has a member among those entered with. If it answered before the entering, the copy
-has what it knew; if after, its answer tells of the new incarnation, and the proposer leaves the old answer
-out (`Proposer._majority`). What was copied is told to whoever prepares but is no vote (`Cell.copied`).
+Why nothing is forgotten: what an earlier incarnation promised or accepted matters only as part of a majority.
+Each such majority contains a replica that this one entered with. If that replica replied before the entry,
+the copy contains what it knew; if after, its reply reports the new incarnation, and the proposer leaves out
+the old reply (`Proposer._majority`). Copied values are reported to proposers that prepare, but are not votes
+(`Cell.copied`).
 
-Without I/O. `Joiner` is the side that comes back, `Source` the side that is asked.
+No I/O. `RejoinClient` is the side that rejoins, `RejoinServer` the side that serves its votes.
 """
 
 from collections import Counter, defaultdict
@@ -22,11 +24,11 @@
 from hazelhold.replica.acceptor import Acceptor, Change
 from hazelhold.replica.sets import ReplicaSets
 
-PAGE = 200  # cells at a time: some 40 KB
+PAGE = 200  # cells in one message: about 40 KB
 
 
 class OutgoingMessage(NamedTuple):
-    """Send to that planner."""
+    """A message to send to the planner `to`."""
 
     to: str
     message: (
@@ -39,105 +41,107 @@
 
 
 class RejoinPeer:
-    """How far the coming back is with one other planner."""
+    """The progress of rejoining with one other planner."""
 
     def __init__(self) -> None:
-        self.no = 0  # of what was asked last
-        self.state = "hail"  # hail; wait, until another's copying is over; enter, copy, done
-        self.done = False  # all was copied once, as this incarnation; stays so while it is asked once more
-        self.known = messages.NO_INCARNATION  # the latest incarnation of ours that it knows
-        self.cells = 0  # copied so far in this round
-        self.moved = False  # since the last tick
+        self.no = 0  # of the last request
+        self.state = "hail"  # hail; wait, until the copy from another planner is done; enter, copy, done
+        self.done = False  # everything was copied once as this incarnation; remains set during another copy
+        self.known = messages.NO_INCARNATION  # the latest incarnation of this planner that it knows
+        self.cells = 0  # received so far in this copy
+        self.moved = False  # a page arrived since the last tick
         self.unready: frozenset[int] = frozenset()
 
 
 class RejoinClient:
-    """One planner's coming back. `trusted`: an operator vouches that its disk is the newest."""
+    """The rejoin of one planner. `trusted`: an operator confirmed that its disk is the newest."""
 
     def __init__(
         self, name: str, sets: ReplicaSets, acceptor: Acceptor, nonce: int, trusted: bool = False
     ) -> None:
         self.name, self.sets, self.acceptor, self.nonce = name, sets, acceptor, nonce
-        self.others = sets.slots_of(name)  # by slot of ours: the other members
-        self.shared: dict[str, set[int]] = defaultdict(set)  # by planner: slots that both keep
+        self.others = sets.slots_of(name)  # by slot of this planner: the other replicas
+        self.shared: dict[str, set[int]] = defaultdict(set)  # by planner: slots that both hold
         for slot, others in self.others.items():
             for other in others:
                 self.shared[other].add(slot)
         self.peers = {other: RejoinPeer() for other in self.shared}
-        self.voted: set[int] = set()  # slots with all copied: the host lets it vote once that is safe
+        self.voted: set[int] = set()  # slots that are copied; the host lets it vote once that is durable
         self.outgoing: list[OutgoingMessage] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
         self.no = 0
-        if trusted or not self.peers:  # its own disk is enough
+        if trusted or not self.peers:  # its own disk is sufficient
             acceptor.inc = messages.Incarnation(acceptor.inc.number + 1, nonce)
             self.voted = set(self.others)
 
     def is_complete(self) -> bool:
+        """Whether all slots are copied."""
         return len(self.voted) == len(self.others)
 
     def tick(self) -> None:
-        """Now and then: asks again whoever has not answered, or does not vote itself yet."""
+        """Called periodically: repeats the request to planners that have not replied or do not vote yet."""
         if self.is_complete():
             return
         waits = any(m.state in ("wait", "enter", "copy") for m in self.peers.values())
-        for other, mate in self.peers.items():
-            if mate.state == "done" and (waits or not (mate.unready - self.voted)):
+        for other, peer in self.peers.items():
+            if peer.state == "done" and (waits or not (peer.unready - self.voted)):
                 continue
-            if mate.state == "wait":
+            if peer.state == "wait":
                 continue
-            if mate.state in ("enter", "copy") and mate.moved:  # its pages come
-                mate.moved = False
+            if peer.state in ("enter", "copy") and peer.moved:  # its pages are arriving
+                peer.moved = False
                 continue
-            if mate.state != "done":
-                mate.state = "hail"  # anew, which digests make short
-            self._ask(other, mate, messages.RejoinQuery)
+            if peer.state != "done":
+                peer.state = "hail"  # starts again; digests keep that short
+            self._request(other, peer, messages.RejoinQuery)
         if not any(m.state in ("enter", "copy") for m in self.peers.values()):
             self._next()
 
     def receive(self, other: str, message: messages.RejoinReply | messages.CellPage) -> list[Change]:
-        """Returns what was copied: to be made safe before any vote on it."""
-        mate = self.peers.get(other)
-        if mate is None or message.no != mate.no or self.is_complete():
+        """Handles a reply. Returns what was copied, which has to be durable before any vote on it."""
+        peer = self.peers.get(other)
+        if peer is None or message.no != peer.no or self.is_complete():
             return []
         if isinstance(message, messages.RejoinReply):
-            mate.known = max(mate.known, message.known)
-            if message.source and mate.state in ("hail", "enter", "done"):
-                self._rise()
-                if all(m is mate or m.state not in ("enter", "copy") for m in self.peers.values()):
-                    self._enter(other, mate)
+            peer.known = max(peer.known, message.known)
+            if message.source and peer.state in ("hail", "enter", "done"):
+                self._raise_incarnation()
+                if all(m is peer or m.state not in ("enter", "copy") for m in self.peers.values()):
+                    self._enter(other, peer)
                 else:
-                    mate.state = "wait"
+                    peer.state = "wait"
             return []
-        return self._page(other, mate, message)
+        return self._page(other, peer, message)
 
-    def _rise(self) -> None:
-        """Above all that others know of us: whoever was entered with before has to be told anew."""
+    def _raise_incarnation(self) -> None:
+        """Raises the incarnation above all that others know of this planner. Planners that it entered with
+        before have to learn the new one."""
         mine, highest = self.acceptor.inc, max(m.known for m in self.peers.values())
         if highest > mine or mine.nonce != self.nonce:
             self.acceptor.inc = messages.Incarnation(max(highest.number, mine.number) + 1, self.nonce)
-            for mate in self.peers.values():
-                mate.done = False
-                if mate.state != "hail":
-                    mate.state, mate.no = "hail", 0
+            for peer in self.peers.values():
+                peer.done = False
+                if peer.state != "hail":
+                    peer.state, peer.no = "hail", 0
             self.voted.clear()
-            self.acceptor.voting = set()  # not a moment longer: those entered with do not know this one
+            self.acceptor.voting = set()  # at once: the others do not know this incarnation yet
 
-    def _enter(self, other: str, mate: RejoinPeer) -> None:
-        mate.state, mate.cells, mate.moved = "enter", 0, True
+    def _enter(self, other: str, peer: RejoinPeer) -> None:
+        peer.state, peer.cells, peer.moved = "enter", 0, True
         open_slots = self.shared[other] - self.voted
-        self._ask(
+        self._request(
             other,
-            mate,
+            peer,
             messages.RejoinEntry,
             inc=self.acceptor.inc,
             digests=self.acceptor.digests_of(open_slots),
         )
 
-    def _page(self, other: str, mate: RejoinPeer, page: messages.CellPage) -> list[Change]:
+    def _page(self, other: str, peer: RejoinPeer, page: messages.CellPage) -> list[Change]:
         if page.total < 0:
-            mate.state = "hail"
+            peer.state = "hail"
             return []
-        if mate.state not in ("enter", "copy") or page.after != mate.cells:
+        if peer.state not in ("enter", "copy") or page.after != peer.cells:
             return []
         changes = []
         for found in page.cells:
@@ -147,53 +151,52 @@
             if name != self.name:
                 self.acceptor.record_incarnation(name, inc)
         self.acceptor.raise_floor(page.floor)
-        mate.cells, mate.moved = mate.cells + len(page.cells), True
+        peer.cells, peer.moved = peer.cells + len(page.cells), True
         self.counts["cells_heard"] += len(page.cells)
         self.counts["cells_copied"] += len(changes)
-        mate.unready = frozenset(page.unready)
-        if mate.cells < page.total:
-            mate.state = "copy"
-            self._ask(other, mate, messages.PageRequest, inc=self.acceptor.inc, after=mate.cells)
+        peer.unready = frozenset(page.unready)
+        if peer.cells < page.total:
+            peer.state = "copy"
+            self._request(other, peer, messages.PageRequest, inc=self.acceptor.inc, after=peer.cells)
         else:
-            mate.state, mate.done = "done", True
+            peer.state, peer.done = "done", True
             self._complete()
             self._next()
         return changes
 
     def _next(self) -> None:
-        """One at a time: what the one has sent, the next need not."""
+        """Starts the next copy. One at a time: the next planner need not send what is already copied."""
         waiting = [o for o, m in self.peers.items() if m.state == "wait"]
         if waiting and not self.is_complete():
-            other = min(waiting, key=lambda o: self.peers[o].done)  # those not copied from yet come first
+            other = min(waiting, key=lambda o: self.peers[o].done)  # planners not copied from yet come first
             self._enter(other, self.peers[other])
 
     def _complete(self) -> None:
         for slot, others in self.others.items():
-            done = [n for n in others if self.peers[n].done]
-            voting = sum(slot not in self.peers[n].unready for n in done)
-            if 2 * voting > len(others) + 1 or len(done) == len(others):
+            copied = [n for n in others if self.peers[n].done]
+            voting = sum(slot not in self.peers[n].unready for n in copied)
+            if 2 * voting > len(others) + 1 or len(copied) == len(others):
                 self.voted.add(slot)
 
-    def _ask(self, other: str, mate: RejoinPeer, kind: type, **more: object) -> None:
+    def _request(self, other: str, peer: RejoinPeer, kind: type, **fields: object) -> None:
         self.no += 1
-        mate.no = self.no
-        self.outgoing.append(OutgoingMessage(other, kind(no=self.no, **more)))
+        peer.no = self.no
+        self.outgoing.append(OutgoingMessage(other, kind(no=self.no, **fields)))
 
 
 class RejoinServer:
-    """What one planner tells those who come back. `gives`: its own votes are not lost."""
+    """Serves a planner's votes to planners that rejoin. `can_serve`: its own votes are not lost."""
 
     def __init__(self, name: str, sets: ReplicaSets, acceptor: Acceptor) -> None:
         self.name, self.sets, self.acceptor = name, sets, acceptor
         self.can_serve = False
-        self.lists: dict[
-            str, tuple[messages.Incarnation, list[str], list[int]]
-        ] = {}  # by rejoin client; the last copying of each
+        # the last copy of each rejoining planner: its incarnation, the keys, and the slots not voted on
+        self.lists: dict[str, tuple[messages.Incarnation, list[str], list[int]]] = {}
 
     def receive(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> messages.RejoinReply | messages.CellPage:
-        """The answer. What is known of incarnations has to be safe before it leaves."""
+        """Returns the reply. The known incarnations have to be durable before it is sent."""
         known = self.acceptor.known.get(other, messages.NO_INCARNATION)
         if isinstance(message, messages.RejoinQuery):
             return messages.RejoinReply(message.no, known, self.can_serve)
@@ -210,25 +213,25 @@
     def _list(
         self, other: str, message: messages.RejoinEntry
     ) -> tuple[messages.Incarnation, list[str], list[int]]:
-        """Keys of the slots that differ, those whose fate is open first."""
-        both = {s for s, others in self.sets.slots_of(self.name).items() if other in others}
-        mine = self.acceptor.digests_of(both)
-        differ = {s for s in both if mine.get(s, 0) != message.digests.get(s, 0)}
+        """The keys of the slots that differ, those whose values must be kept first."""
+        shared = {s for s, others in self.sets.slots_of(self.name).items() if other in others}
+        mine = self.acceptor.digests_of(shared)
+        differ = {s for s in shared if mine.get(s, 0) != message.digests.get(s, 0)}
         cells = self.acceptor.cells
         keys = [k for k in cells if self.sets.slot(k) in differ]
         keys.sort(key=lambda k: not claims.lasts(cells[k].value))
-        unready = [s for s in both if not self.acceptor.votes_on(s)]
+        unready = [s for s in shared if not self.acceptor.votes_on(s)]
         return message.inc, keys, unready
 
     def _page(self, other: str, no: int, after: int) -> messages.CellPage:
         _, keys, unready = self.lists[other]
         if after + PAGE >= len(keys):
-            del self.lists[other]  # a page that is lost begins it anew, which digests make short
+            del self.lists[other]  # a lost page restarts the copy; digests keep that short
         cells = self.acceptor.cells
-        found = []
+        page = []
         for key in keys[after : after + PAGE]:
             cell = cells.get(key, self.acceptor.empty)
-            found.append(messages.CellCopy(key, cell.promised, cell.accepted, cell.value))
+            page.append(messages.CellCopy(key, cell.promised, cell.accepted, cell.value))
         return messages.CellPage(
-            no, after, len(keys), found, unready, dict(self.acceptor.known), self.acceptor.floor
+            no, after, len(keys), page, unready, dict(self.acceptor.known), self.acceptor.floor
         )
--- a/hazelhold/replica/votes.py
+++ b/hazelhold/replica/votes.py
@@ -1,8 +1,9 @@
-"""One planner's votes and the disk under them: what it promised and accepted, its seat, what it let go.
+"""A planner's votes on disk: what it promised and accepted, its seat, and the floor of discarded cells.
 
-A seat says that this folder has what its planner promised: an operator's word when the set is founded
-(`found`, once for each planner), later the planner's own once it has copied all anew. One without a seat, or
-found damaged, has nothing to give to others that come back. Called from one place; no trio here.
+A seat states that this folder holds what its planner promised. An operator creates it when the set is founded
+(`found`, once for each planner); later the planner itself does so, once it has copied everything again. A
+folder without a seat, or a damaged one, cannot serve votes to planners that rejoin. All calls come from one
+place; no trio here.
 """
 
 from collections import deque
@@ -24,7 +25,7 @@
 
 
 class Seat(Struct, array_like=True, frozen=True):
-    """The place of this folder in the agreed set: whose it is, and of which set."""
+    """The place of this folder in the agreed set: its planner and the set."""
 
     planner: str
     deployment: str
@@ -33,7 +34,7 @@
 
 
 class CellImage(Struct, array_like=True, frozen=True):
-    """One key's cell."""
+    """The cell of one key."""
 
     promised: tuple[int, str]
     accepted: tuple[int, str]
@@ -42,20 +43,20 @@
 
 
 class Floor(Struct, array_like=True, frozen=True):
-    """Below this number no ballot is answered for a key without a cell."""
+    """The lowest ballot number that is accepted for a key without a cell."""
 
     number: int
 
 
 class IncImage(Struct, array_like=True, frozen=True):
-    """The latest incarnation known of a planner."""
+    """The latest known incarnation of a planner."""
 
     number: int
     nonce: int
 
 
 class ConfirmationImage(Struct, array_like=True, frozen=True):
-    """An operator's word, for the next start alone, that this folder is the newest that its planner had."""
+    """An operator's confirmation, for the next start only, that this folder is the newest of its planner."""
 
     at: int
 
@@ -67,47 +68,47 @@
     "inc": IncImage,
     "vouch": ConfirmationImage,
 }
-SWEEP_MOST = 1000  # cells let go at a time
-Retention = Callable[[str, bytes], bool]  # key and accepted value: whether they are kept for ever
+MAX_SWEEP = 1000  # cells discarded in one sweep
+Retention = Callable[[str, bytes], bool]  # from key and accepted value: whether to keep them permanently
 
 
 def keep_open_claims(key: str, value: bytes) -> bool:
-    """Retention where the values are claims and lives (`claims`): those whose end is not known are kept."""
+    """Retention for claims and run numbers (`claims`): keeps those whose end is not known."""
     return claims.lasts(value)
 
 
 def keep_all(key: str, value: bytes) -> bool:
-    """Retention where no value may ever be let go, such as the one head of a configuration."""
+    """Retention where no value may ever be discarded, such as the single head of a configuration."""
     return True
 
 
 def digest(config: CopiesConfig) -> str:
-    """The same for the same set, in whatever order."""
-    said = [config.replicas, *sorted((p.name, p.zone) for p in config.planners)]
-    return xxhash.xxh3_64_hexdigest(msgspec.json.encode(said))
+    """A digest of the configured set that does not depend on its order."""
+    described = [config.replicas, *sorted((p.name, p.zone) for p in config.planners)]
+    return xxhash.xxh3_64_hexdigest(msgspec.json.encode(described))
 
 
 def found(disk: Disk, name: str, config: CopiesConfig, wall: int) -> None:
-    """Gives an empty folder its seat. StateError if anything is there: a planner that lost its disk must not
-    get it back this way."""
+    """Creates the seat in an empty folder. StateError if the folder is not empty: a planner that lost its
+    disk must not regain its seat this way."""
     store = Store(disk, name, KINDS)
     seen = store.open(wall, name)
     try:
         if not seen.fresh:
-            raise StateError("the folder has votes or parts of them: it is founded already")
+            raise StateError("the folder is not empty: it is founded already")
         store.apply([put("seat", "", Seat(name, config.deployment, config.epoch, digest(config)))])
         store.begin(wall)
     finally:
         store.close()
 
 
-def vouch(disk: Disk, name: str, wall: int) -> None:
-    """Leaves an operator's word that the folder is the newest. StateError if it has no sound votes."""
+def confirm(disk: Disk, name: str, wall: int) -> None:
+    """Stores an operator's confirmation that the folder is the newest. StateError without valid votes."""
     store = Store(disk, name, KINDS)
     seen = store.open(wall, name)
     try:
         if not seen.complete or store.ledger.image("seat", "") is None:
-            raise StateError("the folder has no seat, or is damaged: there is nothing to vouch for")
+            raise StateError("the folder has no seat, or is damaged: there is nothing to confirm")
         store.apply([put("vouch", "", ConfirmationImage(wall))])
         store.begin(wall)
     finally:
@@ -115,13 +116,16 @@
 
 
 class Aging(NamedTuple):
-    due: int  # wall clock
+    """A cell that may be discarded at `due`, if its accepted ballot is still the same."""
+
+    due: int  # microseconds of the wall clock
     key: str
     ballot: messages.Ballot
 
 
 class Votes:
-    """Opened once. `acceptor` votes where `joiner` has it; `source` is what others copy from."""
+    """The votes of one planner; `open` once. `acceptor` votes on the slots that `rejoin_client` has copied;
+    `source` serves the votes to others."""
 
     def __init__(
         self,
@@ -134,18 +138,19 @@
         self.name, self.config, self.nonce, self.retention = name, config, nonce, retention
         self.store = Store(disk, name, KINDS)
         self.sets = ReplicaSets([ReplicaCandidate(p.name, p.zone) for p in config.planners], config.replicas)
-        self.keep = round(config.keep_s * 1e6)
-        self.aging: deque[Aging] = deque()  # cells that may be let go, by when; emptied by `sweep`
+        self.retention_time = round(config.keep_s * 1e6)
+        self.aging: deque[Aging] = deque()  # cells that may be discarded, by time; emptied by `sweep`
         self.acceptor = Acceptor(config.epoch, set(), name=name, sets=self.sets)
-        self.kept: dict[
-            str, messages.Incarnation
-        ] = {}  # incarnations as they are on the disk, or on their way there
+        # incarnations that are on disk or being written
+        self.stored_incarnations: dict[str, messages.Incarnation] = {}
         self.rejoin_client: RejoinClient | None = None
         self.source = RejoinServer(name, self.sets, self.acceptor)
-        self.why = "not_opened"  # why these votes are none to give: empty, no_seat or damaged
+        self.unusable_reason = (
+            "not_opened"  # why these votes cannot be served: not_opened, no_seat or damaged; else empty
+        )
 
     def open(self, wall: int, text: str) -> Found:
-        """Reads what was promised. StateError if the folder is another planner's, another set's or in use."""
+        """Reads the votes. StateError if the folder belongs to another planner or set, or is in use."""
         seen = self.store.open(wall, text)
         ledger, acceptor = self.store.ledger, self.acceptor
         seat: Seat | None = ledger.image("seat", "")
@@ -158,17 +163,17 @@
                 messages.Ballot(*image.promised), messages.Ballot(*image.accepted), image.value, image.copied
             )
             acceptor.set(key, cell)
-            self._ages(key, cell, wall)
+            self._schedule_discard(key, cell, wall)
         if floor := ledger.image("floor", ""):
             acceptor.raise_floor(floor.number)
         for name in ledger.tables["inc"]:
             image = ledger.image("inc", name)
-            self.kept[name] = messages.Incarnation(image.number, image.nonce)
-        acceptor.inc = self.kept.get(self.name, messages.NO_INCARNATION)
-        acceptor.known = {n: inc for n, inc in self.kept.items() if n != self.name}
-        self.why = "no_seat" if seat is None else "" if seen.complete else "damaged"
-        self.source.can_serve = not self.why
-        trusted = not self.why and ledger.image("vouch", "") is not None
+            self.stored_incarnations[name] = messages.Incarnation(image.number, image.nonce)
+        acceptor.inc = self.stored_incarnations.get(self.name, messages.NO_INCARNATION)
+        acceptor.known = {n: inc for n, inc in self.stored_incarnations.items() if n != self.name}
+        self.unusable_reason = "no_seat" if seat is None else "" if seen.complete else "damaged"
+        self.source.can_serve = not self.unusable_reason
+        trusted = not self.unusable_reason and ledger.image("vouch", "") is not None
         ledger.apply([drop("vouch", "")])
         self.rejoin_client = RejoinClient(self.name, self.sets, acceptor, self.nonce, trusted)
         if self.rejoin_client.is_complete():
@@ -177,77 +182,80 @@
         return seen
 
     def _check(self, seat: Seat) -> None:
-        config, wrong = self.config, ""
+        config, error = self.config, ""
         if (seat.planner, seat.deployment) != (self.name, config.deployment):
-            wrong = f"is the seat of {seat.planner!r} in {seat.deployment!r}"
+            error = f"is the seat of {seat.planner!r} in {seat.deployment!r}"
         elif (seat.epoch, seat.digest) != (config.epoch, digest(config)):
-            wrong = (
-                f"votes in epoch {seat.epoch}; the configuration says {config.epoch}, or another set: "
+            error = (
+                f"votes in epoch {seat.epoch}; the configuration has epoch {config.epoch}, or another set: "
                 "a set is not changed by its file alone"
             )
-        if wrong:
+        if error:
             self.store.close()
-            raise StateError(f"the folder {wrong}")
+            raise StateError(f"the folder {error}")
 
     def receive(
         self, message: messages.Prepare | messages.Accept | messages.Query, wall: int
     ) -> tuple[messages.Message, list[Change]]:
-        """The answer, and what has to be safe before it leaves."""
-        answer, change = self.acceptor.receive(message)
+        """Returns the acceptor's reply and the changes that have to be durable before it is sent."""
+        reply, change = self.acceptor.receive(message)
         if change is None:
-            return answer, []
-        self._ages(change.key, change.cell, wall)
-        return answer, [put("cell", change.key, CellImage(*change.cell))]
+            return reply, []
+        self._schedule_discard(change.key, change.cell, wall)
+        return reply, [put("cell", change.key, CellImage(*change.cell))]
 
     def receive_rejoin(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> tuple[messages.RejoinReply | messages.CellPage, list[Change]]:
-        """Somebody comes back: the answer, and what has to be safe before it leaves."""
-        answer = self.source.receive(other, message)
-        return answer, self.incarnations()
+        """Handles the message of a rejoining planner. Returns the reply and the changes that have to be
+        durable before it is sent."""
+        reply = self.source.receive(other, message)
+        return reply, self.incarnations()
 
     def receive_rejoin_reply(
         self, other: str, message: messages.RejoinReply | messages.CellPage, wall: int
     ) -> list[Change]:
-        """What somebody told this one that comes back: what has to be safe before it votes on it."""
+        """Handles a reply to this planner's rejoin. Returns the changes that have to be durable before it
+        votes on them."""
         changes, floor = [], self.acceptor.floor
         for change in self.rejoin_client.receive(other, message):
-            self._ages(change.key, change.cell, wall)
+            self._schedule_discard(change.key, change.cell, wall)
             changes.append(put("cell", change.key, CellImage(*change.cell)))
         if self.acceptor.floor > floor:
             changes.append(put("floor", "", Floor(self.acceptor.floor)))
         return [*changes, *self.incarnations()]
 
     def vote(self, slots: set[int], inc: messages.Incarnation) -> None:
-        """What was copied for these slots as this incarnation is safe."""
+        """Lets the acceptor vote on these slots, since what it copied for them as incarnation `inc` is
+        durable."""
         if inc == self.acceptor.inc:
             self.acceptor.voting = slots
 
     def incarnations(self) -> list[Change]:
-        """What is known of incarnations and not on its way to the disk."""
+        """The changes for incarnations that are known but not yet on disk or being written."""
         changes = []
         for name, inc in [(self.name, self.acceptor.inc), *self.acceptor.known.items()]:
-            if inc != self.kept.get(name, messages.NO_INCARNATION):
-                self.kept[name] = inc
+            if inc != self.stored_incarnations.get(name, messages.NO_INCARNATION):
+                self.stored_incarnations[name] = inc
                 changes.append(put("inc", name, IncImage(*inc)))
         return changes
 
     def restore_seat(self) -> list[Change]:
-        """All is copied: these votes are good to give from here on."""
-        self.why, self.source.can_serve = "", True
+        """Marks the votes as fit to be served, since all slots are copied; returns the seat to store."""
+        self.unusable_reason, self.source.can_serve = "", True
         return [
             put("seat", "", Seat(self.name, self.config.deployment, self.config.epoch, digest(self.config)))
         ]
 
-    def _ages(self, key: str, cell: Cell, wall: int) -> None:
+    def _schedule_discard(self, key: str, cell: Cell, wall: int) -> None:
         if cell.accepted != messages.NO_BALLOT and not self.retention(key, cell.value):
-            self.aging.append(Aging(wall + self.keep, key, cell.accepted))
+            self.aging.append(Aging(wall + self.retention_time, key, cell.accepted))
 
     def sweep(self, wall: int) -> list[Change]:
-        """Lets go of what has been over for as long as is stated; what must be safe of that."""
+        """Discards the cells whose retention time is over. Returns the changes to make durable."""
         changes: list[Change] = []
         cells = self.acceptor.cells
-        while self.aging and self.aging[0].due <= wall and len(changes) < SWEEP_MOST:
+        while self.aging and self.aging[0].due <= wall and len(changes) < MAX_SWEEP:
             _, key, ballot = self.aging.popleft()
             cell = cells.get(key)
             if cell is not None and cell.accepted == ballot:
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -111,7 +111,7 @@
                 self.recorder,
             )
             if self.members is not None:
-                self.members.beside = self.replica_host.status
+                self.members.extra_status = self.replica_host.status
 
     def _make_follower(self, file: PlannerConfig, revisions: Disk | None) -> None:
         """The follower of the fleet's configuration, if the planner's file has it on."""
--- a/tests/fleetconfig_machines.py
+++ b/tests/fleetconfig_machines.py
@@ -14,7 +14,7 @@
     from fleetconfig_model import World
 
 KEY = "fleetconfig/head"
-TIMES = Times(round_most=90_000, pause=10_000, pause_most=60_000)
+TIMES = Times(round_timeout=90_000, pause=10_000, max_pause=60_000)
 LIMITS = a.ControlLimits(
     ask_within=250_000, pause=8000, confirm_every=100_000, fetch_every=40_000, longest_deadline=2_000_000
 )
--- a/tests/test_fleetconfig_host.py
+++ b/tests/test_fleetconfig_host.py
@@ -29,7 +29,7 @@
 from hazelhold.protocol import messages as p
 from hazelhold.protocol.frames import frame
 from hazelhold.replica.sets import ReplicaCandidate, ReplicaSets
-from hazelhold.replica.votes import vouch
+from hazelhold.replica.votes import confirm
 from hazelhold.service.net import TcpNet
 from hazelhold.service.wire import Wire
 from hazelhold.state.store import StateError
@@ -637,10 +637,10 @@
         answer = await fleet.put("c1", base=number, customers__other={})
         assert answer.outcome in ("refused", "unknown")
         await fleet.kill("c1")
-        vouch(fleet.votes["c1"], "c1", 0)
+        confirm(fleet.votes["c1"], "c1", 0)
         await fleet.start("c1")
         await fleet.kill("c2")
-        vouch(fleet.votes["c2"], "c2", 0)
+        confirm(fleet.votes["c2"], "c2", 0)
         await fleet.start("c2")
         assert await fleet.committed(customers__more={}) > number
 
--- a/tests/test_membership_cuts.py
+++ b/tests/test_membership_cuts.py
@@ -118,15 +118,15 @@
 class NeverAway(MembershipCore):
     """Takes its own absence for the others'."""
 
-    def _notice(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         self.now = max(now, self.now)
 
 
 class AnyGone(MembershipCore):
     """Takes the word of others that one is gone, however fresh the suspicion."""
 
-    def _called_gone(self, member: object, row: Row, teller: str) -> None:
-        self._take(row, teller)
+    def _merge_gone(self, member: object, row: Row, reporter: str) -> None:
+        self._take(row, reporter)
 
 
 class YieldsAtOnce(MembershipCore):
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -6,7 +6,7 @@
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership import messages
 from hazelhold.membership.core import MembershipChange, MembershipCore, SendDatagram
-from hazelhold.membership.rows import ALIVE, Row, key, told
+from hazelhold.membership.rows import ALIVE, Row, encode_row, key
 from tests.membership_world import SEEDS, TERMS, names, within, world
 
 
@@ -25,7 +25,7 @@
     nonce: int = 3,
 ) -> bytes:
     me = Row(name, life, nonce, 0, ALIVE, f"at-{name}")
-    return messages.encode(deployment, me, payload, [told(r) for r in rows])
+    return messages.encode(deployment, me, payload, [encode_row(r) for r in rows])
 
 
 def test_torn_spoilt_strange_and_newer_datagrams_are_counted_and_do_nothing() -> None:
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -17,16 +17,16 @@
 class AnyOrder(MembershipCore):
     """Takes whatever was told last."""
 
-    def _merge(self, row: Row, teller: str) -> None:
+    def _merge(self, row: Row, reporter: str) -> None:
         if (
             row.name != self.me.name
             and row.state == ALIVE
             and self.table.row(row.name)
             and key(row) != key(self.table.row(row.name))
         ):
-            self._take(row, teller)
+            self._take(row, reporter)
         else:
-            super()._merge(row, teller)
+            super()._merge(row, reporter)
 
 
 # Search: every pattern of one-sided cuts among three, and every fate of single datagrams.
