--- a/examples/sender.py
+++ b/examples/sender.py
@@ -1,4 +1,4 @@
-"""A whole sender: asks for five guests, waits for each, cancels one. Run it beside a planner:
+"""A complete sender: submits five guests, waits for each and cancels one. Run it with a running planner:
 
 python examples/sender.py 127.0.0.1:7400
 """
@@ -12,7 +12,7 @@
 
 async def main(address: str) -> None:
     async with open_client("example", {"planner-0": address}) as client:
-        wants = [
+        requests = [
             TaskRequest(
                 guest=f"import-{n}",
                 product="till-import",
@@ -25,9 +25,9 @@
             )
             for n in range(5)
         ]
-        for outcome in await client.place_all(wants):
+        for outcome in await client.place_all(requests):
             print(outcome.guest, outcome.state, outcome.machine, outcome.reason)
-        if "import-0" in client.slots:  # placed, and not ended yet
+        if "import-0" in client.slots:  # placed, and not yet ended
             client.cancel("import-0")
             print("import-0", (await client.ended("import-0")).state)
 
--- a/hazelhold/client/__init__.py
+++ b/hazelhold/client/__init__.py
@@ -1,4 +1,5 @@
-"""A client that behaves: keeps deadlines, marks retries, honours advice, spreads its returns."""
+"""The client library for senders of guests. It keeps deadlines, marks retries, follows the planners' retry
+advice and spreads its reconnects."""
 
 from hazelhold.client.blocking import BlockingClient
 from hazelhold.client.client import Client, Standing, open_client
--- a/hazelhold/client/addresses.py
+++ b/hazelhold/client/addresses.py
@@ -1,4 +1,4 @@
-"""The planners of a client, from a JSON5 file that may change while it is used.
+"""The addresses of a client's planners, from a JSON5 file that may change while it is in use.
 
 {planners: {"planner-0": "127.0.0.1:7400", "planner-1": "127.0.0.1:7401"}}
 """
@@ -17,7 +17,7 @@
 
 
 def read_addresses(path: Path) -> dict[str, str]:
-    """The planners that a file names; ConfigError tells all that is wrong with it."""
+    """Reads the planners of a file. ConfigError lists all its faults."""
     config = build(PlannerAddresses, parse(read_text(path), str(path)), str(path))
     faults, seen = [], {}
     if not config.planners:
@@ -25,8 +25,8 @@
     for name, address in config.planners.items():
         try:
             split_address(address)
-        except ValueError as wrong:
-            faults.append((f"planners.{name}", str(wrong)))
+        except ValueError as error:
+            faults.append((f"planners.{name}", str(error)))
         if address in seen:
             faults.append((f"planners.{name}", f"has the address of {seen[address]!r}"))
         seen[address] = name
@@ -36,32 +36,32 @@
 
 
 class Watch:
-    """Looks whether a file of planners has changed. A version that cannot be used is refused, counted and
-    told once; the last good one stays in force."""
+    """Checks whether a file of planners has changed. An invalid version is refused, counted and reported
+    once; the last valid one remains in use."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.planners = read_addresses(path)
-        self.seen = self._mark()
+        self.seen = self._metadata()
         self.refused = 0
 
-    def _mark(self) -> tuple[int, int, int]:
+    def _metadata(self) -> tuple[int, int, int]:
         try:
-            found = self.path.stat()
+            status = self.path.stat()
         except OSError:
             return 0, 0, 0
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
     def changed(self) -> ConfigError | None:
-        """Reads the file again if it looks different; `planners` has what is in force then. The error tells
-        why a new version is refused."""
-        mark = self._mark()
-        if mark == self.seen:
+        """Reads the file again if its metadata changed; `planners` then holds the addresses in use. Returns
+        the error if the new version is refused."""
+        metadata = self._metadata()
+        if metadata == self.seen:
             return None
-        self.seen = mark
+        self.seen = metadata
         try:
             self.planners = read_addresses(self.path)
-        except ConfigError as wrong:
+        except ConfigError as error:
             self.refused += 1
-            return wrong
+            return error
         return None
--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -1,4 +1,4 @@
-"""The client for trio programs: connections and waiting round the core, which decides everything."""
+"""The client for trio programs: connections and waiting around the core, which makes all decisions."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import asynccontextmanager
@@ -19,12 +19,12 @@
 from hazelhold.service.wire import Wire
 
 CODEC = m.Codec(m.TO_OWNER)
-WATCH_S = 1.0  # how often a file of planners is looked at
+WATCH_S = 1.0  # seconds between checks of a file of planners
 
 
 class Standing(NamedTuple):
-    """How a guest stands: `state` is the planner's word (held, out, running, unsettled, unknown, an end), or
-    silent if it gave none in time, idle if no planner has the guest now."""
+    """The status of a guest. `state` is what its planner reports (held, out, running, unsettled, unknown, an
+    end), `silent` if it did not reply in time, or `idle` if no planner has the guest now."""
 
     guest: str
     state: str
@@ -34,7 +34,7 @@
 
 
 class Slot:
-    """Where callers wait for one guest."""
+    """The events and outcomes that callers wait for, of one guest."""
 
     def __init__(self) -> None:
         self.answered, self.ended = trio.Event(), trio.Event()
@@ -43,7 +43,7 @@
 
 
 class Client:
-    """One client process. Use `open_client`; every method belongs to the task that runs trio."""
+    """One client process. Use `open_client`. Call the methods only from the thread that runs trio."""
 
     def __init__(
         self,
@@ -58,13 +58,15 @@
         planners = dict(self.watch.planners if self.watch else planners)
         self.net, self.planners, self.connect_s = net or TcpNet(), planners, connect_s
         self.log = structlog.get_logger().bind(client=name)
-        self.queries: dict[str, list[tuple[trio.Event, list]]] = {}  # emptied by the answers, or in time
+        # waiting queries by guest; removed by their replies or timeouts
+        self.queries: dict[str, list[tuple[trio.Event, list]]] = {}
         self.core = ClientCore(name, list(planners), policy or ClientPolicy(), Random(seed))
-        self.slots: dict[str, Slot] = {}  # emptied as guests end
-        self.wires: dict[str, Wire] = {}
+        self.slots: dict[str, Slot] = {}  # removed as guests end
+        self.connections: dict[str, Wire] = {}
         self.ticker = Ticker(self.net.now, lambda now: self.core.next_at(), self._work)
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
+        """Runs until it is cancelled."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             self.core.start(self.net.now())
@@ -75,8 +77,8 @@
             await trio.sleep_forever()
 
     async def place(self, request: TaskRequest) -> Outcome:
-        """Asks for a guest and waits until it is placed, or for the final answer that says why not; never
-        longer than its patience. ValueError if this guest is on its way already."""
+        """Submits a guest and waits until it is placed or has a final outcome that tells why not; never
+        longer than its `patience`. ValueError if this guest is pending already."""
         self.core.submit(self.net.now(), request)
         slot = self.slots[request.guest] = Slot()
         self._act()
@@ -84,34 +86,36 @@
         return slot.answer
 
     async def place_all(self, requests: Iterable[TaskRequest]) -> list[Outcome]:
-        """A batch, all at once; outcomes in the order of the requests."""
+        """Places a batch at once; the outcomes are in the order of the requests."""
         requests = list(requests)
-        found: list[Outcome | None] = [None] * len(requests)
+        outcomes: list[Outcome | None] = [None] * len(requests)
 
         async def one(number: int, request: TaskRequest) -> None:
-            found[number] = await self.place(request)
+            outcomes[number] = await self.place(request)
 
         async with trio.open_nursery() as nursery:
             for number, request in enumerate(requests):
                 nursery.start_soon(one, number, request)
-        return found
+        return outcomes
 
     async def ended(self, guest: str) -> Outcome:
-        """Waits for the end of a placed guest. KeyError if there is none of this name."""
+        """Waits for the end of a placed guest. KeyError if there is no such guest."""
         slot = self.slots[guest]
         await slot.ended.wait()
         return slot.end
 
     def cancel(self, guest: str) -> None:
-        """No longer wanted, wherever it is; its last outcome follows as any does."""
+        """Cancels a guest wherever it is; its last outcome follows as usual."""
         self.core.cancel(self.net.now(), guest)
         self._act()
 
     async def query(self, guest: str, seconds: float = 1.0) -> Standing:
-        """Asks the guest's planner how it stands, and waits so long at most. KeyError if no guest of this
-        client has this name."""
-        task = self.core.pending[guest]
-        known = Standing(guest, "idle" if task.state == "idle" else "silent", "", task.planner, task.ask + 1)
+        """Queries the guest's planner, and waits `seconds` at most. KeyError if this client has no such
+        guest."""
+        entry = self.core.pending[guest]
+        known = Standing(
+            guest, "idle" if entry.state == "idle" else "silent", "", entry.planner, entry.ask + 1
+        )
         waiter: tuple[trio.Event, list] = trio.Event(), []
         if not self.core.query(self.net.now(), guest):
             return known
@@ -128,22 +132,22 @@
         return known._replace(state=waiter[1][0].state, machine=waiter[1][0].machine)
 
     async def _watch(self) -> None:
-        """Follows the file of planners."""
+        """Follows the changes of the file of planners."""
         while True:
             await trio.sleep(WATCH_S)
-            if wrong := self.watch.changed():
-                self.log.warning("planners_refused", reason=str(wrong))
+            if error := self.watch.changed():
+                self.log.warning("planners_refused", reason=str(error))
             elif self.watch.planners != self.planners:
                 self._update_planners(dict(self.watch.planners))
 
     def _update_planners(self, planners: dict[str, str]) -> None:
         moved = [p for p, at in planners.items() if self.planners.get(p, at) != at]
-        kept = {p: self.planners[p] for p in self.core.up if p not in planners and p in self.planners}
-        self.planners = kept | planners
+        retained = {p: self.planners[p] for p in self.core.up if p not in planners and p in self.planners}
+        self.planners = retained | planners
         self.log.info("planners", named=sorted(planners), moved=moved)
         for planner in moved:
-            if wire := self.wires.get(planner):
-                wire.cut()
+            if connection := self.connections.get(planner):
+                connection.cut()
         self.core.update_planners(self.net.now(), list(planners))
         self._act()
 
@@ -152,7 +156,7 @@
         self._carry_out()
 
     def _act(self) -> None:
-        """Carries out what an input caused, and has the ticker look at the times anew."""
+        """Carries out the actions of an input, and has the ticker check the timers again."""
         self._carry_out()
         self.ticker.stir()
 
@@ -160,72 +164,72 @@
         actions, self.core.actions = self.core.actions, []
         for action in actions:
             if isinstance(action, Send):
-                if wire := self.wires.get(action.planner):
-                    wire.send(action.message)
+                if connection := self.connections.get(action.planner):
+                    connection.send(action.message)
             elif isinstance(action, Connect):
                 self.nursery.start_soon(self._connect, action.planner)
             elif isinstance(action, Leave):
-                if wire := self.wires.pop(action.planner, None):
-                    wire.cut()
+                if connection := self.connections.pop(action.planner, None):
+                    connection.cut()
             elif isinstance(action, Notify):
-                self._told(action)
+                self._notify_caller(action)
 
-    def _told(self, tell: Notify) -> None:
-        slot = self.slots.get(tell.outcome.guest)
+    def _notify_caller(self, notification: Notify) -> None:
+        slot = self.slots.get(notification.outcome.guest)
         if slot is None:
             return
         if not slot.answered.is_set():
-            slot.answer = tell.outcome
+            slot.answer = notification.outcome
             slot.answered.set()
-        if tell.final:
-            slot.end = tell.outcome
+        if notification.final:
+            slot.end = notification.outcome
             slot.ended.set()
-            del self.slots[tell.outcome.guest]
+            del self.slots[notification.outcome.guest]
 
     async def _connect(self, planner: str) -> None:
-        core, spread, was_up = self.core, 0, False
+        core, spread, was_connected = self.core, 0, False
         try:
             with trio.fail_after(self.connect_s):
                 stream = await self.net.dial(self.planners[planner])
-            wire = Wire(stream, CODEC, self.net.now, send_bytes=1 << 24)
+            connection = Wire(stream, CODEC, self.net.now, send_bytes=1 << 24)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(wire.write)
-                with wire.scope:
+                nursery.start_soon(connection.write)
+                with connection.scope:
                     try:
-                        wire.send(m.Hello(role="owner", name=core.name))
-                        welcome = await wire.first(m.Welcome, self.connect_s)
-                        self.wires[planner], was_up = wire, True
+                        connection.send(m.Hello(role="owner", name=core.name))
+                        welcome = await connection.first(m.Welcome, self.connect_s)
+                        self.connections[planner], was_connected = connection, True
                         core.connected(self.net.now(), planner, welcome.spread)
                         self._act()
-                        for message in wire.rest():
-                            self._heard(planner, message)
-                        async for message in wire.messages():
+                        for message in connection.rest():
+                            self._handle_message(planner, message)
+                        async for message in connection.messages():
                             if isinstance(message, m.Bye):
                                 spread = message.spread
                                 break
-                            self._heard(planner, message)
-                    except FrameError as wrong:
-                        if wrong.again_after:
-                            core.refused(self.net.now(), planner, wrong.again_after)
+                            self._handle_message(planner, message)
+                    except FrameError as error:
+                        if error.again_after:
+                            core.refused(self.net.now(), planner, error.again_after)
                             self._act()
-                            wire.finish()
+                            connection.finish()
                             return
-                wire.finish()
+                connection.finish()
         except (OSError, trio.TooSlowError):
             core.refused(self.net.now(), planner)
             self._act()
             return
-        if was_up and self.wires.get(planner) is not wire:
-            return  # it was left
-        self.wires.pop(planner, None)
+        if was_connected and self.connections.get(planner) is not connection:
+            return  # the client left this planner
+        self.connections.pop(planner, None)
         core.disconnected(self.net.now(), planner, spread)
         self._act()
 
-    def _heard(self, planner: str, message: m.Message) -> None:
+    def _handle_message(self, planner: str, message: m.Message) -> None:
         self.core.receive(self.net.now(), planner, message)
         if isinstance(message, m.State):
-            for event, found in self.queries.get(message.guest, ()):
-                found.append(message)
+            for event, replies in self.queries.get(message.guest, ()):
+                replies.append(message)
                 event.set()
         self._act()
 
@@ -238,8 +242,8 @@
     net: Net | None = None,
     seed: int | None = None,
 ) -> AsyncIterator[Client]:
-    """A running client; leaving the block leaves its guests to their planners. `planners` are addresses by
-    name, or a file of them that is followed as it changes (ConfigError if it cannot be used at the start)."""
+    """A running client. Its guests stay with their planners when the block ends. `planners` are addresses by
+    name, or a file of them that is watched for changes (ConfigError if it is invalid at the start)."""
     client = Client(name, planners, policy, net, seed)
     async with trio.open_nursery() as nursery:
         await nursery.start(client.run)
--- a/hazelhold/client/core.py
+++ b/hazelhold/client/core.py
@@ -1,16 +1,17 @@
-"""What a client decides: where a guest is asked for, when again, and when not. No I/O, clock or chance of
-its own.
-
-Moments in whole microseconds go in with every call; `actions` come out and are emptied by the host. A guest
-keeps its id over all repeats; each repeat carries its number and its reason. What a repeat may do follows
-from what is known of the ask before it:
-
-- turned back or rejected: nothing ran; again after the advised wait.
-- broken off, or its planner is gone: by effect. Rerunnable goes again. Ticketed goes again with its id, by
-  which a repeat is known, within the ticket's window. Exclusive waits the settle time and asks its planner
-  whether it runs; only "unknown" or an end from that planner lets it go again, and no other planner is asked
-  while it has not spoken.
-- no answer and the planner may still act: nothing is done but asking it, until its patience is over.
+"""The decisions of a client: which planner a guest is submitted to, when it is submitted again, and when not.
+No I/O, no clock and no random source of its own.
+
+Every call gets the current time in whole microseconds; `actions` are emptied by the host. A guest keeps its
+id over all submissions; each submission carries its number and the reason of the repeat. Whether a guest is
+submitted again depends on what is known of the previous submission:
+
+- Refused (`turned_back`) or rejected: nothing ran; submitted again after the advised wait.
+- Failed (`broken_off`), or its planner is gone: depends on the guest's effect. An idempotent guest
+  (`rerunnable`) is submitted again. A deduplicated guest (`ticketed`) is submitted again with its id, by
+  which a repeat is recognized, within its deduplication window. An at-most-once guest (`exclusive`) waits the
+  settle time and then queries its planner; only "unknown" or an end from that planner allows another
+  submission, and no other planner gets the guest before.
+- No answer while the planner may still act: the planner is only queried until its time limit is over.
 """
 
 from collections import Counter
@@ -36,16 +37,16 @@
 
 @dataclass
 class PendingGuest:
-    """One guest on its way, from submit to its end. Dropped with its last outcome."""
+    """A guest from its submission to its end. Removed with its last outcome."""
 
     request: TaskRequest
     deadline: int
     life_ends: int
     ask: int = -1
     planner: str = ""
-    state: str = "idle"  # idle, asked, doubt, placed
-    until: int = 0  # when the planner's patience for this ask ends
-    first_unsure: int = 0  # when the first ask that may have run was sent; 0: none may have
+    state: str = "idle"  # idle, submitted, uncertain, placed
+    until: int = 0  # when the planner's time limit for this submission ends
+    first_unsure: int = 0  # when the first submission that may have run was sent; 0: none may have run
     due: int = 0
     reason: str = ""
     cancelled: bool = False
@@ -53,7 +54,7 @@
 
 
 class ClientCore:
-    """All guests of one client process, and its planners."""
+    """All guests of one client process and its planners."""
 
     def __init__(self, name: str, planners: list[str], policy: ClientPolicy, random: Random) -> None:
         self.name, self.policy, self.random = name, policy, random
@@ -61,43 +62,48 @@
         self.budget = RetryBudget(policy.retry_share, policy.retry_burst)
         self.backoffs = {p: self._new_backoff() for p in planners}
         self.throttles = {p: AdaptiveThrottle(random) for p in planners}
-        self.return_at: dict[str, int] = {}  # planner: when it is dialled next
-        self.listed = dict.fromkeys(planners)  # those that may be asked for new guests
-        self.up: dict[str, bool] = dict.fromkeys(planners, False)  # emptied of unlisted ones
-        self.mute_since: dict[str, int] = {}  # planner: the first word to it that it has not answered
-        self.dead: dict[str, bool] = dict.fromkeys(planners, False)  # a dial was refused: nobody acts there
+        self.return_at: dict[str, int] = {}  # by planner: when it is dialled next
+        self.listed = dict.fromkeys(planners)  # planners that may get new guests
+        self.up: dict[str, bool] = dict.fromkeys(
+            planners, False
+        )  # connected or not; unlisted ones are removed
+        self.unanswered_since: dict[
+            str, int
+        ] = {}  # by planner: time of the first message that it has not answered
+        self.dead: dict[str, bool] = dict.fromkeys(planners, False)  # a dial was refused: no process there
         self.pending: dict[str, PendingGuest] = {}
         self.actions: list[Action] = []
         self.counts: Counter[str] = Counter()
         self.agenda: list[tuple[int, int, str, str, int]] = []
-        self.turn = 0
+        self.timer_number = 0
 
     def start(self, now: int) -> None:
-        """Begins to connect to all planners."""
+        """Starts connecting to all planners."""
         for planner in self.up:
             self.actions.append(Connect(planner))
 
     def update_planners(self, now: int, planners: list[str]) -> None:
-        """The planners that may be asked from here on. New ones are dialled at a drawn moment; one that is no
-        longer named gets nothing new, and keeps its connection while it has guests of ours."""
+        """Sets the planners that may get guests. New ones are dialled after a random delay. One that is no
+        longer listed gets no new guests and keeps its connection while it has guests of this client."""
         self.listed = dict.fromkeys(planners)
         for planner in planners:
             if planner not in self.up:
                 self.up[planner] = self.dead[planner] = False
-                self.chooser.learn(planner)
+                self.chooser.add(planner)
                 self.backoffs[planner], self.throttles[planner] = (
                     self._new_backoff(),
                     AdaptiveThrottle(self.random),
                 )
-                self._return(now, planner, 0)
+                self._schedule_dial(now, planner, 0)
         self._at(now, "unlisted", "", 0)
 
     def _new_backoff(self) -> ReconnectBackoff:
         policy = self.policy
         return ReconnectBackoff(policy.return_base, policy.return_most, self.random, policy.return_soon)
 
-    def _unlisted(self, now: int) -> None:
-        """Leaves planners that are no longer named and have nothing of ours; looks again while some have."""
+    def _leave_unlisted(self, now: int) -> None:
+        """Leaves planners that are no longer listed and have no guests of this client; checks again while
+        some have."""
         busy = {t.planner for t in self.pending.values() if t.state != "idle"}
         for planner in [p for p in self.up if p not in self.listed]:
             if planner in busy:
@@ -108,312 +114,328 @@
                 self.dead,
                 self.backoffs,
                 self.return_at,
-                self.mute_since,
+                self.unanswered_since,
                 self.throttles,
                 self.chooser.stats,
             ):
                 table.pop(planner, None)
             self.actions.append(Leave(planner))
 
-    # What the caller wants.
+    # Calls by the user of the client.
 
     def submit(self, now: int, request: TaskRequest) -> None:
-        """Asks for a guest; exactly one of placed, turned_back, broken_off, unknown, rejected comes back
-        before its patience ends, and an end after placed."""
+        """Submits a guest. Exactly one of placed, turned_back, broken_off, unknown and rejected follows
+        before its `patience` is over, and an end after placed. ValueError if the guest is pending."""
         if request.guest in self.pending:
-            raise ValueError(f"{request.guest!r} is on its way")
-        task = PendingGuest(request, now + request.patience, now + request.life)
-        self.pending[request.guest] = task
+            raise ValueError(f"{request.guest!r} is pending already")
+        entry = PendingGuest(request, now + request.patience, now + request.life)
+        self.pending[request.guest] = entry
         self.budget.fresh()
-        self._at(task.deadline, "deadline", request.guest, 0)
-        self._attempt(now, task)
+        self._at(entry.deadline, "deadline", request.guest, 0)
+        self._submit_to_planner(now, entry)
 
     def cancel(self, now: int, guest: str) -> None:
-        task = self.pending.get(guest)
-        if task is None:
+        """Cancels a guest. Has no effect on an unknown one."""
+        entry = self.pending.get(guest)
+        if entry is None:
             return
-        task.cancelled = True
-        if task.state == "idle":
-            self._finish(task, "cancelled")
-        elif self.up.get(task.planner):
-            self._send(now, task.planner, m.Cancel(guest=guest, ask=task.ask))
+        entry.cancelled = True
+        if entry.state == "idle":
+            self._finish(entry, "cancelled")
+        elif self.up.get(entry.planner):
+            self._send(now, entry.planner, m.Cancel(guest=guest, ask=entry.ask))
 
     def query(self, now: int, guest: str) -> bool:
-        """Asks the planner of a guest how it stands; False if none has it or it is out of reach."""
-        task = self.pending.get(guest)
-        if task is None or task.state == "idle" or not self.up.get(task.planner):
+        """Queries a guest's state at its planner; False if none has it or that one is not connected."""
+        entry = self.pending.get(guest)
+        if entry is None or entry.state == "idle" or not self.up.get(entry.planner):
             return False
-        self._query(now, task)
+        self._query(now, entry)
         return True
 
-    # What happens to connections.
+    # Events of connections.
 
     def connected(self, now: int, planner: str, spread: int = 0) -> None:
-        """Every guest that this planner had, or may have, is asked after at once. `spread` is over how long
-        the planner wants returns to be spread, should it go without last words."""
+        """A connection is established. Queries every guest that this planner has or may have. `spread` is the
+        time over which clients should spread their reconnects if the connection is lost without a bye."""
         if planner not in self.up:
             return
         self.up[planner], self.dead[planner] = True, False
         self.backoffs[planner].succeeded(spread)
-        for task in list(self.pending.values()):
-            if task.planner == planner and task.state in ("asked", "doubt", "placed"):
-                self._query(now, task)
-            elif task.state == "idle" and task.due <= now:
-                self._attempt(now, task)
+        for entry in list(self.pending.values()):
+            if entry.planner == planner and entry.state in ("submitted", "uncertain", "placed"):
+                self._query(now, entry)
+            elif entry.state == "idle" and entry.due <= now:
+                self._submit_to_planner(now, entry)
 
     def refused(self, now: int, planner: str, after: int = 0) -> None:
-        """A dial found nobody, or a planner that asks to come back later."""
+        """A dial was refused, or the planner asked to return `after` so many microseconds."""
         if planner not in self.up:
             return
         was_dead, self.dead[planner] = self.dead[planner], not after
-        self._return(now, planner, after)
+        self._schedule_dial(now, planner, after)
         if not after and not was_dead:
             self._planner_died(now, planner)
 
     def disconnected(self, now: int, planner: str, window: int = 0) -> None:
-        """A connection ended; `window` is over how long the planner's last words ask clients to spread."""
+        """A connection ended; `window` is the time over which the planner's bye asks clients to spread their
+        reconnects."""
         if planner not in self.up:
             return
         self.up[planner] = False
-        self.mute_since.pop(planner, None)
+        self.unanswered_since.pop(planner, None)
         self.chooser.failed(planner, now)
         self.backoffs[planner].lost(window)
-        self._return(now, planner, 0)
+        self._schedule_dial(now, planner, 0)
 
-    def _return(self, now: int, planner: str, after: int) -> None:
+    def _schedule_dial(self, now: int, planner: str, after: int) -> None:
         urgent = any(t.state != "placed" for t in self.pending.values())
         self.return_at[planner] = when = now + self.backoffs[planner].wait(after, urgent)
-        self._at(when, "return", planner, when)
+        self._at(when, "dial", planner, when)
 
     def _redial_sooner(self, now: int) -> None:
-        """Something is to be asked and nobody is there: dials that are far ahead come nearer."""
+        """Brings distant dials forward, since a guest waits and no planner is connected."""
         for planner in self.listed:
             cap = self.backoffs[planner].cap(True)
             if not self.up[planner] and self.return_at.get(planner, 0) > now + cap:
                 self.return_at[planner] = when = now + int(self.random.uniform(0, cap))
-                self._at(when, "return", planner, when)
+                self._at(when, "dial", planner, when)
 
     def _planner_died(self, now: int, planner: str) -> None:
-        """Nobody is there any more: what it held it can no longer act on."""
-        for task in list(self.pending.values()):
-            if task.planner == planner and task.state == "asked" and task.request.effect != "exclusive":
-                self._may_have_run(now, task, "planner_died")
+        """The planner's process is gone: it can no longer act on its guests."""
+        for entry in list(self.pending.values()):
+            if (
+                entry.planner == planner
+                and entry.state == "submitted"
+                and entry.request.effect != "exclusive"
+            ):
+                self._handle_uncertain(now, entry, "planner_died")
 
-    # What planners say.
+    # Messages of planners.
 
     def receive(self, now: int, planner: str, message: m.Message) -> None:
-        self.mute_since.pop(planner, None)
-        task = self.pending.get(message.guest) if isinstance(message, m.Named) else None
-        if task is None or task.planner != planner:
+        """Handles a planner's message."""
+        self.unanswered_since.pop(planner, None)
+        entry = self.pending.get(message.guest) if isinstance(message, m.Named) else None
+        if entry is None or entry.planner != planner:
             return
         if isinstance(message, m.State):
-            self._state(now, task, message)
+            self._state(now, entry, message)
         elif isinstance(message, m.GuestEnded):
-            self._finish(task, message.how, message.machine)
-        elif message.ask != task.ask:
+            self._finish(entry, message.how, message.machine)
+        elif message.ask != entry.ask:
             self.counts["late_answers"] += 1
         elif isinstance(message, m.Held):
             self.throttles[planner].record(now, True)
         elif isinstance(message, m.Placed):
-            self._placed(now, task, message.machine)
-        elif task.state not in ("asked", "doubt"):
+            self._placed(now, entry, message.machine)
+        elif entry.state not in ("submitted", "uncertain"):
             return
         elif isinstance(message, m.TurnedBack):
-            self.chooser.answered(planner, now - task.sent_at, False, now)
-            self._retry(now, task, "turned_back", message.again_after)
+            self.chooser.answered(planner, now - entry.sent_at, False, now)
+            self._retry(now, entry, "turned_back", message.again_after)
         elif isinstance(message, m.Rejected):
             if message.code in ("full", "stopping", "overloaded"):
                 self.throttles[planner].record(now, False)
                 self.chooser.failed(planner, now)
-                self._retry(now, task, "rejected", message.again_after)
+                self._retry(now, entry, "rejected", message.again_after)
             else:
-                self._finish(task, "rejected", reason=message.code)
+                self._finish(entry, "rejected", reason=message.code)
         elif isinstance(message, m.BrokenOff):
-            self.chooser.answered(planner, now - task.sent_at, False, now)
-            self._may_have_run(now, task, "broken_off")
+            self.chooser.answered(planner, now - entry.sent_at, False, now)
+            self._handle_uncertain(now, entry, "broken_off")
 
-    def _placed(self, now: int, task: PendingGuest, machine: str) -> None:
-        if task.state != "placed":
-            self.chooser.answered(task.planner, now - task.sent_at, True, now)
+    def _placed(self, now: int, entry: PendingGuest, machine: str) -> None:
+        if entry.state != "placed":
+            self.chooser.answered(entry.planner, now - entry.sent_at, True, now)
             self.budget.served()
-            task.state = "placed"
-            self._tell(task, "placed", False, machine)
+            entry.state = "placed"
+            self._notify_user(entry, "placed", False, machine)
 
-    def _state(self, now: int, task: PendingGuest, message: m.State) -> None:
+    def _state(self, now: int, entry: PendingGuest, message: m.State) -> None:
         state = message.state
         if state == "running":
-            self._placed(now, task, message.machine)
+            self._placed(now, entry, message.machine)
         elif state in ("held", "out"):
-            task.state = "asked" if task.state == "doubt" else task.state
+            entry.state = "submitted" if entry.state == "uncertain" else entry.state
         elif state == "unsettled":
-            self._doubt(now, task, SECOND // 2)
-        elif task.state == "placed":
-            self._finish(task, "lost" if state == "unknown" else state)
-        elif state in ("done", "stopped"):  # it was placed, and ended while nobody listened
-            self._tell(task, "placed", False)
-            self._finish(task, state)
-        elif state == "broken_off" and task.state == "doubt":
-            self._retry(now, task, "broken_off", 0)  # its planner knows its fate by now: it does not run
+            self._resolve_later(now, entry, SECOND // 2)
+        elif entry.state == "placed":
+            self._finish(entry, "lost" if state == "unknown" else state)
+        elif state in ("done", "stopped"):  # it was placed and ended while the connection was down
+            self._notify_user(entry, "placed", False)
+            self._finish(entry, state)
+        elif state == "broken_off" and entry.state == "uncertain":
+            self._retry(now, entry, "broken_off", 0)  # its planner has resolved it: it does not run
         elif state == "broken_off":
-            self._may_have_run(now, task, "broken_off")
-        elif task.state in ("asked", "doubt"):
-            # turned_back, unknown, or an end that leaves it wanted: it does not run.
-            self._retry(now, task, "turned_back" if state == "turned_back" else "unanswered", 0)
-
-    def _may_have_run(self, now: int, task: PendingGuest, reason: str) -> None:
-        """It may have run, or may still."""
-        task.first_unsure = task.first_unsure or task.sent_at
-        task.reason = reason
-        # Another planner does not know the group that a ticket of a part of the machines is bound to.
+            self._handle_uncertain(now, entry, "broken_off")
+        elif entry.state in ("submitted", "uncertain"):
+            # turned_back, unknown, or an end after which it is still wanted: it does not run.
+            self._retry(now, entry, "turned_back" if state == "turned_back" else "unanswered", 0)
+
+    def _handle_uncertain(self, now: int, entry: PendingGuest, reason: str) -> None:
+        """The guest may have run, or may still run."""
+        entry.first_unsure = entry.first_unsure or entry.sent_at
+        entry.reason = reason
+        # With a scope of some machines only, another planner does not know the group that the id is bound to.
         if (
-            task.request.effect == "exclusive"
-            or task.request.effect == "ticketed"
-            and task.request.group != "all"
+            entry.request.effect == "exclusive"
+            or entry.request.effect == "ticketed"
+            and entry.request.group != "all"
         ):
-            self._doubt(now, task, self.policy.settle)
-        elif task.request.effect == "ticketed" and now >= task.first_unsure + task.request.window:
-            self._finish(task, "broken_off", reason="window")
+            self._resolve_later(now, entry, self.policy.settle)
+        elif entry.request.effect == "ticketed" and now >= entry.first_unsure + entry.request.window:
+            self._finish(entry, "broken_off", reason="window")
         else:
-            self._retry(now, task, reason, 0)
+            self._retry(now, entry, reason, 0)
 
-    def _doubt(self, now: int, task: PendingGuest, wait: int) -> None:
-        task.state = "doubt"
-        self._when(task, now + wait, "settle")
+    def _resolve_later(self, now: int, entry: PendingGuest, wait: int) -> None:
+        entry.state = "uncertain"
+        self._set_timer(entry, now + wait, "settle")
 
-    # Going, and going again.
+    # Submitting, and submitting again.
 
-    def _attempt(self, now: int, task: PendingGuest) -> None:
-        left = task.deadline - now
-        if left < self.policy.least:
+    def _submit_to_planner(self, now: int, entry: PendingGuest) -> None:
+        time_left = entry.deadline - now
+        if time_left < self.policy.least:
             return  # the deadline follows
         planner = self.chooser.pick([p for p in self.listed if self.up[p]], now)
         if planner is None:
-            task.state, task.due = "idle", now
+            entry.state, entry.due = "idle", now
             self._redial_sooner(now)
-            self._when(task, now + SECOND // 10, "go")
+            self._set_timer(entry, now + SECOND // 10, "submit")
             return
         if not self.throttles[planner].allows(now):
             self.counts["held_back"] += 1
-            task.state = "idle"
-            self._when(task, now + int(self.random.uniform(0.5, 1.5) * self.policy.again_least * 2), "go")
+            entry.state = "idle"
+            self._set_timer(
+                entry, now + int(self.random.uniform(0.5, 1.5) * self.policy.again_least * 2), "submit"
+            )
             return
-        task.ask, task.planner, task.state, task.sent_at = task.ask + 1, planner, "asked", now
-        share = 1.0 if task.request.effect == "exclusive" else self.policy.try_share
-        patience = max(min(left, self.policy.least), int(left * share))
-        task.until = now + patience
-        request = task.request
+        entry.ask, entry.planner, entry.state, entry.sent_at = entry.ask + 1, planner, "submitted", now
+        fraction = 1.0 if entry.request.effect == "exclusive" else self.policy.try_share
+        time_limit = max(min(time_left, self.policy.least), int(time_left * fraction))
+        entry.until = now + time_limit
+        request = entry.request
         self.counts["sent"] += 1
-        self.counts["retries"] += task.ask > 0
+        self.counts["retries"] += entry.ask > 0
         self._send(
             now,
             planner,
             m.Submit(
                 guest=request.guest,
-                ask=task.ask,
+                ask=entry.ask,
                 product=request.product,
                 service=request.service,
                 cores=request.cores,
                 memory=request.memory,
-                patience=patience,
+                patience=time_limit,
                 customer=request.customer,
-                reason=task.reason,
-                life=max(0, task.life_ends - now),
+                reason=entry.reason,
+                life=max(0, entry.life_ends - now),
             ),
         )
-        self._when(task, task.until + SECOND // 20, "unanswered")
+        self._set_timer(entry, entry.until + SECOND // 20, "unanswered")
 
-    def _retry(self, now: int, task: PendingGuest, reason: str, advised: int) -> None:
-        """Once more, if there is time and the budget allows it."""
-        task.reason = reason
-        if task.cancelled:
-            self._finish(task, "cancelled", reason=reason)
+    def _retry(self, now: int, entry: PendingGuest, reason: str, advised_wait: int) -> None:
+        """Submits the guest again, if there is time and the budget allows it."""
+        entry.reason = reason
+        if entry.cancelled:
+            self._finish(entry, "cancelled", reason=reason)
             return
         policy = self.policy
-        grown = min(policy.again_most, policy.again_least << min(task.ask, 10))
-        latest = task.deadline - policy.least - now
-        wait = max(advised, min(latest, int(grown * self.random.uniform(0.5, 1.0))))
+        backoff = min(policy.again_most, policy.again_least << min(entry.ask, 10))
+        latest = entry.deadline - policy.least - now
+        wait = max(advised_wait, min(latest, int(backoff * self.random.uniform(0.5, 1.0))))
         if latest < 0 or wait > latest:
-            self._finish(task, self._final(task), reason="no_time")
+            self._finish(entry, self._final(entry), reason="no_time")
         elif not self.budget.retry():
             self.counts["budget_spent"] += 1
-            self._finish(task, self._final(task), reason="retry_budget")
+            self._finish(entry, self._final(entry), reason="retry_budget")
         else:
-            task.state, task.due = "idle", now + wait
-            self._when(task, now + wait, "go")
+            entry.state, entry.due = "idle", now + wait
+            self._set_timer(entry, now + wait, "submit")
 
-    def _final(self, task: PendingGuest) -> str:
-        """What is true of a guest that is given up between asks."""
-        return "broken_off" if task.first_unsure and task.request.effect != "rerunnable" else "turned_back"
+    def _final(self, entry: PendingGuest) -> str:
+        """The outcome of a guest that is given up between submissions."""
+        return "broken_off" if entry.first_unsure and entry.request.effect != "rerunnable" else "turned_back"
 
-    def _query(self, now: int, task: PendingGuest) -> None:
-        self._send(now, task.planner, m.Query(guest=task.request.guest, ask=task.ask))
+    def _query(self, now: int, entry: PendingGuest) -> None:
+        self._send(now, entry.planner, m.Query(guest=entry.request.guest, ask=entry.ask))
 
     def _send(self, now: int, planner: str, message: m.Message) -> None:
-        """All that a client says is answered at once by a planner that hears it."""
+        """Sends a message. A planner that receives it answers at once, so a missing answer means that the
+        connection is dead."""
         self.actions.append(Send(planner, message))
-        if planner not in self.mute_since:
-            self.mute_since[planner] = now
-            self._at(now + self.policy.silent, "mute", planner, now)
+        if planner not in self.unanswered_since:
+            self.unanswered_since[planner] = now
+            self._at(now + self.policy.silent, "unresponsive", planner, now)
 
-    def _finish(self, task: PendingGuest, state: str, machine: str = "", reason: str = "") -> None:
-        self._tell(task, state, True, machine, reason or task.reason)
-        self.pending.pop(task.request.guest, None)
+    def _finish(self, entry: PendingGuest, state: str, machine: str = "", reason: str = "") -> None:
+        self._notify_user(entry, state, True, machine, reason or entry.reason)
+        self.pending.pop(entry.request.guest, None)
 
-    def _tell(self, task: PendingGuest, state: str, final: bool, machine: str = "", reason: str = "") -> None:
+    def _notify_user(
+        self, entry: PendingGuest, state: str, final: bool, machine: str = "", reason: str = ""
+    ) -> None:
         self.counts[state] += 1
-        self.actions.append(Notify(Outcome(task.request.guest, state, machine, reason, task.ask + 1), final))
+        self.actions.append(
+            Notify(Outcome(entry.request.guest, state, machine, reason, entry.ask + 1), final)
+        )
 
-    # The passing of time.
+    # Timers.
 
     def next_at(self) -> int | None:
+        """When `advance` is due next, in microseconds; None if no timer is set."""
         return self.agenda[0][0] if self.agenda else None
 
     def advance(self, now: int) -> None:
+        """Runs all timers that are due."""
         while self.agenda and self.agenda[0][0] <= now:
             _, _, what, key, due = heappop(self.agenda)
-            if what == "return":
+            if what == "dial":
                 if not self.up.get(key, True) and self.return_at.get(key) == due:
                     self.actions.append(Connect(key))
                 continue
             if what == "unlisted":
-                self._unlisted(now)
+                self._leave_unlisted(now)
                 continue
-            if what == "mute":
-                if self.up.get(key) and self.mute_since.get(key) == due:
+            if what == "unresponsive":
+                if self.up.get(key) and self.unanswered_since.get(key) == due:
                     self.counts["silent"] += 1
                     self.actions.append(Leave(key))
                     self.disconnected(now, key)
                 continue
-            task = self.pending.get(key)
-            if task is None or what != "deadline" and task.due != due:
+            entry = self.pending.get(key)
+            if entry is None or what != "deadline" and entry.due != due:
                 continue
             if what == "deadline":
-                self._deadline(now, task)
-            elif what == "go" and task.state == "idle":
-                self._attempt(now, task)
-            elif what == "settle" and task.state == "doubt":
-                if self.up.get(task.planner):
-                    self._query(now, task)
-                self._when(task, now + SECOND // 2, "settle")
-            elif what == "unanswered" and task.state == "asked":
-                self.chooser.failed(task.planner, now)
-                self._may_have_run(now, task, "unanswered")
-
-    def _deadline(self, now: int, task: PendingGuest) -> None:
-        """The owner waits no longer. What is placed stays placed; what is not is told as what it is."""
-        if task.state == "placed":
+                self._deadline(now, entry)
+            elif what == "submit" and entry.state == "idle":
+                self._submit_to_planner(now, entry)
+            elif what == "settle" and entry.state == "uncertain":
+                if self.up.get(entry.planner):
+                    self._query(now, entry)
+                self._set_timer(entry, now + SECOND // 2, "settle")
+            elif what == "unanswered" and entry.state == "submitted":
+                self.chooser.failed(entry.planner, now)
+                self._handle_uncertain(now, entry, "unanswered")
+
+    def _deadline(self, now: int, entry: PendingGuest) -> None:
+        """The guest's time is over. A placed guest stays placed; another ends with what is known of it."""
+        if entry.state == "placed":
             return
-        unsure = task.state != "idle" or task.first_unsure
+        unsure = entry.state != "idle" or entry.first_unsure
         self._finish(
-            task,
-            "unknown" if unsure and task.request.effect != "rerunnable" else "turned_back",
+            entry,
+            "unknown" if unsure and entry.request.effect != "rerunnable" else "turned_back",
             reason="deadline",
         )
 
-    def _when(self, task: PendingGuest, when: int, what: str) -> None:
-        task.due = when
-        self._at(when, what, task.request.guest, when)
+    def _set_timer(self, entry: PendingGuest, when: int, what: str) -> None:
+        entry.due = when
+        self._at(when, what, entry.request.guest, when)
 
     def _at(self, when: int, what: str, key: str, due: int) -> None:
-        self.turn += 1
-        heappush(self.agenda, (when, self.turn, what, key, due))
+        self.timer_number += 1
+        heappush(self.agenda, (when, self.timer_number, what, key, due))
--- a/hazelhold/client/types.py
+++ b/hazelhold/client/types.py
@@ -1,4 +1,4 @@
-"""What a client is asked for, how it behaves, what it tells and what its core wants done. Plain data."""
+"""The requests, policy and outcomes of a client, and the actions of its core. Plain data."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True)
 class ClientPolicy:
-    """How a client behaves. All spans are in microseconds.
+    """The behaviour of a client. All durations are in microseconds.
 
-    `try_share` of the time left is the patience of one ask, so that another planner can still be asked when
-    one dies; asks shorter than `least` are not sent, since no answer could arrive in time.
+    One submission gets `try_share` of the time left, so that another planner can still be used if one dies.
+    Submissions with less time than `least` are not sent, since no answer could arrive in time.
     """
 
     settle: int = 3 * SECOND
@@ -21,17 +21,22 @@
     least: int = SECOND // 20
     again_least: int = SECOND // 10
     again_most: int = 10 * SECOND
-    retry_share: float = 0.2  # retries for each fresh ask, in the long run
+    retry_share: float = 0.2  # retries per new guest, in the long run
     retry_burst: float = 10.0
     return_base: int = SECOND // 10
-    silent: int = 5 * SECOND  # a planner that answers nothing for so long has a dead connection
+    silent: int = 5 * SECOND  # without an answer for so long, the connection is considered dead
     return_most: int = 30 * SECOND
-    return_soon: int = 5 * SECOND  # the same for a client that has something to ask
+    return_soon: int = 5 * SECOND  # the same for a client that has guests to submit
 
 
 class TaskRequest(NamedTuple):
-    """A task as its owner wants it (`guest` is its id); `patience` and `life` are spans from now on.
-    `effect` is its product's: rerunnable, ticketed or exclusive; `window` a ticket's."""
+    """A guest as its owner requests it; `guest` is its id.
+
+    `cores` and `memory` are the requested resources. `patience` (how long the owner waits for the placement)
+    and `life` are durations from now, in microseconds. `effect` is that of its guest class
+    (`product`): rerunnable (idempotent), ticketed (deduplicated) or exclusive (at most once). `group` and
+    `window` are the scope and the duration of the deduplication.
+    """
 
     guest: str
     product: str
@@ -47,8 +52,8 @@
 
 
 class Outcome(NamedTuple):
-    """What became of a task. `state` is placed, turned_back, broken_off, unknown (its fate could not be
-    learnt in time), rejected, cancelled, or, after placed, an end."""
+    """What became of a guest. `state` is placed, turned_back (refused), broken_off (failed, it may have run),
+    unknown (its state could not be determined in time), rejected, cancelled or, after placed, an end."""
 
     guest: str
     state: str
@@ -57,14 +62,14 @@
     asks: int = 0
 
     def or_raise(self) -> "Outcome":
-        """Itself if the guest was placed or has run; else NotPlacedError or the kind of it that tells why."""
+        """Returns itself if the guest was placed or has run; else raises a NotPlacedError that tells why."""
         if kind := WHY.get(self.state):
             raise kind(self)
         return self
 
 
 class NotPlacedError(Exception):
-    """A task was not placed; `outcome` has all that is known."""
+    """A guest was not placed; `outcome` holds all that is known."""
 
     def __init__(self, outcome: Outcome) -> None:
         why = f", {outcome.reason}" if outcome.reason else ""
@@ -73,19 +78,19 @@
 
 
 class RefusedError(NotPlacedError):
-    """It did not run, or a second run does no harm: trying again is harmless."""
+    """The guest did not run, or a second run does no harm: it is safe to try again."""
 
 
 class MayHaveRunError(NotPlacedError):
-    """Broken off, or its fate is unknown."""
+    """The guest failed and may have run, or its state is unknown."""
 
 
 class RejectedError(NotPlacedError):
-    """The ask makes no sense to the planner."""
+    """The planner cannot process the submission."""
 
 
 class CancelledError(NotPlacedError):
-    """It was cancelled before it was placed."""
+    """The guest was cancelled before it was placed."""
 
 
 WHY = {
@@ -98,24 +103,26 @@
 
 
 class Send(NamedTuple):
+    """Send the message to the planner."""
+
     planner: str
     message: m.Message
 
 
 class Connect(NamedTuple):
-    """Dial the planner now; report connected or refused."""
+    """Dial the planner now, and report `connected` or `refused`."""
 
     planner: str
 
 
 class Leave(NamedTuple):
-    """Close the connection to the planner; no disconnected need follow."""
+    """Close the connection to the planner; `disconnected` need not follow."""
 
     planner: str
 
 
 class Notify(NamedTuple):
-    """Tell the caller; `final` is set when nothing more comes for this guest."""
+    """Notify the caller; `final`: no other outcome of this guest follows."""
 
     outcome: Outcome
     final: bool
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -22,9 +22,9 @@
 from hazelhold.replica.proposer import Change as ProposedChange
 from hazelhold.replica.proposer import Done, Proposer, Send
 from hazelhold.replica.votes import Retention, Votes, keep_open_claims
-from hazelhold.service.connection import Wire
 from hazelhold.service.net import Net
 from hazelhold.service.slowly import slowly
+from hazelhold.service.wire import Wire
 from hazelhold.state import frames
 from hazelhold.state.disk import Disk
 from hazelhold.state.images import Change
--- a/tests/test_town.py
+++ b/tests/test_town.py
@@ -170,7 +170,11 @@
         for number in range(40):
             outcome = await client.place(want(f"g{number}"))
             placed += outcome.state == "placed"
-        assert placed == 40 and client.core.chooser.stats["bad"].bad > client.core.chooser.stats["good"].bad
+        assert (
+            placed == 40
+            and client.core.chooser.stats["bad"].failure_share
+            > client.core.chooser.stats["good"].failure_share
+        )
         assert (await client.query("g39")).state == "running"
 
     beside({"bad": bad, "good": placing}, test)
@@ -276,7 +280,7 @@
                 assert client.core.pending["g2"].planner == "b:2"
                 client.core.receive(net.now(), "a:1", m.GuestEnded(guest="g1", how="done"))
                 await trio.sleep(2)
-                assert client.core.up == {"b:2": True} and list(client.wires) == ["b:2"]
+                assert client.core.up == {"b:2": True} and list(client.connections) == ["b:2"]
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
