--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -1,4 +1,4 @@
-"""Members in virtual time, for the tests of membership's core."""
+"""Simulated members in virtual time, for the tests of the membership core."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings
 
-TERMS = MembershipSettings("tests")
+SETTINGS = MembershipSettings("tests")
 
 SEEDS = ("at-m0", "at-m1", "at-m2")
 
@@ -15,31 +15,37 @@
 
 
 def world(count: int, seed: int, make: type = MembershipCore, settle: float = 8.0) -> Parley:
-    """Members m0 to m(count-1) that know each other, two zones in turn."""
-    made = Parley(seed, TERMS, make)
+    """Members m0 to m(count-1) that know each other, in two zones in turn."""
+    simulation = Parley(seed, SETTINGS, make)
     for number in range(count):
-        made.start(f"m{number}", list(SEEDS), zone=f"z{number % 2}")
-    assert not made.run(settle, lambda: not made.agree())
-    made.run(settle)
-    made.wrongly.clear()
-    made.news.clear()
-    return made
-
-
-def heard(made: Parley, what: str, by: str = "", of: str = "") -> list[tuple[float, str, MembershipChange]]:
+        simulation.start(f"m{number}", list(SEEDS), zone=f"z{number % 2}")
+    assert not simulation.run(settle, lambda: not simulation.agree())
+    simulation.run(settle)
+    simulation.wrongly.clear()
+    simulation.news.clear()
+    return simulation
+
+
+def changes(
+    simulation: Parley, what: str, by: str = "", of: str = ""
+) -> list[tuple[float, str, MembershipChange]]:
+    """The changes of this kind, with their time in seconds and the member that reported them."""
     return [
         (at / 1e6, who, n)
-        for at, who, n in made.news
+        for at, who, n in simulation.news
         if n.what == what and by in ("", who) and of in ("", n.name)
     ]
 
 
 def names(count: int, *but: str) -> list[str]:
+    """The names of `count` members without `but`."""
     return [f"m{n}" for n in range(count) if f"m{n}" not in but]
 
 
-def within(made: Parley, seconds: float, true: Callable[[], bool]) -> float:
-    """Runs until it is true; how many seconds that took. Fails past the bound."""
-    began = made.now
-    assert not made.run(made.now / 1e6 + seconds, lambda: not true()), "not within the bound"
-    return (made.now - began) / 1e6
+def within(simulation: Parley, seconds: float, condition: Callable[[], bool]) -> float:
+    """Runs until the condition holds, and returns the seconds that took. Fails after `seconds`."""
+    began = simulation.now
+    assert not simulation.run(simulation.now / 1e6 + seconds, lambda: not condition()), (
+        "the condition did not hold in time"
+    )
+    return (simulation.now - began) / 1e6
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: what may follow what, engines that share an agreed value, and proof that each part is needed."""
+"""Claims: the allowed transitions, engines that share agreed values, and proof that each part is needed."""
 
 from itertools import permutations
 
@@ -49,7 +49,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(CHANGES, max_size=12))
-def test_nothing_is_unlearned_but_by_a_release_or_an_ask_after_an_end(changes: list) -> None:
+def test_claims_only_go_back_by_a_release_or_a_submission_after_an_end(changes: list) -> None:
     value = b""
     for change in changes:
         before, value = c.decode(value), apply(value, change)
@@ -77,7 +77,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(FACTS, min_size=1, max_size=4))
-def test_facts_join_in_any_order_and_twice(facts: list[c.Fact]) -> None:
+def test_facts_join_in_any_order_and_repeatedly(facts: list[c.Fact]) -> None:
     facts = [f._replace(how="done" if f.state == "over" else "") for f in facts]
     base = c.encode(c.Claim("p0", 1, 0, 0, "held", "a"))
     ends = set()
@@ -91,7 +91,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(CHANGES, max_size=12))
-def test_the_audits_own_rules_say_the_same(changes: list) -> None:
+def test_the_rules_of_the_audit_agree(changes: list) -> None:
     value = b""
     for change in changes:
         if change == "release":
@@ -105,7 +105,7 @@
     assert judge.step(b"7", Call("nextlife", (), None, 0)) == c.NextLife()(b"7") == b"8"
 
 
-def test_what_a_newer_program_wrote_is_touched_by_nobody() -> None:
+def test_a_value_of_a_newer_program_is_never_changed() -> None:
     assert c.decode(b"\xc1").state == "held"
     assert c.Take("p0", 1, 5, 0, "a", 1)(b"\xc1") == b"\xc1"
     assert c.lasts(b"\xc1") and c.lasts(b"12") and not c.lasts(b"")
@@ -115,7 +115,7 @@
 
 
 class Member(EngineHarness):
-    """A harness whose engine claims."""
+    """An engine harness whose engine uses claims."""
 
     def __init__(self, name: str, gate: type = ClaimGate, machines: str = "ab") -> None:
         super().__init__(machines)
@@ -123,13 +123,13 @@
 
 
 class Table:
-    """Members around agreed values that change one after another."""
+    """Members that share agreed values, which change one after another."""
 
     def __init__(self, *members: Member) -> None:
         self.members, self.values = members, {}
 
     def agree(self, now: int, *who: Member) -> None:
-        """Lets these (all, else) have their askings agreed until they want nothing more."""
+        """Agrees the proposals of these members (default: all) until there are no more."""
         for _ in range(20):
             for member in who or self.members:
                 member.run(now)
@@ -156,7 +156,7 @@
     return one, other, table
 
 
-def test_no_offer_leaves_before_its_claim_is_agreed_and_rerunnable_guests_ask_nobody() -> None:
+def test_no_offer_is_sent_before_its_claim_is_agreed_and_idempotent_guests_need_none() -> None:
     one, _, table = two()
     one.submits(10, "r", "plain")
     assert one.sent(m.Offer, "r") and not one.asks
@@ -173,15 +173,15 @@
     assert (table.claim("x").state, table.claim("x").how) == ("over", "done")
 
 
-def test_a_second_planner_tells_the_truth_and_never_sends() -> None:
+def test_a_second_planner_reports_the_claim_and_never_sends() -> None:
     one, other, table = two()
     one.submits(10, "x", "once")
     table.agree(10)
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
     other.submits(20, "x", "once", ask=1, reason="unanswered")
     table.agree(20)
-    said = other.sent(m.BrokenOff, "x")[0]
-    assert (said.reason, said.planner) == ("claimed", "p0")
+    answer = other.sent(m.BrokenOff, "x")[0]
+    assert (answer.reason, answer.planner) == ("claimed", "p0")
     other.owner(30, m.Query(guest="x", ask=1))
     table.agree(30)
     assert (other.sent(m.State)[-1].state, other.sent(m.State)[-1].planner) == ("unsettled", "p0")
@@ -204,7 +204,7 @@
     assert not other.sent(m.Offer, "x") and not other.engine.cases and not other.engine.brain.guests
 
 
-def test_two_planners_asked_at_once_send_one_offer() -> None:
+def test_two_planners_with_the_same_guest_send_one_offer() -> None:
     one, other, table = two()
     for member in (one, other):
         member.submits(10, "x", "once")
@@ -214,7 +214,7 @@
     assert one.sent(m.BrokenOff, "x")[0].planner == "p1"
 
 
-def test_a_guest_that_was_turned_back_may_be_had_by_another() -> None:
+def test_a_refused_guest_may_be_taken_by_another_planner() -> None:
     one, other, table = two()
     offer, at = None, ""
     one.submits(10, "x", "once", patience=200 * MS)
@@ -233,18 +233,16 @@
     ("outcome", "reason"),
     [("refused", "no_majority"), ("open", "no_majority"), ("refused", "no_votes"), ("refused", "busy")],
 )
-def test_a_claim_that_is_not_agreed_turns_the_guest_back_with_reason_and_wait(
-    outcome: str, reason: str
-) -> None:
+def test_without_an_agreed_claim_the_guest_is_refused_with_reason_and_wait(outcome: str, reason: str) -> None:
     one, other, table = two()
     one.submits(10, "x", "once")
     one.submits(10, "r", "plain")
     assert one.sent(m.Offer, "r")
     table.refuse(500 * MS, one, outcome, reason)
-    said = one.sent(m.TurnedBack, "x")[0]
-    assert said.reason == reason and said.again_after > 0
+    answer = one.sent(m.TurnedBack, "x")[0]
+    assert answer.reason == reason and answer.again_after > 0
     assert not one.sent(m.Offer, "x") and not one.engine.brain.guests.get("x/0")
-    if outcome == "open":  # it may stand yet: released, so that another may have it
+    if outcome == "open":  # it may be in force: it is released, so that another planner may take the guest
         table.values["claim/x"] = c.encode(
             c.Take("p0", 1, 0, 0, c.decode(one.asks[0].change.known).machine, 2).claim()
         )
@@ -255,10 +253,10 @@
     assert other.sent(m.Offer, "x")
 
 
-def test_before_this_lifes_number_is_agreed_nothing_is_claimed() -> None:
+def test_before_the_run_number_is_agreed_nothing_is_claimed() -> None:
     one = Member("p0")
     table = Table(one)
-    table.refuse(0, one)  # its first asking for a life
+    table.refuse(0, one)  # its first proposal of a run number
     one.submits(10, "x", "once")
     assert [a.key for a in one.asks] == ["life/p0"]
     table.agree(10)
@@ -270,11 +268,11 @@
     assert again.engine.claims.life == 2
 
 
-def test_a_life_without_memory_does_not_send_what_an_earlier_one_may_have_sent() -> None:
+def test_a_run_without_state_does_not_send_what_an_earlier_run_may_have_sent() -> None:
     one, _, table = two()
     one.submits(10, "x", "once")
     table.agree(10)
-    blank = Member("p0", machines="")  # nothing is known of any machine that might have it
+    blank = Member("p0", machines="")  # it knows no machine that might have the guest
     table.members = (blank,)
     table.agree(20)
     blank.lists(20, [blank.entry("c")])
@@ -284,7 +282,7 @@
 
 
 def recovered(one: Member, table: Table, stands: dict, life_of: dict[str, int] | None = None) -> Member:
-    """The next life of this planner, with all that its state had at this moment."""
+    """The next run of this planner, with the state persisted at this moment."""
     from hazelhold.state.ledger import Ledger
 
     ledger = Ledger()
@@ -302,7 +300,8 @@
     return made
 
 
-def kept() -> tuple[Member, Table]:
+def persisted() -> tuple[Member, Table]:
+    """A planner with persisted state and a claimed guest, and another planner."""
     from hazelhold.state.ledger import Ledger
 
     one, other = Member("p0", machines=""), Member("p1")
@@ -317,9 +316,9 @@
     return one, table
 
 
-def gone_on() -> tuple[Member, Member, Table, m.Offer, str]:
-    """A life and the next, whose machine has refused the one offer that left."""
-    one, table = kept()
+def continued() -> tuple[Member, Member, Table, m.Offer, str]:
+    """A run and the next one, whose machine has refused the only offer that was sent."""
+    one, table = persisted()
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
     after = recovered(one, table, {at: [stand(offer, "line")]})
     after.says(120, at, of(m.Refused, offer, remark="no_memory"))
@@ -327,22 +326,22 @@
     return one, after, table, offer, at
 
 
-def test_a_life_that_kept_its_state_goes_on_from_a_machines_word() -> None:
-    _, after, table, _, _ = gone_on()
+def test_a_run_with_persisted_state_continues_after_a_machines_report() -> None:
+    _, after, table, _, _ = continued()
     assert after.sent(m.Offer, "x") and table.claim("x").life > 1 and table.claim("x").attempt == 1
 
 
-def test_what_only_an_absence_proves_is_not_gone_on_with_from_kept_state() -> None:
-    """The kept state may be older than what its life saw: the guest may have run and been forgotten since."""
-    one, table = kept()
+def test_persisted_state_does_not_continue_a_guest_that_machines_merely_lack() -> None:
+    """The persisted state may be older than what that run saw: the guest may have run and been forgotten."""
+    one, table = persisted()
     after = recovered(one, table, {})
     table.agree(200 * MS)
     assert not after.sent(m.Offer, "x") and after.sent(m.BrokenOff, "x")
     assert table.claim("x").life == 1
 
 
-def test_the_older_of_two_lives_sends_nothing_more() -> None:
-    one, after, table, offer, at = gone_on()
+def test_the_older_of_two_runs_sends_nothing_more() -> None:
+    one, after, table, offer, at = continued()
     one.says(130, at, of(m.Refused, offer, remark="no_memory"))  # it was only paused
     table.members = (*table.members, one)
     table.agree(140 + 900 * MS)
@@ -350,12 +349,12 @@
     assert one.sent(m.BrokenOff, "x")[0].reason == "claimed"
 
 
-def test_a_late_copy_that_is_adopted_is_told_with_its_machine() -> None:
+def test_a_late_copy_that_is_adopted_is_reported_with_its_machine() -> None:
     one, other, table = two()
     one.submits(10, "x", "once")
     table.agree(10)
     offer, at = one.sent(m.Offer, "x")[0], table.claim("x").machine
-    for now in range(100, 5100, 100):  # overdue: given up, and broken off in the end
+    for now in range(100, 5100, 100):  # overdue: given up, and failed in the end
         table.agree(now * MS)
     assert one.sent(m.BrokenOff, "x")
     one.says(5200 * MS, at, of(m.Taken, offer))
@@ -366,25 +365,25 @@
     assert other.sent(m.Placed, "x")[0].machine == at
 
 
-def test_facts_under_way_are_bounded() -> None:
+def test_facts_in_progress_are_bounded() -> None:
     gate = ClaimGate("p0", 500)
     for number in range(FACTS_MOST + 5):
         gate.fact(0, f"g{number}", 0, "placed", "a")
     assert len(gate.wanted) == FACTS_MOST and gate.counts["facts_dropped"] == 5
 
 
-# The proof of the tests: each part taken away is found out.
+# Proof of the tests: a variant without any one part is detected.
 
 
 class LetsAllPass(ClaimGate):
-    """Takes it that nobody else is there."""
+    """Assumes that there is no other planner."""
 
-    def clear(self, *given_: object) -> bool:
+    def clear(self, *arguments: object) -> bool:
         return True
 
 
 class Overtakes(ClaimGate):
-    """Takes a silent planner for dead, and its claim."""
+    """Takes a silent planner for dead, and takes its claim."""
 
     def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list:
         return [
@@ -402,10 +401,12 @@
 
 
 @pytest.mark.parametrize("gate", [LetsAllPass, Overtakes])
-def test_a_gate_that_trusts_its_view_is_caught(gate: type) -> None:
+def test_a_gate_that_trusts_its_view_is_detected(gate: type) -> None:
     one, other, table = two(gate)
     one.submits(10, "x", "once")
     table.agree(10)
     other.submits(20, "x", "once", ask=1, reason="unanswered")
     table.agree(20)
-    assert one.sent(m.Offer, "x") and other.sent(m.Offer, "x"), "two planners sent it: this is what is caught"
+    assert one.sent(m.Offer, "x") and other.sent(m.Offer, "x"), (
+        "both planners sent the offer, which is the fault to detect"
+    )
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,5 +1,4 @@
-"""The client: retries by what is known, deadlines kept, returns spread; and the planner's side of the
-bargain."""
+"""The client: retries, deadlines and spread reconnects; and the planner's advice and connection admission."""
 
 from collections import Counter
 from random import Random
@@ -21,8 +20,8 @@
 S = 1_000_000
 
 
-class Caller:
-    """A core driven by hand, with planners p and q."""
+class CoreDriver:
+    """Drives a client core directly, with planners p and q by default."""
 
     def __init__(self, planners: tuple[str, ...] = ("p", "q"), **policy: object) -> None:
         self.core = ClientCore("c", list(planners), ClientPolicy(**policy), Random(1))
@@ -31,7 +30,7 @@
         for planner in planners:
             self.core.connected(0, planner)
         self.sent: list[tuple[str, m.Message]] = []
-        self.told: list[tuple[str, str, bool]] = []
+        self.outcomes: list[tuple[str, str, bool]] = []
         self.dials: list[str] = []
 
     def run(self, now: int) -> None:
@@ -41,12 +40,12 @@
             if isinstance(action, Send):
                 self.sent.append((action.planner, action.message))
             elif isinstance(action, Notify):
-                self.told.append((action.outcome.guest, action.outcome.state, action.final))
+                self.outcomes.append((action.outcome.guest, action.outcome.state, action.final))
             elif isinstance(action, Connect):
                 self.dials.append(action.planner)
 
-    def asks(self, now: int, effect: str = "rerunnable", patience: int = 10 * S, **more: object) -> str:
-        self.core.submit(now, TaskRequest("g", "plain", "s", 1.0, 1.0, patience, effect, **more))
+    def submit(self, now: int, effect: str = "rerunnable", patience: int = 10 * S, **fields: object) -> str:
+        self.core.submit(now, TaskRequest("g", "plain", "s", 1.0, 1.0, patience, effect, **fields))
         self.run(now)
         return self.submits()[-1][0]
 
@@ -56,33 +55,33 @@
     def queries(self) -> int:
         return sum(isinstance(s, m.Query) for _, s in self.sent)
 
-    def says(self, now: int, planner: str, message: m.Message) -> None:
+    def deliver(self, now: int, planner: str, message: m.Message) -> None:
         self.core.receive(now, planner, message)
         self.run(now)
 
-    def passes(self, start: int, end: int) -> None:
+    def run_until(self, start: int, end: int) -> None:
         for now in range(start, end, 20 * MS):
             self.run(now)
 
 
-def test_a_turn_back_is_followed_by_a_marked_repeat_after_the_advised_wait() -> None:
-    caller = Caller()
-    planner = caller.asks(0)
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
-    caller.passes(S, 3 * S)
-    assert len(caller.submits()) == 1
-    caller.passes(3 * S, 4 * S)
-    repeat = caller.submits()[1][1]
+def test_a_refusal_is_followed_by_a_marked_repeat_after_the_advised_wait() -> None:
+    driver = CoreDriver()
+    planner = driver.submit(0)
+    driver.deliver(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
+    driver.run_until(S, 3 * S)
+    assert len(driver.submits()) == 1
+    driver.run_until(3 * S, 4 * S)
+    repeat = driver.submits()[1][1]
     assert (repeat.guest, repeat.ask, repeat.reason) == ("g", 1, "turned_back") and repeat.patience <= 7 * S
 
 
 def test_no_retry_whose_answer_could_not_come_in_time() -> None:
-    caller = Caller()
-    planner = caller.asks(0, patience=2 * S)
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
-    assert caller.told == [("g", "turned_back", True)]
-    caller.passes(S, 6 * S)
-    assert len(caller.submits()) == 1
+    driver = CoreDriver()
+    planner = driver.submit(0, patience=2 * S)
+    driver.deliver(S, planner, m.TurnedBack(guest="g", again_after=2 * S))
+    assert driver.outcomes == [("g", "turned_back", True)]
+    driver.run_until(S, 6 * S)
+    assert len(driver.submits()) == 1
 
 
 @pytest.mark.parametrize(
@@ -94,76 +93,78 @@
         ("exclusive", "all", False),
     ],
 )
-def test_after_a_break_off_it_goes_again_by_its_effect(effect: str, group: str, goes: bool) -> None:
-    caller = Caller()
-    planner = caller.asks(0, effect, group=group)
-    caller.says(S, planner, m.BrokenOff(guest="g"))
-    caller.passes(S, 2 * S)
-    assert (len(caller.submits()) == 2) is goes and (caller.queries() == 0)
+def test_a_failed_guest_is_submitted_again_depending_on_its_effect(
+    effect: str, group: str, goes: bool
+) -> None:
+    driver = CoreDriver()
+    planner = driver.submit(0, effect, group=group)
+    driver.deliver(S, planner, m.BrokenOff(guest="g"))
+    driver.run_until(S, 2 * S)
+    assert (len(driver.submits()) == 2) is goes and (driver.queries() == 0)
     if goes:
         return
-    caller.passes(2 * S, 4500 * MS)  # the settle time
-    assert caller.queries() >= 1 and len(caller.submits()) == 1
-    caller.says(4500 * MS, planner, m.State(guest="g", state="unsettled"))
-    caller.passes(4500 * MS, 5200 * MS)
-    assert len(caller.submits()) == 1
-    caller.says(5200 * MS, planner, m.State(guest="g", state="unknown"))
-    caller.passes(5200 * MS, 6 * S)
-    assert len(caller.submits()) == 2
-
-
-def test_an_exclusive_guest_is_never_asked_of_another_planner_while_the_first_may_act() -> None:
-    caller = Caller()
-    planner = caller.asks(0, "exclusive")
-    caller.core.disconnected(S, planner)
+    driver.run_until(2 * S, 4500 * MS)  # the settle time
+    assert driver.queries() >= 1 and len(driver.submits()) == 1
+    driver.deliver(4500 * MS, planner, m.State(guest="g", state="unsettled"))
+    driver.run_until(4500 * MS, 5200 * MS)
+    assert len(driver.submits()) == 1
+    driver.deliver(5200 * MS, planner, m.State(guest="g", state="unknown"))
+    driver.run_until(5200 * MS, 6 * S)
+    assert len(driver.submits()) == 2
+
+
+def test_an_at_most_once_guest_goes_to_no_other_planner_while_the_first_may_act() -> None:
+    driver = CoreDriver()
+    planner = driver.submit(0, "exclusive")
+    driver.core.disconnected(S, planner)
     for now in range(S, 9 * S, 500 * MS):
-        caller.core.refused(now, planner)
-        caller.passes(now, now + 500 * MS)
-    assert len(caller.submits()) == 1
-    caller.passes(9 * S, 11 * S)
-    assert caller.told == [("g", "unknown", True)]
-
-
-def test_a_dead_planners_rerunnable_guest_goes_elsewhere_and_a_silent_ones_waits_for_its_patience() -> None:
-    caller = Caller()
-    planner = caller.asks(0)
-    caller.core.disconnected(S, planner)
-    caller.passes(S, S + 500 * MS)
-    assert len(caller.submits()) == 1  # it may still act
-    caller.core.refused(S + 500 * MS, planner)
-    caller.passes(S + 500 * MS, 2 * S)
-    assert [p for p, _ in caller.submits()][1] != planner
-    caller = Caller()
-    caller.asks(0)
-    caller.passes(0, 5 * S)
-    assert len(caller.submits()) == 1
-    caller.passes(5 * S, 6 * S)
-    assert len(caller.submits()) == 2 and caller.submits()[1][1].reason == "unanswered"
-
-
-def test_a_reconnect_asks_after_what_the_planner_has() -> None:
-    caller = Caller(("p",))
-    caller.asks(0, "exclusive")
-    caller.core.disconnected(S, "p")
-    caller.core.connected(2 * S, "p")
-    caller.run(2 * S)
-    assert caller.queries() == 1
-    caller.says(2 * S, "p", m.State(guest="g", state="running", machine="a"))
-    assert caller.told == [("g", "placed", False)]
-    caller.says(3 * S, "p", m.GuestEnded(guest="g", how="done"))
-    assert caller.told[-1] == ("g", "done", True) and not caller.core.pending
-
-
-def test_a_cancel_that_crosses_a_turn_back_ends_the_guest() -> None:
-    caller = Caller()
-    planner = caller.asks(0)
-    caller.core.cancel(S, "g")
-    caller.says(S, planner, m.TurnedBack(guest="g", again_after=0))
-    caller.passes(S, 3 * S)
-    assert caller.told == [("g", "cancelled", True)] and len(caller.submits()) == 1
-
-
-def test_the_budget_ends_a_storm_of_retries() -> None:
+        driver.core.refused(now, planner)
+        driver.run_until(now, now + 500 * MS)
+    assert len(driver.submits()) == 1
+    driver.run_until(9 * S, 11 * S)
+    assert driver.outcomes == [("g", "unknown", True)]
+
+
+def test_an_idempotent_guest_leaves_a_dead_planner_at_once_and_a_silent_one_in_time() -> None:
+    driver = CoreDriver()
+    planner = driver.submit(0)
+    driver.core.disconnected(S, planner)
+    driver.run_until(S, S + 500 * MS)
+    assert len(driver.submits()) == 1  # it may still act
+    driver.core.refused(S + 500 * MS, planner)
+    driver.run_until(S + 500 * MS, 2 * S)
+    assert [p for p, _ in driver.submits()][1] != planner
+    driver = CoreDriver()
+    driver.submit(0)
+    driver.run_until(0, 5 * S)
+    assert len(driver.submits()) == 1
+    driver.run_until(5 * S, 6 * S)
+    assert len(driver.submits()) == 2 and driver.submits()[1][1].reason == "unanswered"
+
+
+def test_a_reconnect_queries_the_guests_of_the_planner() -> None:
+    driver = CoreDriver(("p",))
+    driver.submit(0, "exclusive")
+    driver.core.disconnected(S, "p")
+    driver.core.connected(2 * S, "p")
+    driver.run(2 * S)
+    assert driver.queries() == 1
+    driver.deliver(2 * S, "p", m.State(guest="g", state="running", machine="a"))
+    assert driver.outcomes == [("g", "placed", False)]
+    driver.deliver(3 * S, "p", m.GuestEnded(guest="g", how="done"))
+    assert driver.outcomes[-1] == ("g", "done", True) and not driver.core.pending
+
+
+def test_a_cancel_that_crosses_a_refusal_ends_the_guest() -> None:
+    driver = CoreDriver()
+    planner = driver.submit(0)
+    driver.core.cancel(S, "g")
+    driver.deliver(S, planner, m.TurnedBack(guest="g", again_after=0))
+    driver.run_until(S, 3 * S)
+    assert driver.outcomes == [("g", "cancelled", True)] and len(driver.submits()) == 1
+
+
+def test_the_budget_limits_retries() -> None:
     budget = RetryBudget(0.2, 10)
     assert sum(budget.retry() for _ in range(100)) == 10
     for _ in range(50):
@@ -172,22 +173,25 @@
 
 
 def test_a_frozen_client_sends_nothing_after_its_deadlines() -> None:
-    caller = Caller()
-    planner = caller.asks(0, patience=3 * S)
-    caller.says(S, planner, m.TurnedBack(guest="g"))
-    caller.run(60 * S)  # nothing ran for a minute
-    assert len(caller.submits()) == 1 and caller.told == [("g", "turned_back", True)]
+    driver = CoreDriver()
+    planner = driver.submit(0, patience=3 * S)
+    driver.deliver(S, planner, m.TurnedBack(guest="g"))
+    driver.run(60 * S)  # nothing ran for a minute
+    assert len(driver.submits()) == 1 and driver.outcomes == [("g", "turned_back", True)]
 
 
-def test_a_planner_that_fails_is_passed_over_and_comes_back() -> None:
-    caller = Caller()
-    chooser = caller.core.chooser
+def test_a_failing_planner_is_avoided_and_used_again_later() -> None:
+    driver = CoreDriver()
+    chooser = driver.core.chooser
     for _ in range(4):
         chooser.failed("p", 0)
     assert {chooser.pick(["p", "q"], MS) for _ in range(50)} == {"q"} and chooser.pick(["p"], MS) == "p"
-    assert "p" in {chooser.pick(["p", "q"], 60 * S) for _ in range(200)} or chooser.stats["p"].bad > 0.5
+    assert (
+        "p" in {chooser.pick(["p", "q"], 60 * S) for _ in range(200)}
+        or chooser.stats["p"].failure_share > 0.5
+    )
     chooser.answered("p", 1, True, 61 * S)
-    assert chooser.stats["p"].in_a_row == 0
+    assert chooser.stats["p"].consecutive_failures == 0
 
 
 events = st.lists(
@@ -201,74 +205,76 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(events, st.sampled_from(["rerunnable", "ticketed", "exclusive"]), st.integers(0, 99))
-def test_whatever_happens_the_rules_hold(steps: list, effect: str, seed: int) -> None:
-    """A plain model: for each planner what it holds of the guest; it answers, or forgets when it dies."""
-    caller = Caller(retry_burst=50.0)
-    caller.core.random.seed(seed)
-    first = caller.asks(0, effect, patience=10 * S)
+def test_the_rules_hold_for_any_events(steps: list, effect: str, seed: int) -> None:
+    """A plain model of what each planner holds of the guest; it replies, or forgets it when it dies."""
+    driver = CoreDriver(retry_burst=50.0)
+    driver.core.random.seed(seed)
+    first = driver.submit(0, effect, patience=10 * S)
     advised = 0
-    now, seen, may_act, final = 0, 1, {first: caller.submits()[0][1].patience}, False
+    now, seen, may_act, final = 0, 1, {first: driver.submits()[0][1].patience}, False
     up = {"p": True, "q": True}
     for what, wait in [*steps, ("quiet", 12_000)]:
         end = now + wait * MS
         now = end if what == "freeze" else now
         while True:
-            caller.run(now)
-            for planner, submit in caller.submits()[seen:]:
+            driver.run(now)
+            for planner, submit in driver.submits()[seen:]:
                 assert now + submit.patience <= 10 * S + MS and not final
                 advised = 0
                 if effect != "rerunnable":
                     others = [p for p, until in may_act.items() if until > now and p != planner]
                     assert effect == "ticketed" or not others
                 may_act[planner] = now + submit.patience
-            seen = len(caller.submits())
-            finals = [t for t in caller.told if t[2]]
+            seen = len(driver.submits())
+            finals = [t for t in driver.outcomes if t[2]]
             assert len(finals) <= 1
-            never = not any(t[1] == "placed" for t in caller.told)
+            never = not any(t[1] == "placed" for t in driver.outcomes)
             if finals and not final and effect == "rerunnable" and never and now < 10 * S:
-                assert now + advised + 50 * MS > 10 * S - 50 * MS, "given up though it could be helped"
+                assert now + advised + 50 * MS > 10 * S - 50 * MS, "given up although there was time"
             assert not (finals and finals[0][1] == "unknown" and now < 10 * S)
             final = bool(finals)
             if now >= end:
                 break
             now = min(end, now + 50 * MS)
-        if not caller.submits() or final:
+        if not driver.submits() or final:
             continue
-        planner, submit = caller.submits()[-1]
+        planner, submit = driver.submits()[-1]
         about = {"guest": "g", "ask": submit.ask}
         if what in ("turn", "break", "place") and up[planner] and may_act.get(planner, 0) > now:
-            said = {
+            answer = {
                 "turn": m.TurnedBack(**about, again_after=wait * MS),
                 "break": m.BrokenOff(**about),
                 "place": m.Placed(**about, machine="a"),
             }[what]
             may_act[planner] = 0 if what == "turn" else may_act[planner]
             advised = wait * MS if what == "turn" else 0
-            caller.says(now, planner, said)
+            driver.deliver(now, planner, answer)
         elif what == "state" and up[planner]:
             state = "out" if may_act.get(planner, 0) > now else "unknown"
-            caller.says(now, planner, m.State(**about, state=state))
+            driver.deliver(now, planner, m.State(**about, state=state))
         elif what in ("lose", "die") and up[planner]:
             up[planner] = False
-            caller.core.disconnected(now, planner)
+            driver.core.disconnected(now, planner)
             if what == "die":
                 may_act[planner] = 0
-                caller.core.refused(now, planner)
+                driver.core.refused(now, planner)
         elif what == "back":
             for name in up:
                 if not up[name]:
                     up[name] = True
-                    caller.core.connected(now, name)
-    assert final or any(t[1] == "placed" for t in caller.told)
+                    driver.core.connected(now, name)
+    assert final or any(t[1] == "placed" for t in driver.outcomes)
 
 
-def test_advice_follows_pace_and_line_and_is_checked() -> None:
+def test_advice_follows_placement_rate_and_queue_length_and_is_checked() -> None:
     advice = Advice(100 * MS, 5 * S, Random(1))
     assert 2 * S <= advice.wait(0, "g", 0) <= 3 * S  # nothing is known yet
     for n in range(50):
         advice.placed(n * 100 * MS, f"x{n}")
     now = 4900 * MS
-    waits = [advice.wait(now, f"g{n}", 9) for n in range(30)]  # ten a second are placed: a place each
+    waits = [
+        advice.wait(now, f"g{n}", 9) for n in range(30)
+    ]  # ten a second are placed: one queue position each
     assert waits == sorted(waits) and all(800 * MS < w < 4 * S for w in waits) and len(set(waits)) == 30
     assert advice.hopeless(now, 100, 2 * S) and not advice.hopeless(now, 100, 20 * S)
     assert advice.hopeless(now, 100, 14 * S) and not advice.hopeless(now, 100, 14 * S, kept=True)
@@ -282,24 +288,25 @@
 
 
 @pytest.mark.parametrize("count", [1_000, 10_000])
-def test_a_door_spreads_those_that_it_sends_away(count: int) -> None:
-    door = Doorman(500, 100, 1000, 10 * S, Random(1))
-    back = sorted(filter(None, (door.admits(0) for _ in range(count))))
+def test_connection_admission_spreads_refused_connections(count: int) -> None:
+    admission = Doorman(500, 100, 1000, 10 * S, Random(1))
+    back = sorted(filter(None, (admission.admits(0) for _ in range(count))))
     assert len(back) == count - 100
     bins = Counter(at // (100 * MS) for at in back)
     assert max(bins.values()) <= 3 * max(50, len(back) * 100 * MS / (10 * S))
 
 
-def test_a_door_with_many_before_their_hello_spreads_the_rest_too() -> None:
-    door = Doorman(500, 100, 20, 10 * S, Random(1))
-    assert door.admits(0, 19) == 0
-    assert len({door.admits(0, 20) for _ in range(50)} - {0}) == 50
+def test_connection_admission_with_many_pending_hellos_spreads_the_rest_too() -> None:
+    admission = Doorman(500, 100, 20, 10 * S, Random(1))
+    assert admission.admits(0, 19) == 0
+    assert len({admission.admits(0, 20) for _ in range(50)} - {0}) == 50
 
 
 def returning(count: int, spread: bool) -> tuple[int, float, int]:
-    """Clients that lose their planner at once and find it back after 2 s, with the core's own returns and a
-    planner's own door in virtual time: peak dials in 100 ms, seconds until all are back, dials in all."""
-    door, random = Doorman(500, 200, 1000, 10 * S, Random(2)), Random(3)
+    """Clients that lose their planner together and can reach it again after 2 s, with the real backoff and
+    the planner's real admission in virtual time. Returns the peak of dials in 100 ms, the seconds until all
+    are connected, and all dials."""
+    admission, random = Doorman(500, 200, 1000, 10 * S, Random(2)), Random(3)
     policy = ClientPolicy()
     clients = [ReconnectBackoff(policy.return_base, policy.return_most, Random(n)) for n in range(count)]
     import heapq
@@ -314,7 +321,7 @@
         dials[now // (100 * MS)] += 1
         if now < 2 * S:
             again = clients[n].wait() if spread else 50 * MS
-        elif later := door.admits(now):
+        elif later := admission.admits(now):
             again = clients[n].wait(later) if spread else 50 * MS
         else:
             last = max(last, now)
@@ -323,10 +330,10 @@
     return max(dials.values()), last / S, sum(dials.values())
 
 
-def test_a_thousand_clients_return_spread_and_not_as_one() -> None:
+def test_a_thousand_clients_reconnect_spread_over_time() -> None:
     peak, back, dials = returning(1000, True)
-    wild, _, wild_dials = returning(1000, False)
-    assert wild >= 1000 and wild_dials > 4 * dials
+    unspread, _, unspread_dials = returning(1000, False)
+    assert unspread >= 1000 and unspread_dials > 4 * dials
     assert peak <= 3 * 1000 * 0.1 / 2 and back < 8  # three times the mean over the announced two seconds
 
 
@@ -346,7 +353,7 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-def test_the_client_beside_a_planner_turned_back_with_advice_and_cancelled() -> None:
+def test_the_client_with_a_planner_refusal_with_advice_and_cancel() -> None:
     async def test(planner: object, net: object) -> None:
         async with open_client("c", {"p": "door"}, net=net, seed=1) as client:
             outcomes = await client.place_all(
@@ -370,7 +377,7 @@
     run_with_planner(test)
 
 
-def test_a_thousand_clients_lose_a_planner_that_stops_and_come_back_through_its_door() -> None:
+def test_a_thousand_clients_reconnect_spread_after_a_planner_restart() -> None:
     from hazelhold.service.planner import Planner
 
     async def test(planner: Planner, net: object) -> None:
--- a/tests/test_copies_host.py
+++ b/tests/test_copies_host.py
@@ -1,5 +1,5 @@
-"""The parts that planners have in agreed values, in memory: bad peers, failing disks, a death at every point;
-the configuration and the commands."""
+"""Replica hosts in memory: faulty peers, failing disks and crashes at every point of a disk; configuration
+and commands."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -33,12 +33,12 @@
 
 
 class Trio:
-    """Three parts in memory, each with a disk that outlives it."""
+    """Three replica hosts in memory, each with a disk that survives its crashes."""
 
     def __init__(self, nursery: trio.Nursery, points: Points | None = None) -> None:
         self.net, self.nursery = MemoryNet(), nursery
         self.disks = {n: FaultyDisk(Points(set(), 1)) for n in NAMES}
-        self.parts: dict[str, ReplicaHost] = {}
+        self.hosts: dict[str, ReplicaHost] = {}
         self.scopes: dict[str, trio.CancelScope] = {}
         self.ends: dict[str, dict[int, tuple[str, bytes, str]]] = {n: {} for n in NAMES}
         self.number = self.deaths = 0
@@ -50,23 +50,23 @@
     async def start(self, name: str) -> None:
         ends = self.ends[name]
 
-        def told(no: int, outcome: str, value: bytes, reason: str) -> None:
+        def on_outcome(no: int, outcome: str, value: bytes, reason: str) -> None:
             ends[no] = outcome, value, reason
 
         disk, scope = self.disks[name], trio.CancelScope()
-        part = ReplicaHost(name, CONFIGS[name], self.net, disk, told)
-        self.parts[name], self.scopes[name] = part, scope
+        host = ReplicaHost(name, CONFIGS[name], self.net, disk, on_outcome)
+        self.hosts[name], self.scopes[name] = host, scope
 
         async def live(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
             try:
                 with scope:
-                    part.open()
-                    await part.run(task_status=task_status)
+                    host.open()
+                    await host.run(task_status=task_status)
             except* Killed:
                 self.deaths += 1
                 disk.crash()
                 self.nursery.start_soon(self.start, name)
-                if not part.address:
+                if not host.address:
                     task_status.started()
             else:
                 disk.crash()
@@ -76,30 +76,32 @@
     async def all_vote(self) -> None:
         await self.until(
             lambda: all(
-                len(p.votes.acceptor.voting) == len(p.votes.rejoin_client.others) for p in self.parts.values()
+                len(p.votes.acceptor.voting) == len(p.votes.rejoin_client.others) for p in self.hosts.values()
             )
         )
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         with trio.fail_after(60):
-            while not true():
+            while not condition():
                 await trio.sleep(0.02)
 
-    async def agree(self, name: str, key: str, change: object, span: float = 2.0) -> tuple[str, bytes, str]:
+    async def agree(
+        self, name: str, key: str, change: object, timeout: float = 2.0
+    ) -> tuple[str, bytes, str]:
         self.number += 1
-        number, part = self.number, self.parts[name]
-        part.propose(number, key, change, part.net.now() + round(span * 1e6))
+        number, host = self.number, self.hosts[name]
+        host.propose(number, key, change, host.net.now() + round(timeout * 1e6))
         await self.until(lambda: number in self.ends[name])
         return self.ends[name].pop(number)
 
 
-def play(story: Callable, points: Points | None = None) -> Trio:
+def play(scenario: Callable, points: Points | None = None) -> Trio:
     async def run() -> Trio:
         async with trio.open_nursery() as nursery:
             made = Trio(nursery, points)
             for name in NAMES:
                 await made.start(name)
-            await story(made)
+            await scenario(made)
             nursery.cancel_scope.cancel()
         return made
 
@@ -110,8 +112,8 @@
     return c.Take(planner, 1, 0, 0, "m", no)
 
 
-def test_bad_peers_end_their_own_connection_alone() -> None:
-    async def story(made: Trio) -> None:
+def test_a_faulty_peer_ends_only_its_own_connection() -> None:
+    async def scenario(made: Trio) -> None:
         await made.all_vote()
         greet = Greet("p1", "hazelhold", 1)
         bad = {
@@ -131,29 +133,29 @@
             with trio.fail_after(10):
                 while await stream.receive_some(1000):
                     pass
-            assert made.parts["p0"].counts["refused_" + code] == 1, code
+            assert made.hosts["p0"].counts["refused_" + code] == 1, code
         assert (await made.agree("p1", "claim/g", take("p1", 1)))[0] == "agreed"
 
-    play(story)
+    play(scenario)
 
 
-def test_failing_disks_answer_nobody_and_vote_again_when_they_work() -> None:
-    async def story(made: Trio) -> None:
+def test_replicas_with_failing_disks_do_not_reply_and_vote_again_once_they_work() -> None:
+    async def scenario(made: Trio) -> None:
         await made.all_vote()
         for name in ("p1", "p2"):
             made.disks[name].fails = {"write": 5, "sync": 5, "rename": 5}
         outcome, _, reason = await made.agree("p0", "claim/g", take("p0", 1))
         assert (outcome, reason) == ("refused", "no_majority")
-        assert all(made.parts[n].vote_writer.failures == 1 for n in ("p1", "p2"))
+        assert all(made.hosts[n].vote_writer.failures == 1 for n in ("p1", "p2"))
         made.disks["p1"].fails = {}
-        await made.until(lambda: not made.parts["p1"].vote_writer.failed)
+        await made.until(lambda: not made.hosts["p1"].vote_writer.failed)
         assert (await made.agree("p0", "claim/g", take("p0", 2)))[0] == "agreed"
 
-    play(story)
+    play(scenario)
 
 
-def test_a_disk_that_fails_while_its_member_comes_back_does_not_keep_it_mute() -> None:
-    async def story(made: Trio) -> None:
+def test_a_disk_failure_during_a_rejoin_does_not_keep_the_replica_from_voting() -> None:
+    async def scenario(made: Trio) -> None:
         await made.all_vote()
         for number in range(3):
             assert (await made.agree("p0", f"claim/g{number}", take("p0", number)))[0] == "agreed"
@@ -164,26 +166,26 @@
         made.disks["p1"].fails = {"write": 5}
         await made.until(
             lambda: (
-                made.parts["p1"].vote_writer.failures > 0
-                and made.parts["p1"].votes.rejoin_client.is_complete()
+                made.hosts["p1"].vote_writer.failures > 0
+                and made.hosts["p1"].votes.rejoin_client.is_complete()
             )
         )
         await trio.sleep(3)
-        assert not made.parts["p1"].votes.acceptor.voting
+        assert not made.hosts["p1"].votes.acceptor.voting
         made.disks["p1"].fails = {}
         await made.all_vote()
         made.scopes["p2"].cancel()
         assert (await made.agree("p0", "claim/after", take("p0", 9)))[0] == "agreed"
 
-    play(story)
+    play(scenario)
 
 
-def test_a_death_at_every_point_of_a_members_disk_loses_no_agreed_value() -> None:
-    """One of three dies at its Nth read, write, sync or rename, comes back, and is then needed: the third is
-    taken away."""
+def test_a_crash_at_every_point_of_a_replicas_disk_loses_no_agreed_value() -> None:
+    """One of three crashes at its Nth read, write, sync or rename and rejoins. Then the third is stopped, so
+    that its votes are needed."""
     reached = 0
 
-    async def story(made: Trio) -> None:
+    async def scenario(made: Trio) -> None:
         agreed: dict[str, bytes] = {}
         for number in range(4):
             key = f"claim/g{number}"
@@ -191,23 +193,23 @@
             if outcome == "agreed" and value:
                 agreed[key] = value
         assert len(agreed) == 4
-        await made.until(lambda: made.parts["p1"].address != "")
+        await made.until(lambda: made.hosts["p1"].address != "")
         await made.all_vote()
         made.scopes["p0"].cancel()
-        del made.parts["p0"]
+        del made.hosts["p0"]
         for key, value in agreed.items():
             assert (await made.agree("p2", key, Read(), 10.0))[:2] == ("agreed", value)
 
-    quiet = Points(set(), 1)
-    play(story, quiet)
-    assert quiet.count > 15
-    for point in range(1, quiet.count + 1):
+    without_crashes = Points(set(), 1)
+    play(scenario, without_crashes)
+    assert without_crashes.count > 15
+    for point in range(1, without_crashes.count + 1):
         points = Points({point}, point)
-        reached += play(story, points).deaths
-    assert reached > quiet.count * 0.8
+        reached += play(scenario, points).deaths
+    assert reached > without_crashes.count * 0.8
 
 
-def test_what_is_let_go_does_not_come_back_by_an_old_ballot() -> None:
+def test_a_discarded_cell_does_not_come_back_by_an_old_ballot() -> None:
     disk = FaultyDisk(Points(set(), 1))
     alone = replace(CONFIGS["p0"], planners=CONFIGS["p0"].planners[:1], replicas=1, keep_s=60.0)
     found(disk, "p0", alone, 0)
@@ -232,7 +234,7 @@
 
 
 @pytest.mark.parametrize("retention", [keep_open_claims, keep_all])
-def test_what_is_let_go_is_said_by_the_retention_alone_also_after_a_start(retention: Retention) -> None:
+def test_only_the_retention_decides_what_is_discarded_also_after_a_restart(retention: Retention) -> None:
     """A value that is no claim (the head of a configuration) and one that looks like an ended claim."""
     alone = replace(CONFIGS["p0"], planners=CONFIGS["p0"].planners[:1], replicas=1, keep_s=60)
     disk = FaultyDisk(Points(set(), 1))
@@ -247,7 +249,7 @@
     votes.store.begin(1)
     votes.store.close()
     again = Votes(disk, "p0", alone, 2, retention)
-    again.open(2, "p0 2")  # the ages begin anew
+    again.open(2, "p0 2")  # the retention times start again
     for each in (votes, again):
         each.sweep(10**15)
         assert set(each.acceptor.cells) == lasting
@@ -261,7 +263,7 @@
         ({"deployment": "other"}, "is the seat of 'p0' in 'hazelhold'"),
     ],
 )
-def test_another_set_than_the_folders_is_refused_by_name(change: dict, why: str) -> None:
+def test_a_folder_of_another_set_is_refused_with_the_reason(change: dict, why: str) -> None:
     disk = FaultyDisk(Points(set(), 1))
     found(disk, "p0", CONFIGS["p0"], 0)
     with pytest.raises(StateError, match=why):
@@ -269,7 +271,7 @@
     assert Seat("p0", "hazelhold", 1, "x").planner == "p0" and disk.holder == ""
 
 
-def test_the_configuration_names_all_that_is_wrong() -> None:
+def test_the_configuration_check_lists_all_faults() -> None:
     full = replace(
         planner_config(), listen="127.0.0.1:1", list=replace(planner_config().list, address="127.0.0.1:2")
     )
--- a/tests/test_membership_cuts.py
+++ b/tests/test_membership_cuts.py
@@ -1,4 +1,4 @@
-"""Membership under one-sided cuts, and proof that the checks can fail."""
+"""Membership under one-sided partitions, and proof that the checks can fail."""
 
 from collections import deque
 
@@ -8,42 +8,47 @@
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row
-from tests.membership_world import SEEDS, TERMS, TWO, heard, names, within, world
+from tests.membership_world import SEEDS, SETTINGS, TWO, changes, names, within, world
 
-# One-sided cuts: what the design note says that each side believes.
+# One-sided partitions: the views that the design note states for each side.
 
 
 @pytest.mark.parametrize("seed", TWO)
 @pytest.mark.parametrize("both", [True, False])
 def test_a_pair_that_is_cut_while_all_others_reach_both(both: bool, seed: int) -> None:
-    made = world(6, seed)
-    made.cut(["m2"], ["m3"], both)
-    made.run(made.now / 1e6 + 30)
-    assert made.agree() and not heard(made, "gone")
-    assert made.processes["m2"].core.table.members["m3"].via, "it says through whom it hears of the other"
+    simulation = world(6, seed)
+    simulation.cut(["m2"], ["m3"], both)
+    simulation.run(simulation.now / 1e6 + 30)
+    assert simulation.agree() and not changes(simulation, "gone")
+    assert simulation.processes["m2"].core.table.members["m3"].via, (
+        "the view names the helper that reaches the other member"
+    )
 
 
-def isolated(made: Parley, name: str, deaf: bool, mute: bool) -> None:
+def isolated(simulation: Parley, name: str, deaf: bool, mute: bool) -> None:
+    """Cuts a member off from the others in one or both directions."""
     others = names(6, name)
     if deaf:
-        made.cut(others, [name], both=False)
+        simulation.cut(others, [name], both=False)
     if mute:
-        made.cut([name], others, both=False)
+        simulation.cut([name], others, both=False)
 
 
-def lone(made: Parley, name: str, deaf: bool, mute: bool) -> None:
-    """What must hold of one that is deaf, mute or both: it is gone for the others, who accuse nobody else;
-    it says that it is alone, sees the others as suspected, and calls nobody gone."""
-    began = made.now / 1e6
-    isolated(made, name, deaf, mute)
-    assert within(made, 12, lambda: made.gone_everywhere(name)) < 9
-    made.run(began + 30)
+def lone(simulation: Parley, name: str, deaf: bool, mute: bool) -> None:
+    """Checks a member that cannot receive, cannot send, or neither. The others see it as gone and suspect
+    nobody else; it reports that it is alone, sees the others as suspected, and reports nobody gone."""
+    began = simulation.now / 1e6
+    isolated(simulation, name, deaf, mute)
+    assert within(simulation, 12, lambda: simulation.gone_everywhere(name)) < 9
+    simulation.run(began + 30)
     others = names(6, name)
-    assert all(made.view(a, b) == ALIVE for a in others for b in others)
-    assert heard(made, "alone", by=name) and all(made.view(name, n) == SUSPECTED for n in others)
-    assert not [n for n in made.news if n[2].name in others and n[2].what in ("suspected", "gone")]
-    made.heal()
-    within(made, 15, made.agree)
+    assert all(simulation.view(a, b) == ALIVE for a in others for b in others)
+    assert changes(simulation, "alone", by=name) and all(
+        simulation.view(name, n) == SUSPECTED for n in others
+    )
+    assert not [n for n in simulation.news if n[2].name in others and n[2].what in ("suspected", "gone")]
+    simulation.heal()
+    within(simulation, 15, simulation.agree)
 
 
 KINDS = [
@@ -55,60 +60,68 @@
 
 @pytest.mark.parametrize("seed", TWO)
 @pytest.mark.parametrize(("deaf", "mute"), KINDS)
-def test_one_that_cannot_hear_or_be_heard_accuses_nobody(deaf: bool, mute: bool, seed: int) -> None:
+def test_a_member_that_cannot_receive_or_send_suspects_nobody(deaf: bool, mute: bool, seed: int) -> None:
     lone(world(6, seed), "m2", deaf, mute)
 
 
-def parted(made: Parley, both: bool) -> None:
-    """Alive means answers: where a zone is not heard, neither side gets answers from the other."""
+def parted(simulation: Parley, both: bool) -> None:
+    """Alive means that it answers: where one zone's datagrams are lost, neither side gets acks."""
     one, other = ["m0", "m2", "m4"], ["m1", "m3", "m5"]
-    made.cut(one, other, both)
-    within(made, 14, lambda: all(made.view(a, b) == made.view(b, a) == GONE for a in one for b in other))
-    made.run(made.now / 1e6 + 10)
-    assert all(made.view(a, b) == ALIVE for side in (one, other) for a in side for b in side)
-    made.heal()
-    made.news.clear()
-    assert within(made, 10, made.agree) < 6
-    made.run(made.now / 1e6 + 5)
-    assert not heard(made, "gone"), "one half took the other's word on its own members"
+    simulation.cut(one, other, both)
+    within(
+        simulation,
+        14,
+        lambda: all(simulation.view(a, b) == simulation.view(b, a) == GONE for a in one for b in other),
+    )
+    simulation.run(simulation.now / 1e6 + 10)
+    assert all(simulation.view(a, b) == ALIVE for side in (one, other) for a in side for b in side)
+    simulation.heal()
+    simulation.news.clear()
+    assert within(simulation, 10, simulation.agree) < 6
+    simulation.run(simulation.now / 1e6 + 5)
+    assert not changes(simulation, "gone"), "one half believed the other about its own members"
 
 
 @pytest.mark.parametrize("seed", TWO)
 @pytest.mark.parametrize("both", [True, False])
-def test_a_split_and_a_zone_that_is_not_heard_live_on_in_two_halves_and_grow_together(
-    both: bool, seed: int
-) -> None:
+def test_both_halves_of_a_partition_go_on_and_merge_afterwards(both: bool, seed: int) -> None:
     parted(world(6, seed), both)
 
 
-def test_without_time_to_answer_a_half_takes_the_others_word_on_its_own_members() -> None:
+def test_without_time_to_refute_a_half_believes_the_other_about_its_own_members() -> None:
     with pytest.raises(AssertionError, match="own members"):
         for seed in range(5):
             parted(world(6, seed, AnyGone), True)
 
 
-def test_of_two_members_the_one_left_over_is_alone_and_says_so() -> None:
-    made = world(2, 1)
-    made.crash("m1")
-    within(made, 10, lambda: made.view("m0", "m1") == SUSPECTED)
-    made.run(made.now / 1e6 + 30)
-    assert made.view("m0", "m1") == SUSPECTED and heard(made, "alone") and not heard(made, "gone")
+def test_of_two_members_the_remaining_one_reports_that_it_is_alone() -> None:
+    simulation = world(2, 1)
+    simulation.crash("m1")
+    within(simulation, 10, lambda: simulation.view("m0", "m1") == SUSPECTED)
+    simulation.run(simulation.now / 1e6 + 30)
+    assert (
+        simulation.view("m0", "m1") == SUSPECTED
+        and changes(simulation, "alone")
+        and not changes(simulation, "gone")
+    )
 
 
 def test_clocks_that_run_at_other_rates_and_jumps_of_the_wall_clock_change_nothing() -> None:
-    made = Parley(1, TERMS)
+    simulation = Parley(1, SETTINGS)
     for number in range(6):
-        made.start(f"m{number}", list(SEEDS), rate=(0.8, 1.0, 1.25)[number % 3], life=10 ** (number + 1))
-    within(made, 8, made.agree)
-    made.run(60)
-    assert not heard(made, "gone") and not heard(made, "suspected")
+        simulation.start(
+            f"m{number}", list(SEEDS), rate=(0.8, 1.0, 1.25)[number % 3], life=10 ** (number + 1)
+        )
+    within(simulation, 8, simulation.agree)
+    simulation.run(60)
+    assert not changes(simulation, "gone") and not changes(simulation, "suspected")
 
 
-# The tests' own proof: cores with one safety argument taken away are caught.
+# Proof of the tests: each variant of the core lacks one safety argument and must fail.
 
 
 class NoWitness(MembershipCore):
-    """Accuses without a witness."""
+    """Suspects without a witness."""
 
     def _failed(self, probe: object) -> None:
         probe.witnesses.add(self.me.name)
@@ -116,21 +129,21 @@
 
 
 class NeverAway(MembershipCore):
-    """Takes its own absence for the others'."""
+    """Does not detect its own pause."""
 
     def _detect_pause(self, now: int) -> None:
         self.now = max(now, self.now)
 
 
 class AnyGone(MembershipCore):
-    """Takes the word of others that one is gone, however fresh the suspicion."""
+    """Accepts a report that a member is gone, however recent the suspicion."""
 
     def _merge_gone(self, member: object, row: Row, reporter: str) -> None:
         self._take(row, reporter)
 
 
 class YieldsAtOnce(MembershipCore):
-    """Takes every younger life of its name for a process that runs."""
+    """Yields to every younger incarnation of its name without a probe."""
 
     def _challenge(self, row: Row) -> None:
         self.yielded = True
@@ -138,37 +151,37 @@
 
 
 @pytest.mark.parametrize(("deaf", "mute"), KINDS)
-def test_without_witnesses_a_lone_member_accuses_the_others(deaf: bool, mute: bool) -> None:
+def test_without_witnesses_a_lone_member_suspects_the_others(deaf: bool, mute: bool) -> None:
     with pytest.raises(AssertionError):
         lone(world(6, 1, NoWitness), "m2", deaf, mute)
 
 
 def overslept(make: type) -> Parley:
-    """m0 hears a suspicion of m3, which m3 would refute, and is stopped before it can ask; what comes
-    meanwhile is lost, as where a socket's buffer is full."""
-    made = world(6, 2, make)
-    process = made.processes["m0"]
+    """m0 gets a suspicion of m3, which m3 would refute, and is paused before it can query m3. Datagrams that
+    arrive meanwhile are lost, as if the socket's buffer were full."""
+    simulation = world(6, 2, make)
+    process = simulation.processes["m0"]
     process.inbox = deque(maxlen=0)
     row = process.core.table.row("m3")
     process.core._merge(msgspec.structs.replace(row, state=SUSPECTED, by="m1"), "m1")
-    made.pause("m0", 12)
-    made.run(made.now / 1e6 + 25)
-    assert made.agree()
-    return made
+    simulation.pause("m0", 12)
+    simulation.run(simulation.now / 1e6 + 25)
+    assert simulation.agree()
+    return simulation
 
 
-def test_without_a_sense_of_its_own_absence_a_paused_member_calls_others_gone() -> None:
-    assert heard(overslept(NeverAway), "gone", by="m0", of="m3")
-    assert not heard(overslept(MembershipCore), "gone", by="m0", of="m3")
+def test_without_detection_of_its_own_pause_a_member_reports_others_gone() -> None:
+    assert changes(overslept(NeverAway), "gone", by="m0", of="m3")
+    assert not changes(overslept(MembershipCore), "gone", by="m0", of="m3")
 
 
-def test_one_that_yields_to_every_younger_life_yields_to_a_ghost() -> None:
-    made = world(5, 1, YieldsAtOnce)
+def test_yielding_to_every_younger_incarnation_yields_to_a_stale_one() -> None:
+    simulation = world(5, 1, YieldsAtOnce)
     ghost = Row("m1", 77, 1, 0, GONE, "nowhere")
-    made.processes["m1"].core._merge(ghost, "m0")
-    made.run(made.now / 1e6 + 5)
-    assert made.processes["m1"].core.yielded
-    sound = world(5, 1)
-    sound.processes["m1"].core._merge(ghost, "m0")
-    sound.run(sound.now / 1e6 + 5)
-    assert not sound.processes["m1"].core.yielded and sound.processes["m1"].core.me.life == 78
+    simulation.processes["m1"].core._merge(ghost, "m0")
+    simulation.run(simulation.now / 1e6 + 5)
+    assert simulation.processes["m1"].core.yielded
+    valid = world(5, 1)
+    valid.processes["m1"].core._merge(ghost, "m0")
+    valid.run(valid.now / 1e6 + 5)
+    assert not valid.processes["m1"].core.yielded and valid.processes["m1"].core.me.life == 78
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -1,4 +1,4 @@
-"""Datagrams that membership's core must not trust: damaged, strange, old, or too many."""
+"""Datagrams that the membership core must not trust: damaged, foreign, old, or too many."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,11 +7,11 @@
 from hazelhold.membership import messages
 from hazelhold.membership.core import MembershipChange, MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, Row, encode_row, key
-from tests.membership_world import SEEDS, TERMS, names, within, world
+from tests.membership_world import SEEDS, SETTINGS, names, within, world
 
 
-def alone_core(**terms: object) -> MembershipCore:
-    core = MembershipCore(Row("me", 5, 9, 0, ALIVE, "at-me"), [], TERMS._replace(**terms), 1, 0)
+def alone_core(**settings: object) -> MembershipCore:
+    core = MembershipCore(Row("me", 5, 9, 0, ALIVE, "at-me"), [], SETTINGS._replace(**settings), 1, 0)
     core.start(0)
     return core
 
@@ -28,7 +28,7 @@
     return messages.encode(deployment, me, payload, [encode_row(r) for r in rows])
 
 
-def test_torn_spoilt_strange_and_newer_datagrams_are_counted_and_do_nothing() -> None:
+def test_truncated_damaged_foreign_and_newer_datagrams_are_counted_and_ignored() -> None:
     core = alone_core()
     good = datagram(messages.Ping(1, "me"), (Row("x", 5, 3, 0, ALIVE, "at-x"),))
     newer = messages.ENCODER.encode([messages.VERSION + 1, "tests", {"what": "no idea"}])
@@ -57,16 +57,16 @@
     core.wake(30)
 
 
-def test_a_thousand_names_that_do_not_exist_are_bounded_probed_and_forgotten() -> None:
-    terms = TERMS._replace(most_members=300, forget=20_000_000)
-    made = Parley(1, terms)
+def test_a_thousand_nonexistent_members_are_bounded_probed_and_forgotten() -> None:
+    settings = SETTINGS._replace(most_members=300, forget=20_000_000)
+    simulation = Parley(1, settings)
     for name in names(4):
-        made.start(name, list(SEEDS))
-    made.run(3)
-    core = made.processes["m0"].core
+        simulation.start(name, list(SEEDS))
+    simulation.run(3)
+    core = simulation.processes["m0"].core
     for number in range(1000):
         core.receive(
-            made.processes["m0"].clock(made.now),
+            simulation.processes["m0"].clock(simulation.now),
             datagram(
                 messages.Rows(),
                 (Row(f"x{number}", 1, 1, 0, ALIVE, "no"),),
@@ -76,44 +76,44 @@
             ),
         )
     assert len(core.table.members) == 300 and core.counts["table_full"] > 600
-    made.run(500)
-    assert all(made.view(a, b) == ALIVE for a in names(4) for b in names(4))
+    simulation.run(500)
+    assert all(simulation.view(a, b) == ALIVE for a in names(4) for b in names(4))
     assert len(core.table.members) < 60
 
 
-def test_what_an_earlier_life_sent_is_counted_and_changes_nothing() -> None:
-    made = world(4, 1)
-    kept: list[bytes] = []
-    post = made._post
+def test_datagrams_of_an_earlier_incarnation_are_counted_and_change_nothing() -> None:
+    simulation = world(4, 1)
+    recorded: list[bytes] = []
+    send = simulation._post
 
     def listen(process: object, action: SendDatagram) -> None:
         if process.name == "m1":
-            kept.append(action.body)
-        post(process, action)
-
-    made._post = listen
-    made.run(made.now / 1e6 + 5)
-    made._post = post
-    made.crash("m1")
-    made.start("m1", list(SEEDS))
-    within(made, 5, made.agree)
-    core = made.processes["m0"].core
+            recorded.append(action.body)
+        send(process, action)
+
+    simulation._post = listen
+    simulation.run(simulation.now / 1e6 + 5)
+    simulation._post = send
+    simulation.crash("m1")
+    simulation.start("m1", list(SEEDS))
+    within(simulation, 5, simulation.agree)
+    core = simulation.processes["m0"].core
     before = {n: key(m.row) for n, m in core.table.members.items()}
-    for body in kept:
-        core.receive(made.processes["m0"].clock(made.now), body)
-    assert core.counts["earlier_life"] >= len(kept) > 20
+    for body in recorded:
+        core.receive(simulation.processes["m0"].clock(simulation.now), body)
+    assert core.counts["earlier_life"] >= len(recorded) > 20
     assert {n: key(m.row) for n, m in core.table.members.items()} == before
 
 
-def test_answers_to_questions_are_bounded_in_number_and_size() -> None:
+def test_replies_to_queries_are_limited_in_rate() -> None:
     core = alone_core()
     for number in range(200):
         core.receive(2000, datagram(messages.ViewQuery(number + 1), name="-"))
-    assert sum(not isinstance(a, MembershipChange) for a in core.actions) <= TERMS.answers_a_second + 1
+    assert sum(not isinstance(a, MembershipChange) for a in core.actions) <= SETTINGS.answers_a_second + 1
     assert core.counts["put_off"] >= 150
 
 
-def test_no_datagram_is_longer_than_the_bound_with_a_thousand_members() -> None:
+def test_no_datagram_exceeds_the_limit_with_a_thousand_members() -> None:
     core = alone_core()
     for number in range(1023):
         core._merge(
--- a/tests/test_membership_rows.py
+++ b/tests/test_membership_rows.py
@@ -1,4 +1,4 @@
-"""The order of rows, the table of them, and when a suspicion ends."""
+"""The precedence of rows, the member table, and suspicion timeouts."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(ROWS, max_size=8), st.randoms(use_true_random=False))
-def test_rows_merged_in_any_order_and_twice_give_one_table(rows: list[Row], random: Random) -> None:
+def test_rows_merged_in_any_order_and_twice_give_the_same_table(rows: list[Row], random: Random) -> None:
     def merged(order: list[Row]) -> tuple:
         table = Table(Row("me", 1, 1, 0, ALIVE, "me"), 0, Random(1), 100)
         for row in order:
@@ -38,7 +38,7 @@
     assert merged(rows) == merged(shuffled)
 
 
-def test_gone_is_undone_by_the_greater_word_of_the_same_life_and_left_is_not() -> None:
+def test_gone_is_refuted_by_a_greater_seq_of_the_same_incarnation_and_left_is_not() -> None:
     row = Row("a", 5, 7, 3, GONE, "x")
     replace = msgspec.structs.replace
     assert key(replace(row, state=ALIVE)) < key(row) < key(replace(row, state=ALIVE, seq=4))
@@ -46,9 +46,11 @@
     assert key(replace(row, state=ALIVE, life=6, seq=0)) > key(replace(row, state=LEFT))
 
 
-def test_a_suspicion_waits_less_the_more_confirm_it() -> None:
-    spans = [suspicion_timeout(10, 40, accusers, 3) for accusers in (1, 2, 3, 4, 5)]
-    assert spans[0] == 40 and spans[3] == spans[4] == 10 and spans == sorted(spans, reverse=True)
+def test_a_suspicion_is_shorter_the_more_members_confirm_it() -> None:
+    timeouts = [suspicion_timeout(10, 40, accusers, 3) for accusers in (1, 2, 3, 4, 5)]
+    assert (
+        timeouts[0] == 40 and timeouts[3] == timeouts[4] == 10 and timeouts == sorted(timeouts, reverse=True)
+    )
     assert (
         expected_confirmations(2) == 0 and expected_confirmations(3) == 1 and expected_confirmations(230) == 3
     )
@@ -57,8 +59,8 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.data())
-def test_the_table_keeps_its_indexes(data: st.DataObject) -> None:
-    """Digests, pools and buckets are those of the rows, whatever came and went."""
+def test_the_indexes_of_the_table_stay_consistent(data: st.DataObject) -> None:
+    """Digests, pools and buckets match the rows after any additions and removals."""
     table = Table(Row("me", 1, 1, 0, ALIVE, "me"), 0, Random(1), 100)
     for row in data.draw(st.lists(ROWS, max_size=12)):
         if table.newer(row):
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -1,4 +1,4 @@
-"""Membership among three: every pattern of cuts, every fate of datagrams, and generated schedules."""
+"""Membership among three: every pattern of partitions, every fate of datagrams, generated schedules."""
 
 from itertools import product
 
@@ -9,13 +9,13 @@
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership.core import MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, GONE, Row, key
-from tests.membership_world import SEEDS, TERMS, heard, names, within
+from tests.membership_world import SEEDS, SETTINGS, changes, names, within
 
-# The tests' own proof: cores with one safety argument taken away are caught.
+# Proof of the tests: a variant of the core without one safety argument must fail.
 
 
 class AnyOrder(MembershipCore):
-    """Takes whatever was told last."""
+    """Takes whatever row was received last."""
 
     def _merge(self, row: Row, reporter: str) -> None:
         if (
@@ -29,44 +29,44 @@
             super()._merge(row, reporter)
 
 
-# Search: every pattern of one-sided cuts among three, and every fate of single datagrams.
+# Search: every pattern of one-sided partitions among three, and every fate of single datagrams.
 
 PAIRS = [(a, b) for a in ("m0", "m1", "m2") for b in ("m0", "m1", "m2") if a != b]
 
 
 class Watch:
-    """Looks at a view after each event: what must never go back, does not."""
+    """Checks the view after each event: incarnations and states must never go back."""
 
-    def __init__(self, made: Parley) -> None:
-        self.made, self.last = made, {}
-        carry = made._carry_out
+    def __init__(self, simulation: Parley) -> None:
+        self.simulation, self.last = simulation, {}
+        carry = simulation._carry_out
 
-        def look(process: object) -> None:
+        def check(process: object) -> None:
             carry(process)
             for name, member in process.core.table.members.items():
                 before = self.last.get((process.name, id(process), name))
                 row = member.row
                 if before is not None:
-                    assert (row.life, row.nonce) >= (before.life, before.nonce), "a life went back"
+                    assert (row.life, row.nonce) >= (before.life, before.nonce), "an incarnation went back"
                     if before.state >= GONE and row.life == before.life and row.state < GONE:
-                        assert row.seq > before.seq, "gone was undone without the member's own word"
-                truth = made.processes[name].core.me
+                        assert row.seq > before.seq, "gone was undone without the member's refutation"
+                truth = simulation.processes[name].core.me
                 if (row.life, row.nonce) == (truth.life, truth.nonce):
-                    assert row.seq <= truth.seq, "a word that its member never said"
+                    assert row.seq <= truth.seq, "a seq that its member never sent"
                 self.last[process.name, id(process), name] = row
 
-        made._carry_out = look
+        simulation._carry_out = check
 
 
 def settle_three(make: type = MembershipCore) -> Parley:
-    made = Parley(1, TERMS, make)
-    Watch(made)
+    simulation = Parley(1, SETTINGS, make)
+    Watch(simulation)
     for name in ("m0", "m1", "m2"):
-        made.start(name, list(SEEDS))
-    made.run(3)
-    assert made.agree()
-    made.news.clear()
-    return made
+        simulation.start(name, list(SEEDS))
+    simulation.run(3)
+    assert simulation.agree()
+    simulation.news.clear()
+    return simulation
 
 
 def canonical(*patterns: tuple[bool, ...]) -> bool:
@@ -87,21 +87,23 @@
     return all(patterns <= renamed(order) for order in orders)
 
 
-def play_cuts(made: Parley, *patterns: tuple[bool, ...]) -> None:
+def play_cuts(simulation: Parley, *patterns: tuple[bool, ...]) -> None:
     for pattern in patterns:
-        made.cuts = {pair for pair, cut in zip(PAIRS, pattern, strict=True) if cut}
-        made.run(made.now / 1e6 + 5.5)
-        both = {frozenset(p) for p in made.cuts} | set()
-        for a, b in PAIRS:  # nobody without a cut of its own is ever called gone
-            if made.view(a, b) == GONE:
+        simulation.cuts = {pair for pair, cut in zip(PAIRS, pattern, strict=True) if cut}
+        simulation.run(simulation.now / 1e6 + 5.5)
+        both = {frozenset(p) for p in simulation.cuts} | set()
+        for a, b in PAIRS:  # only members with a cut link may be reported gone
+            if simulation.view(a, b) == GONE:
                 assert any(b in pair for pair in both)
-    made.heal()
-    assert not made.run(made.now / 1e6 + 30, lambda: not made.agree()), "no agreement after the faults"
+    simulation.heal()
+    assert not simulation.run(simulation.now / 1e6 + 30, lambda: not simulation.agree()), (
+        "no agreement after the faults"
+    )
 
 
 @pytest.mark.parametrize("first", range(8))
 def test_every_pattern_of_one_sided_cuts_among_three_twice_over(first: int) -> None:
-    """All 64 patterns, each followed by each of eight drawn ones, by symmetry once: 5.5 s each, then
+    """All 64 patterns, each followed by each of the others, symmetric ones only once: 5.5 s each, then
     agreement."""
     patterns = list(product((False, True), repeat=6))
     for number, pattern in enumerate(patterns):
@@ -115,44 +117,44 @@
 
 
 def fated(fates: tuple[str, ...], make: type, fault: str) -> Parley:
-    """Three members; from now on the datagrams meet these fates, one each, then all come."""
-    made = settle_three(make)
+    """Three members; the next datagrams have these fates, one each, and all later ones arrive."""
+    simulation = settle_three(make)
     left = list(fates)
-    post = made._post
+    send_datagram = simulation._post
 
     def send(process: object, action: SendDatagram) -> None:
         fate = left.pop(0) if left else "comes"
         if fate == "late":
-            made._later(made.now + 700_000, post, process, action)
+            simulation._later(simulation.now + 700_000, send_datagram, process, action)
         elif fate != "lost":
-            post(process, action)
+            send_datagram(process, action)
             if fate == "twice":
-                made._later(made.now + 50_000, post, process, action)
+                simulation._later(simulation.now + 50_000, send_datagram, process, action)
 
-    made._post = send
+    simulation._post = send
     if fault == "crash":
-        made.crash("m2")
+        simulation.crash("m2")
     elif fault:
-        made.pause("m1", float(fault))
-    return made
+        simulation.pause("m1", float(fault))
+    return simulation
 
 
 @pytest.mark.parametrize(("fault", "depth"), [("", 5), ("crash", 5), ("1.0", 4), ("6.0", 4)])
 def test_every_fate_of_the_next_datagrams(fault: str, depth: int) -> None:
-    """4 ** depth runs for each fault: the next datagrams are lost, late, doubled or come; then agreement."""
+    """4 ** depth runs per fault: the next datagrams are lost, late, duplicated or arrive; then agreement."""
     for fates in product(FATES, repeat=depth):
-        made = fated(fates, MembershipCore, fault)
-        made.run(made.now / 1e6 + (7 if fault == "6.0" else 2))
-        within(made, 30, made.agree)
+        simulation = fated(fates, MembershipCore, fault)
+        simulation.run(simulation.now / 1e6 + (7 if fault == "6.0" else 2))
+        within(simulation, 30, simulation.agree)
         if fault in ("", "1.0"):
-            assert not heard(made, "gone"), fates
+            assert not changes(simulation, "gone"), fates
 
 
 def test_a_core_that_takes_rows_in_any_order_is_caught_by_the_search() -> None:
-    with pytest.raises(AssertionError, match="own word|went back|never said"):
+    with pytest.raises(AssertionError, match="refutation|went back|never sent"):
         for fates in product(FATES, repeat=3):
-            made = fated(fates, AnyOrder, "6.0")
-            made.run(made.now / 1e6 + 20)
+            simulation = fated(fates, AnyOrder, "6.0")
+            simulation.run(simulation.now / 1e6 + 20)
         for pattern in list(product((False, True), repeat=6))[1:]:
             play_cuts(settle_three(AnyOrder), pattern)
 
@@ -160,38 +162,38 @@
 @settings(max_examples=25, deadline=None)
 @given(st.data())
 def test_generated_schedules_end_in_agreement(data: st.DataObject) -> None:
-    """Cuts, pauses, crashes, restarts, leaves and loss as they are drawn, over five members; then quiet."""
-    made = Parley(data.draw(st.integers(1, 1000)), TERMS)
-    Watch(made)
+    """Random cuts, pauses, crashes, restarts, leaves and loss among five members; then a quiet time."""
+    simulation = Parley(data.draw(st.integers(1, 1000)), SETTINGS)
+    Watch(simulation)
     for name in names(5):
-        made.start(name, list(SEEDS))
+        simulation.start(name, list(SEEDS))
     for _ in range(data.draw(st.integers(1, 8))):
         what = data.draw(st.sampled_from(["cut", "pause", "crash", "start", "leave", "loss", "heal"]))
         name = data.draw(st.sampled_from(names(5)))
-        process = made.processes[name]
+        process = simulation.processes[name]
         if what == "cut":
-            made.cut([name], [data.draw(st.sampled_from(names(5)))], data.draw(st.booleans()))
+            simulation.cut([name], [data.draw(st.sampled_from(names(5)))], data.draw(st.booleans()))
         elif what == "pause":
-            made.pause(name, data.draw(st.sampled_from([0.2, 1.0, 5.0])))
+            simulation.pause(name, data.draw(st.sampled_from([0.2, 1.0, 5.0])))
         elif what == "crash":
-            made.crash(name)
+            simulation.crash(name)
         elif what == "start" and (not process.up or process.core.left):
-            made.start(name, list(SEEDS))
+            simulation.start(name, list(SEEDS))
         elif what == "leave" and process.up and not process.paused:
-            made.leave(name)
+            simulation.leave(name)
         elif what == "loss":
-            made.loss = data.draw(st.sampled_from([0.0, 0.1, 0.3]))
+            simulation.loss = data.draw(st.sampled_from([0.0, 0.1, 0.3]))
         elif what == "heal":
-            made.heal()
-        made.run(made.now / 1e6 + data.draw(st.sampled_from([0.1, 1.0, 4.0])))
-    made.heal()
-    made.loss = 0.0
-    made.run(made.now / 1e6 + 6)
-    running = made.running()
-    assert not made.run(
-        made.now / 1e6 + 40,
+            simulation.heal()
+        simulation.run(simulation.now / 1e6 + data.draw(st.sampled_from([0.1, 1.0, 4.0])))
+    simulation.heal()
+    simulation.loss = 0.0
+    simulation.run(simulation.now / 1e6 + 6)
+    running = simulation.running()
+    assert not simulation.run(
+        simulation.now / 1e6 + 40,
         lambda: (
-            any(made.view(a, b) != ALIVE for a in running for b in running)
-            or (len(running) > 2 and not made.agree())
+            any(simulation.view(a, b) != ALIVE for a in running for b in running)
+            or (len(running) > 2 and not simulation.agree())
         ),
     )
--- a/tests/test_rejoin.py
+++ b/tests/test_rejoin.py
@@ -1,5 +1,5 @@
-"""Acceptors that lose their disks, or get old ones back, amid askings: histories stay linearizable, and each
-part of the argument that is taken away is found out."""
+"""Acceptors that lose their disks, or get older ones back, during proposals: histories stay linearizable, and
+a variant without any one part of the safety argument is detected."""
 
 from collections.abc import Callable
 from random import Random
@@ -19,25 +19,25 @@
 
 
 class Member:
-    """One planner's acceptor through its lives. Its disk has every state that it ever had."""
+    """One planner's acceptor over its restarts. Its disk keeps every state that it ever had."""
 
     def __init__(self, name: str, sets: ReplicaSets, kinds: dict[str, type]) -> None:
-        self.name, self.sets, self.kinds, self.lives = name, sets, kinds, 0
+        self.name, self.sets, self.kinds, self.starts = name, sets, kinds, 0
         self.disk: list[tuple[dict, dict, messages.Incarnation]] = [({}, {}, messages.NO_INCARNATION)]
         self.start(0, True)
 
     def start(self, back: int, gives: bool) -> None:
-        """A new process, with the disk as it was so many states ago."""
+        """Starts a new process with the disk as it was `back` states ago."""
         cells, known, inc = self.disk[max(0, len(self.disk) - 1 - back)]
-        self.lives += 1
+        self.starts += 1
         self.acceptor = self.kinds.get("acceptor", Acceptor)(
             1, set(), dict(cells), name=self.name, sets=self.sets
         )
         self.acceptor.known, self.acceptor.inc = dict(known), inc
-        self.rejoin_client = self.kinds.get("joiner", RejoinClient)(
-            self.name, self.sets, self.acceptor, self.lives
+        self.rejoin_client = self.kinds.get("client", RejoinClient)(
+            self.name, self.sets, self.acceptor, self.starts
         )
-        self.source = self.kinds.get("source", RejoinServer)(self.name, self.sets, self.acceptor)
+        self.source = self.kinds.get("server", RejoinServer)(self.name, self.sets, self.acceptor)
         self.source.can_serve = gives
         self.acceptor.voting = set(self.rejoin_client.voted)
 
@@ -51,8 +51,8 @@
             self.source.can_serve = True
 
 
-class Town:
-    """Members, three proposers, and a network that loses, doubles and delays."""
+class Simulation:
+    """Members, three proposers, and a network that loses, duplicates and delays messages."""
 
     def __init__(self, seed: int, count: int = 3, proposer: type = Proposer, **kinds: type) -> None:
         self.random = Random(seed)
@@ -61,61 +61,61 @@
         self.members = {n: Member(n, self.sets, kinds) for n in self.names}
         self.proposers = [proposer(f"p{n}/1", 1, seed * 10 + n) for n in range(3)]
         self.calls: list[Call] = []
-        self.asked: dict[tuple[int, int], tuple[str, tuple, int]] = {}
+        self.pending: dict[tuple[int, int], tuple[str, tuple, int]] = {}
         self.events: list[tuple[int, int, Callable[..., None], tuple]] = []
         self.now = self.number = self.restarts = 0
 
-    def later(self, after: int, do: Callable[..., None], *given_: object) -> None:
+    def later(self, after: int, do: Callable[..., None], *arguments: object) -> None:
         self.number += 1
-        self.events.append((self.now + after, self.number, do, given_))
+        self.events.append((self.now + after, self.number, do, arguments))
 
-    def carry(self, do: Callable[..., None], *given_: object) -> None:
-        """Words of askings are quick or very slow, so that a member comes back between two of one asking."""
+    def carry(self, do: Callable[..., None], *arguments: object) -> None:
+        """Delivers a proposal's message, fast or very late, so that members restart during a proposal."""
         for _ in range(self.random.choice([0, 1, 1, 1, 1, 2])):
-            self.later(self.random.randint(100, self.random.choice([4, 30, 200]) * MS), do, *given_)
+            self.later(self.random.randint(100, self.random.choice([4, 30, 200]) * MS), do, *arguments)
 
-    def soon(self, do: Callable[..., None], *given_: object) -> None:
-        """Words of those who come back."""
+    def soon(self, do: Callable[..., None], *arguments: object) -> None:
+        """Delivers a message of a rejoin."""
         for _ in range(self.random.choice([0, 1, 1, 1, 1, 2])):
-            self.later(self.random.randint(100, 4 * MS), do, *given_)
+            self.later(self.random.randint(100, 4 * MS), do, *arguments)
 
-    # Askings.
+    # Proposals.
 
     def ask(self, at: int) -> None:
         kind = self.random.choice(["once", "swap", "read"])
         values = [b"x", b"y", b"z"]
-        given_ = {
+        arguments = {
             "once": (self.random.choice(values),),
             "read": (),
             "swap": (self.random.choice(values), self.random.choice(values)),
         }[kind]
-        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*given_)
+        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*arguments)
         no = self.proposers[at].propose(self.now, "k", change, self.names, self.now + 400 * MS)
-        self.asked[at, no] = kind, given_, self.now
+        self.pending[at, no] = kind, arguments, self.now
         self.act(at)
 
     def act(self, at: int) -> None:
         actions, self.proposers[at].actions = self.proposers[at].actions, []
         for action in actions:
             if isinstance(action, Done):
-                kind, given_, begin = self.asked.pop((at, action.number))
+                kind, arguments, begin = self.pending.pop((at, action.number))
                 agreed = action.outcome == "agreed"
-                self.calls += [Call(kind, given_, None, begin)] * (action.rounds - agreed)
+                self.calls += [Call(kind, arguments, None, begin)] * (action.rounds - agreed)
                 if agreed:
-                    self.calls.append(Call(kind, given_, action.value, begin, self.now))
+                    self.calls.append(Call(kind, arguments, action.value, begin, self.now))
             else:
                 self.carry(self.arrive, at, action)
 
     def arrive(self, at: int, send: Send) -> None:
-        """At whatever life of the acceptor is there: worse than any connection would have it."""
+        """Delivers to any incarnation of the acceptor that runs: worse than any connection would be."""
         member = self.members[send.to]
-        answer, change = member.acceptor.receive(send.message)
+        reply, change = member.acceptor.receive(send.message)
         if change is not None:
             member.safe()
-        self.carry(self.answered, at, send.to, answer)
+        self.carry(self.answered, at, send.to, reply)
 
-    def answered(self, at: int, name: str, answer: messages.Message) -> None:
-        self.proposers[at].receive(self.now, name, answer)
+    def answered(self, at: int, name: str, reply: messages.Message) -> None:
+        self.proposers[at].receive(self.now, name, reply)
         self.act(at)
 
     def tick(self) -> None:
@@ -125,12 +125,12 @@
         for member in self.members.values():
             if self.now % (10 * MS) == 0:
                 member.rejoin_client.tick()
-            self.join_on(member)
+            self.send_rejoin_messages(member)
 
-    # Coming back.
+    # Rejoining.
 
     def restart(self, most: int) -> None:
-        """One more starts, if fewer than so many are coming back. Its disk is gone, old, or as it was."""
+        """Restarts a member if fewer than `most` are rejoining. Its disk is lost, older, or unchanged."""
         away = [m for m in self.members.values() if not m.rejoin_client.is_complete()]
         if len(away) >= most:
             return
@@ -139,10 +139,10 @@
         member.start(back, gives=back < 10**6)
         self.restarts += 1
 
-    def join_on(self, member: Member) -> None:
+    def send_rejoin_messages(self, member: Member) -> None:
         out, member.rejoin_client.outgoing = member.rejoin_client.outgoing, []
         for each in out:
-            self.soon(self.joins, member.name, member.lives, each.to, each.message)
+            self.soon(self.joins, member.name, member.starts, each.to, each.message)
 
     def joins(
         self,
@@ -152,20 +152,20 @@
         message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest,
     ) -> None:
         member = self.members[to]
-        answer = member.source.receive(name, message)
+        reply = member.source.receive(name, message)
         member.safe()
-        self.soon(self.joined, name, life, to, answer)
+        self.soon(self.joined, name, life, to, reply)
 
     def joined(
-        self, name: str, life: int, sender: str, answer: messages.RejoinReply | messages.CellPage
+        self, name: str, life: int, sender: str, reply: messages.RejoinReply | messages.CellPage
     ) -> None:
         member = self.members[name]
-        if member.lives != life:
+        if member.starts != life:
             return
-        member.rejoin_client.receive(sender, answer)
+        member.rejoin_client.receive(sender, reply)
         member.safe()
         member.votes()
-        self.join_on(member)
+        self.send_rejoin_messages(member)
 
     def play(self, most: int, restarts: int, asks: int = 15, length: int = 900) -> list[Call]:
         for n in range(asks):
@@ -176,50 +176,50 @@
             self.later(n * 5 * MS, self.tick)
         while self.events:
             self.events.sort(key=lambda e: e[:2])
-            self.now, _, do, given_ = self.events.pop(0)
-            do(*given_)
+            self.now, _, do, arguments = self.events.pop(0)
+            do(*arguments)
         return self.calls
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**6))
 def test_lost_and_old_disks_of_one_in_three_at_a_time_lose_nothing(seed: int) -> None:
-    assert linearizable(Town(seed).play(1, 6))
+    assert linearizable(Simulation(seed).play(1, 6))
 
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 10**6))
 def test_lost_and_old_disks_of_two_in_five_at_a_time_lose_nothing(seed: int) -> None:
-    assert linearizable(Town(seed, 5).play(2, 8))
+    assert linearizable(Simulation(seed, 5).play(2, 8))
 
 
-def test_askings_are_agreed_and_members_come_back_in_such_towns() -> None:
-    """The towns are no empty proof."""
+def test_proposals_are_agreed_and_members_rejoin_in_these_simulations() -> None:
+    """The simulations do make progress, so the tests above are no empty proof."""
     agreed = back = 0
     for seed in range(20):
-        town = Town(seed)
-        agreed += sum(c.result is not None for c in town.play(1, 6))
-        back += town.restarts
-        assert all(m.rejoin_client.is_complete() for m in town.members.values())
+        simulation = Simulation(seed)
+        agreed += sum(c.result is not None for c in simulation.play(1, 6))
+        back += simulation.restarts
+        assert all(m.rejoin_client.is_complete() for m in simulation.members.values())
     assert agreed > 50 and back > 60
 
 
 class MixesLives(Proposer):
-    """Counts answers of earlier incarnations with later ones."""
+    """Counts replies of earlier incarnations together with later ones."""
 
     def _majority(self, op: Operation, found: dict[str, messages.Reply]) -> bool:
         return 2 * len(found) > len(op.replicas)
 
 
 class VotesAtOnce(RejoinClient):
-    """Trusts whatever disk there is."""
+    """Trusts any disk."""
 
-    def __init__(self, *given_: object) -> None:
-        super().__init__(*given_, trusted=True)
+    def __init__(self, *arguments: object) -> None:
+        super().__init__(*arguments, trusted=True)
 
 
 class CopiesVote(Acceptor):
-    """Takes what it copied for votes of its own."""
+    """Counts copied values as its own votes."""
 
     def copy(self, found: messages.CellCopy) -> object:
         change = super().copy(found)
@@ -229,7 +229,7 @@
 
 
 class OneIsEnough(RejoinClient):
-    """Votes once it has copied from a single other."""
+    """Votes once it has copied from a single other member."""
 
     def _complete(self) -> None:
         if any(m.state == "done" for m in self.peers.values()):
@@ -237,20 +237,20 @@
 
 
 class TellsNobody(RejoinServer):
-    """Does not remember that somebody started anew."""
+    """Does not record new incarnations of others."""
 
     def receive(
         self, other: str, message: messages.RejoinQuery | messages.RejoinEntry | messages.PageRequest
     ) -> object:
         before = dict(self.acceptor.known)
-        said = super().receive(other, message)
+        reply = super().receive(other, message)
         self.acceptor.known.clear()
         self.acceptor.known.update(before)
-        return said
+        return reply
 
 
 class ForgetsPromises(Acceptor):
-    """Copies what was accepted, not what was promised."""
+    """Copies what was accepted but not what was promised."""
 
     def copy(self, found: messages.CellCopy) -> object:
         return super().copy(found._replace(promised=messages.NO_BALLOT))
@@ -259,29 +259,29 @@
 @pytest.mark.parametrize(
     "broken",
     [
-        pytest.param({"joiner": VotesAtOnce}, id="votes-at-once"),
-        pytest.param({"joiner": OneIsEnough}, id="one-is-enough"),
+        pytest.param({"client": VotesAtOnce}, id="votes-at-once"),
+        pytest.param({"client": OneIsEnough}, id="one-is-enough"),
     ],
 )
-def test_each_part_of_the_argument_taken_away_is_found_out(broken: dict) -> None:
-    assert not all(linearizable(Town(seed, **broken).play(1, 14)) for seed in range(600)), broken
+def test_a_variant_without_a_part_of_the_safety_argument_is_detected(broken: dict) -> None:
+    assert not all(linearizable(Simulation(seed, **broken).play(1, 14)) for seed in range(600)), broken
 
 
-def words(proposer: Proposer) -> dict[str, messages.Message]:
-    """What it wants sent, by whom it is for."""
+def outgoing(proposer: Proposer) -> dict[str, messages.Message]:
+    """The messages that it wants to send, by receiver."""
     actions, proposer.actions = proposer.actions, []
     return {a.to: a.message for a in actions if isinstance(a, Send)}
 
 
-def says(town: Town, proposer: Proposer, *given_: tuple[str, messages.Message]) -> None:
-    """These words come to these members, and their answers at once to the proposer."""
-    for name, message in given_:
-        proposer.receive(1, name, town.members[name].acceptor.receive(message)[0])
+def deliver(simulation: Simulation, proposer: Proposer, *arguments: tuple[str, messages.Message]) -> None:
+    """Delivers messages to members, and their replies at once to the proposer."""
+    for name, message in arguments:
+        proposer.receive(1, name, simulation.members[name].acceptor.receive(message)[0])
 
 
-def gone_and_back(town: Town, name: str) -> None:
-    """Starts without its disk and copies from both others."""
-    member = town.members[name]
+def gone_and_back(simulation: Simulation, name: str) -> None:
+    """Restarts a member without its disk; it copies from both others."""
+    member = simulation.members[name]
     member.start(10**6, gives=False)
     for _ in range(4):
         member.rejoin_client.tick()
@@ -289,32 +289,32 @@
             out, member.rejoin_client.outgoing = member.rejoin_client.outgoing, []
             for each in out:
                 member.rejoin_client.receive(
-                    each.to, town.members[each.to].source.receive(name, each.message)
+                    each.to, simulation.members[each.to].source.receive(name, each.message)
                 )
     member.votes()
     assert member.rejoin_client.is_complete()
 
 
-def ready(proposer: type = Proposer, **kinds: type) -> tuple[Town, Proposer, Proposer]:
-    town = Town(1, **kinds)
-    gone_and_back(town, "m0")
-    for member in town.members.values():
+def ready(proposer: type = Proposer, **kinds: type) -> tuple[Simulation, Proposer, Proposer]:
+    simulation = Simulation(1, **kinds)
+    gone_and_back(simulation, "m0")
+    for member in simulation.members.values():
         member.acceptor.voting = {0}
         member.source.can_serve = True
-    return town, proposer("p/1", 1, 1), proposer("q/1", 1, 2)
+    return simulation, proposer("p/1", 1, 1), proposer("q/1", 1, 2)
 
 
-def began(**kinds: type) -> tuple[Town, Proposer, Proposer, dict, dict]:
-    """p wants v and has promises of a and b; q wants w, above it, and has promises of a and c."""
-    town, p, q = ready(**kinds)
-    p.propose(0, "k", SetOnce(b"v"), town.names, 10**9)
-    mine = words(p)
-    says(town, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
+def began(**kinds: type) -> tuple[Simulation, Proposer, Proposer, dict, dict]:
+    """p proposes v, promised by m0 and m1; q proposes w with a higher ballot, promised by m0 and m2."""
+    simulation, p, q = ready(**kinds)
+    p.propose(0, "k", SetOnce(b"v"), simulation.names, 10**9)
+    mine = outgoing(p)
+    deliver(simulation, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
     q.highest = 5
-    q.propose(0, "k", SetOnce(b"w"), town.names, 10**9)
-    other = words(q)
-    says(town, q, ("m0", other["m0"]), ("m2", other["m2"]))
-    return town, p, q, words(p), words(q)
+    q.propose(0, "k", SetOnce(b"w"), simulation.names, 10**9)
+    other = outgoing(q)
+    deliver(simulation, q, ("m0", other["m0"]), ("m2", other["m2"]))
+    return simulation, p, q, outgoing(p), outgoing(q)
 
 
 def agreed(*proposers: Proposer) -> set[bytes]:
@@ -329,52 +329,52 @@
     [
         {},
         pytest.param({"proposer": MixesLives}, marks=BROKEN),
-        pytest.param({"source": TellsNobody}, marks=BROKEN),
+        pytest.param({"server": TellsNobody}, marks=BROKEN),
     ],
 )
-def test_an_answer_from_before_a_disk_was_lost_is_not_counted_with_one_from_after(broken: dict) -> None:
-    town, p, q = ready(**broken)
-    p.propose(0, "k", SetOnce(b"v"), town.names, 10**9)
-    asks = words(p)
-    says(town, p, ("m0", asks["m0"]), ("m1", asks["m1"]))
-    asks = words(p)
-    says(town, p, ("m0", asks["m0"]))  # m0 accepts, says so, and loses it
-    gone_and_back(town, "m0")
-    says(town, p, ("m1", asks["m1"]))
+def test_a_reply_from_before_a_disk_loss_is_not_counted_with_one_from_after(broken: dict) -> None:
+    simulation, p, q = ready(**broken)
+    p.propose(0, "k", SetOnce(b"v"), simulation.names, 10**9)
+    requests = outgoing(p)
+    deliver(simulation, p, ("m0", requests["m0"]), ("m1", requests["m1"]))
+    requests = outgoing(p)
+    deliver(simulation, p, ("m0", requests["m0"]))  # m0 accepts, replies, and loses its disk
+    gone_and_back(simulation, "m0")
+    deliver(simulation, p, ("m1", requests["m1"]))
     q.highest = 5
-    q.propose(0, "k", SetOnce(b"w"), town.names, 10**9)
+    q.propose(0, "k", SetOnce(b"w"), simulation.names, 10**9)
     for _ in range(2):
-        asks = words(q)
-        says(town, q, ("m0", asks["m0"]), ("m2", asks["m2"]))
+        requests = outgoing(q)
+        deliver(simulation, q, ("m0", requests["m0"]), ("m2", requests["m2"]))
     assert len(agreed(p, q)) == 1
 
 
 @pytest.mark.parametrize("acceptor", [Acceptor, pytest.param(ForgetsPromises, marks=BROKEN)])
 def test_a_promise_that_was_lost_with_a_disk_is_kept_by_the_copy(acceptor: type) -> None:
-    town, p, q, mine, other = began(acceptor=acceptor)
-    gone_and_back(town, "m0")  # m2 knows of q's ballot, and says so
-    says(town, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
-    says(town, q, ("m1", other["m1"]), ("m2", other["m2"]))
+    simulation, p, q, mine, other = began(acceptor=acceptor)
+    gone_and_back(simulation, "m0")  # m2 knows q's ballot and serves it
+    deliver(simulation, p, ("m0", mine["m0"]), ("m1", mine["m1"]))
+    deliver(simulation, q, ("m1", other["m1"]), ("m2", other["m2"]))
     assert len(agreed(p, q)) == 1
 
 
 @pytest.mark.parametrize("acceptor", [Acceptor, pytest.param(CopiesVote, marks=BROKEN)])
-def test_what_was_copied_is_no_vote(acceptor: type) -> None:
-    town, p, q, mine, other = began(acceptor=acceptor)
-    town.members["m1"].acceptor.receive(mine["m1"])  # p's value at m1 alone
-    gone_and_back(town, "m0")
+def test_a_copied_value_is_not_a_vote(acceptor: type) -> None:
+    simulation, p, q, mine, other = began(acceptor=acceptor)
+    simulation.members["m1"].acceptor.receive(mine["m1"])  # p's value at m1 alone
+    gone_and_back(simulation, "m0")
     reader = Proposer("r/1", 1, 3)
-    reader.propose(0, "k", Read(), town.names, 10**9)
-    looks = words(reader)
-    says(town, reader, ("m0", looks["m0"]), ("m1", looks["m1"]))
+    reader.propose(0, "k", Read(), simulation.names, 10**9)
+    looks = outgoing(reader)
+    deliver(simulation, reader, ("m0", looks["m0"]), ("m1", looks["m1"]))
     read = agreed(reader)
-    says(town, q, ("m0", other["m0"]), ("m2", other["m2"]))
+    deliver(simulation, q, ("m0", other["m0"]), ("m2", other["m2"]))
     assert len(read | agreed(q)) == 1
 
 
 def test_many_that_start_together_all_vote_soon() -> None:
-    """Each asks those who do not vote yet once more; that must not keep it from those it has not asked at
-    all."""
+    """Each repeats its requests to members that do not vote yet; that must not keep it from members it has
+    not contacted at all."""
     names = [f"m{n}" for n in range(12)]
     sets = ReplicaSets([ReplicaCandidate(n) for n in names], 5, size=64)
     acceptors = {n: Acceptor(1, set(), name=n, sets=sets) for n in names}
@@ -382,7 +382,7 @@
     rejoin_clients = {n: RejoinClient(n, sets, a, at) for at, (n, a) in enumerate(acceptors.items())}
     for source in sources.values():
         source.can_serve = True
-    for _ in range(40):  # ticks; between two of them each planner is answered but twice
+    for _ in range(40):  # ticks; between two of them each planner gets only two rounds of replies
         for rejoin_client in rejoin_clients.values():
             rejoin_client.tick()
         for _ in range(2):
@@ -394,7 +394,7 @@
     assert all(j.is_complete() for j in rejoin_clients.values())
 
 
-# One that comes back, by hand.
+# Single steps of a rejoin.
 
 
 def pair(cells: int) -> tuple[RejoinClient, RejoinServer, Acceptor]:
@@ -411,19 +411,19 @@
 
 
 def run(rejoin_client: RejoinClient, source: RejoinServer, lose: int = 0) -> int:
-    """Carries what goes to and from b; returns how many words it took."""
+    """Delivers the messages to and from b; returns their number."""
     rejoin_client.tick()
-    words = 0
+    count = 0
     while rejoin_client.outgoing:
         out, rejoin_client.outgoing = rejoin_client.outgoing, []
         for each in out:
-            words += 1
-            if each.to == source.name and words != lose:
+            count += 1
+            if each.to == source.name and count != lose:
                 rejoin_client.receive("b", source.receive("a", each.message))
-    return words
+    return count
 
 
-def test_copies_come_in_pages_and_only_where_something_differs() -> None:
+def test_cells_are_copied_in_pages_and_only_where_slots_differ() -> None:
     rejoin_client, source, blank = pair(3 * PAGE + 5)
     run(rejoin_client, source)
     assert rejoin_client.counts["cells_copied"] == len(blank.cells) == 3 * PAGE + 5
@@ -436,23 +436,23 @@
     assert not source.lists
 
 
-def test_a_lost_page_begins_the_copying_anew_and_it_ends() -> None:
+def test_a_lost_page_restarts_the_copy_which_then_completes() -> None:
     rejoin_client, source, blank = pair(3 * PAGE)
     run(rejoin_client, source, lose=4)
     assert rejoin_client.peers["b"].state == "copy"
-    for _ in range(3):  # it waits a while for the page, then asks who is there, then enters
+    for _ in range(3):  # it waits for the page, then queries again, then enters
         run(rejoin_client, source)
     assert rejoin_client.peers["b"].state == "done" and len(blank.cells) == 3 * PAGE
 
 
-def test_one_that_lost_its_votes_gives_none_until_it_has_them_again() -> None:
+def test_a_member_that_lost_its_votes_serves_none_until_it_has_them_again() -> None:
     rejoin_client, source, _ = pair(5)
     source.can_serve = False
     run(rejoin_client, source)
     assert rejoin_client.peers["b"].state == "hail" and not rejoin_client.voted
 
 
-def test_a_later_start_known_to_anybody_is_gone_above() -> None:
+def test_a_rejoin_exceeds_any_known_later_incarnation() -> None:
     rejoin_client, source, blank = pair(5)
     source.acceptor.known["a"] = messages.Incarnation(4, 1)
     run(rejoin_client, source)
@@ -462,15 +462,15 @@
     )
 
 
-def test_one_that_has_to_rise_votes_on_nothing_until_it_has_entered_anew() -> None:
-    """Another process of its name was there: whoever knows only the lower number would count both."""
+def test_a_member_that_raises_its_incarnation_does_not_vote_until_it_has_entered_again() -> None:
+    """Another process of its name ran: a member that knows only the lower number would count both."""
     rejoin_client, source, blank = pair(5)
     run(rejoin_client, source)
     rejoin_client.peers["c"].done = True
     rejoin_client._complete()
     blank.voting = set(rejoin_client.voted)
     assert blank.voting
-    rejoin_client.voted.pop()  # it is not over yet
+    rejoin_client.voted.pop()  # not complete yet
     rejoin_client.tick()
     hail = next(each for each in rejoin_client.outgoing if each.to == "c")
     rejoin_client.receive("c", messages.RejoinReply(hail.message.no, messages.Incarnation(9, 1), True))
@@ -478,7 +478,7 @@
     assert not any(m.done for m in rejoin_client.peers.values())
 
 
-def test_a_floor_comes_with_the_copies() -> None:
+def test_the_floor_is_copied_with_the_cells() -> None:
     rejoin_client, source, blank = pair(5)
     source.acceptor.discard("k4")
     run(rejoin_client, source)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,5 +1,5 @@
-"""Agreed values: every order of messages among three acceptors and two proposers, and proof that the search
-finds faults."""
+"""Quorum registers: every order of messages among three acceptors and two proposers, and proof that the
+search finds faults."""
 
 import copy
 from collections.abc import Callable
@@ -21,22 +21,22 @@
 
 
 class Space:
-    """All states that three acceptors and two proposers reach, one after another; each message comes, comes
-    late (after any others) or never. `most` bounds each proposer's ballots; `restarts` how many acceptors
-    restart, and `disk` whether with what they kept."""
+    """The states that three acceptors and two proposers can reach. Each message arrives, arrives late (after
+    any others) or never. `max_ballots` limits each proposer's ballots, `restarts` the restarts of acceptors;
+    `disk` tells whether these keep their state."""
 
     def __init__(
         self,
         acceptor: type = Acceptor,
         proposer: type = Proposer,
-        most: tuple[int, int] = (2, 1),
+        max_ballots: tuple[int, int] = (2, 1),
         restarts: int = 0,
         disk: bool = True,
         votes_after: bool = False,
     ) -> None:
-        self.acceptor, self.most, self.restarts, self.disk, self.votes_after = (
+        self.acceptor, self.max_ballots, self.restarts, self.disk, self.votes_after = (
             acceptor,
-            most,
+            max_ballots,
             restarts,
             disk,
             votes_after,
@@ -45,7 +45,7 @@
         self.proposers = [proposer(f"p{n}/1", 1, n) for n in range(2)]
         self.flying: frozenset[tuple] = frozenset()
         self.done: tuple[tuple[int, str, bytes], ...] = ()
-        self.votes: frozenset[tuple] = frozenset()  # every accept that any acceptor ever made
+        self.votes: frozenset[tuple] = frozenset()  # every value that any acceptor ever accepted
         for number, proposer_ in enumerate(self.proposers):
             proposer_.propose(0, "k", SetOnce(b"v%d" % number), NAMES, FAR)
             self.collect(number)
@@ -60,7 +60,7 @@
         proposer.actions = []
 
     def key(self) -> tuple:
-        """The same for states that differ in the names of the acceptors alone."""
+        """A key that is equal for states that differ only in the names of the acceptors."""
         ops = [p.ops.get("k") for p in self.proposers]
         by_acceptor = sorted(
             repr(
@@ -85,31 +85,32 @@
         return tuple(by_acceptor), repr(own), self.done, self.restarts
 
     def moves(self) -> list[Callable[["Space"], None]]:
+        """All events that can happen next."""
         found: list[Callable[[Space], None]] = []
         for item in self.flying:
             found += [lambda s, item=item: s.deliver(item, True), lambda s, item=item: s.deliver(item, False)]
         for number, proposer in enumerate(self.proposers):
             op = proposer.ops.get("k")
-            if op is not None and op.tries < self.most[number] and (op.phase == "wait" or op.tries):
+            if op is not None and op.tries < self.max_ballots[number] and (op.phase == "wait" or op.tries):
                 found.append(lambda s, number=number: s.again(number))
         if self.restarts:
             found += [lambda s, name=name: s.restart(name) for name in NAMES]
         return found
 
     def deliver(self, item: tuple, answered: bool) -> None:
-        """A request comes, and its answer at once or never. An answer that comes later changes nothing that a
-        later coming of what follows from it does not: so all orders are here."""
+        """Delivers a message, and its reply at once or never. A late reply has no other effect than a late
+        delivery of what follows from it, so all orders are covered."""
         number, name, message = item
         self.flying -= {item}
-        answer, _ = self.acceptors[name].receive(message)
-        if isinstance(answer, messages.Accepted):
+        reply, _ = self.acceptors[name].receive(message)
+        if isinstance(reply, messages.Accepted):
             self.votes |= {(name, message.ballot, message.value)}
         if answered:
-            self.proposers[number].receive(1, name, answer)
+            self.proposers[number].receive(1, name, reply)
             self.collect(number)
 
     def again(self, number: int) -> None:
-        """The round's time is over, or the pause after a refusal."""
+        """Starts the next round: the last one timed out, or the backoff after a refusal is over."""
         op = self.proposers[number].ops["k"]
         self.proposers[number]._round(1, op)
         self.collect(number)
@@ -128,15 +129,15 @@
     def check(self) -> None:
         agreed = {value for _, outcome, value in self.done if outcome == "agreed"}
         assert len(self.chosen()) <= 1, f"two values chosen: {self.chosen()}"
-        assert len(agreed) <= 1 and agreed <= self.chosen(), "told what no majority accepted"
+        assert len(agreed) <= 1 and agreed <= self.chosen(), "reported a value that no majority accepted"
 
     def clone(self) -> "Space":
-        made = copy.copy(self)
-        made.acceptors = {}
+        clone = copy.copy(self)
+        clone.acceptors = {}
         for name, acceptor in self.acceptors.items():
-            made.acceptors[name] = copy.copy(acceptor)
-            made.acceptors[name].cells = dict(acceptor.cells)
-        made.proposers = []
+            clone.acceptors[name] = copy.copy(acceptor)
+            clone.acceptors[name].cells = dict(acceptor.cells)
+        clone.proposers = []
         for proposer in self.proposers:
             new = copy.copy(proposer)
             new.ahead = dict(proposer.ahead)
@@ -146,12 +147,12 @@
                 new.ops[at] = copy.copy(op)
                 new.ops[at].promises = dict(op.promises)
                 new.ops[at].accepts, new.ops[at].refusals = dict(op.accepts), dict(op.refusals)
-            made.proposers.append(new)
-        return made
+            clone.proposers.append(new)
+        return clone
 
 
 def search(start: Space, bound: int) -> tuple[int, set[frozenset]]:
-    """Goes through all states; how many, and which sets of values were told at their ends."""
+    """Visits all states; returns their number, and the sets of values agreed in the final states."""
     seen, stack, ends = {start.key()}, [start], set()
     while stack:
         state = stack.pop()
@@ -166,12 +167,12 @@
             if key not in seen:
                 seen.add(key)
                 stack.append(after)
-                assert len(seen) <= bound, "more states than stated"
+                assert len(seen) <= bound, "more states than expected"
     return len(seen), ends
 
 
 def walk(make: Callable[[], Space], walks: int, seed: int = 1) -> None:
-    """Drawn paths through a space that is too large to go through."""
+    """Takes random paths through a space that is too large for a full search."""
     random = Random(seed)
     for _ in range(walks):
         state = make()
@@ -181,43 +182,43 @@
 
 
 def test_every_order_of_one_ballot_each_agrees_on_one_value() -> None:
-    states, ends = search(Space(most=(1, 1)), 60_000)
+    states, ends = search(Space(max_ballots=(1, 1)), 60_000)
     assert states > 1000
     assert ends >= {frozenset({b"v0"}), frozenset({b"v1"})}
 
 
 @pytest.mark.parametrize(("restarts", "disk"), [(0, True), (2, True), (1, False)])
-def test_drawn_orders_with_more_ballots_and_restarts_agree(restarts: int, disk: bool) -> None:
-    walk(lambda: Space(most=(4, 4), restarts=restarts, disk=disk), 600)
+def test_random_orders_with_more_ballots_and_restarts_agree(restarts: int, disk: bool) -> None:
+    walk(lambda: Space(max_ballots=(4, 4), restarts=restarts, disk=disk), 600)
 
 
 class Forgets(Acceptor):
-    """Does not keep what it promised."""
+    """Forgets its promises."""
 
     def receive(self, message: messages.Prepare | messages.Accept) -> tuple[messages.Message, object]:
         before = self.cells.get(message.key, Cell())
-        said = super().receive(message)
+        reply = super().receive(message)
         if isinstance(message, messages.Prepare) and message.key in self.cells:
             self.cells[message.key] = before
-        return said
+        return reply
 
 
 class TakesAny(Proposer):
-    """Proposes its own value whatever was accepted before."""
+    """Proposes its own value, whatever was accepted before."""
 
     def _accept(self, op: object, last: bytes) -> None:
         super()._accept(op, b"")
 
 
 class TakesLast(Proposer):
-    """Takes the value of whoever answered last, not of the highest ballot."""
+    """Takes the value of the last reply instead of that of the highest ballot."""
 
     def _accept(self, op: object, last: bytes) -> None:
         super()._accept(op, list(op.promises.values())[-1].value)
 
 
 class KeepsAhead(Proposer):
-    """Uses a ballot that was promised ahead a second time."""
+    """Uses a ballot that was promised in advance a second time."""
 
     def _begin(self, now: int, op: object) -> None:
         ahead = self.ahead.get(op.key)
@@ -227,7 +228,7 @@
 
 
 class LooksAlike(Proposer):
-    """Takes a late answer to an earlier look for one to this."""
+    """Takes a late reply to an earlier query for one to the current query."""
 
     def _look(self, now: int, op: object) -> None:
         self.highest -= 1
@@ -235,7 +236,7 @@
 
 
 class SeenByOne(Proposer):
-    """Reads without comparing what a majority says."""
+    """Reads from a single reply, without comparing a majority."""
 
     def receive(self, now: int, sender: str, message: messages.Message) -> None:
         op = self.ops.get(message.key)
@@ -251,6 +252,8 @@
 
 
 class HalfIsEnough(Proposer):
+    """Accepts less than a majority."""
+
     def _majority(self, op: object, found: object) -> bool:
         return 2 * len(list(found)) >= len(op.replicas) - 1
 
@@ -267,25 +270,25 @@
 )
 def test_each_safety_argument_taken_away_is_caught(how: dict) -> None:
     with pytest.raises(AssertionError, match="two values|no majority"):
-        walk(lambda: Space(most=(3, 3), **how), 5000)
+        walk(lambda: Space(max_ballots=(3, 3), **how), 5000)
 
 
-def test_an_old_epoch_and_one_without_its_disk_are_refused_by_name() -> None:
+def test_an_old_epoch_and_an_acceptor_without_its_disk_refuse_with_a_reason() -> None:
     acceptor = Acceptor(2, True)
     message = messages.Prepare("k", 1, messages.Ballot(1, "p"))
-    answer, change = acceptor.receive(message)
-    assert (answer.why, answer.now, change) == ("epoch", 2, None)
+    reply, change = acceptor.receive(message)
+    assert (reply.why, reply.now, change) == ("epoch", 2, None)
     blank = Acceptor(1, False)
     assert blank.receive(message)[0].why == "no_vote" and not blank.cells
 
 
-# One proposer's face: outcomes, waiting, giving up.
+# One proposer: outcomes, waiting, giving up.
 
 
 def table(
     proposer: Proposer, acceptors: dict[str, Acceptor], now: int = 1, deaf: tuple[str, ...] = ()
 ) -> list[Done]:
-    """Carries everything until nothing is left; what was told."""
+    """Delivers all messages until none is left; returns the outcomes."""
     found: list[Done] = []
     while proposer.actions:
         actions, proposer.actions = proposer.actions, []
@@ -293,8 +296,8 @@
             if isinstance(action, Done):
                 found.append(action)
             elif action.to not in deaf:
-                answer, _ = acceptors[action.to].receive(action.message)
-                proposer.receive(now, action.to, answer)
+                reply, _ = acceptors[action.to].receive(action.message)
+                proposer.receive(now, action.to, reply)
     return found
 
 
@@ -312,26 +315,26 @@
     assert not one.ops and not one.waiting
     two.propose(0, "k", SetOnce(b"z"), NAMES, FAR)
     table(two, acceptors)
-    two.wake(two.next_at())  # its ballot was below the last: it tries above it
+    two.wake(two.next_at())  # its ballot was too low: it retries with a higher one
     assert [d.value for d in table(two, acceptors)] == [b"y"]
 
 
 @pytest.mark.parametrize(
     "proposer", [Proposer, pytest.param(LooksAlike, marks=pytest.mark.xfail(strict=True))]
 )
-def test_a_late_answer_to_an_earlier_look_is_not_taken_for_this_ones(proposer: type) -> None:
+def test_a_late_reply_to_an_earlier_query_is_not_taken_for_the_current_one(proposer: type) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     one, two = proposer("p/1", 1, 1), Proposer("q/1", 1, 2)
     one.propose(0, "k", Read(), NAMES, 1000)
     late = [(a.to, acceptors[a.to].receive(a.message)[0]) for a in one.actions]
     one.actions = []
-    one.wake(1000)  # nothing came: it gave up
+    one.wake(1000)  # no reply: it gave up
     one.actions = []
     two.propose(1001, "k", SetOnce(b"x"), NAMES, FAR)
     assert [d.value for d in table(two, acceptors)] == [b"x"]
     one.propose(1002, "k", Read(), NAMES, FAR)
-    for name, answer in late:
-        one.receive(1003, name, answer)
+    for name, reply in late:
+        one.receive(1003, name, reply)
     assert [d.value for d in table(one, acceptors)] == [b"x"]
 
 
@@ -353,7 +356,7 @@
                 carried.setdefault(action.message.ballot, set()).add(action.message.value)
             one.receive(2, action.to, acceptors[action.to].receive(action.message)[0])
 
-    receive([a for a in one.actions if a.to == "a"])  # the others do not hear of it
+    receive([a for a in one.actions if a.to == "a"])  # the others do not receive it
     one.actions = []
     one.wake(1000)
     one.actions = []
@@ -365,9 +368,9 @@
 
 
 @pytest.mark.parametrize("hints", [False, True])
-def test_who_knows_what_its_own_acceptor_promised_sends_no_accept_that_is_lost(hints: bool) -> None:
-    """Two processes change a key in turn: without the hint each accept in advance, which carries the value,
-    is refused, since the other one's ballot is higher."""
+def test_with_the_promise_of_its_own_acceptor_a_proposer_sends_no_futile_accept(hints: bool) -> None:
+    """Two processes change a key in turn. Without the hint each accept without a prepare, which carries the
+    value, is refused, since the other process's ballot is higher."""
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     turns = [Proposer("p/1", 1, 1), Proposer("q/1", 1, 2)] * 4
     accepts, value = 0, b""
@@ -387,7 +390,7 @@
 
 
 def one_step(proposer: Proposer, acceptors: dict[str, Acceptor]) -> list[Done]:
-    """Carries what is there now, or wakes it if nothing is; what was told."""
+    """Delivers the current messages, or wakes the proposer if there are none; returns the outcomes."""
     if not proposer.actions:
         proposer.wake(proposer.next_at())
     actions, proposer.actions = proposer.actions, []
@@ -400,7 +403,7 @@
 
 
 @pytest.mark.parametrize(("deaf", "outcome"), [(("a",), "agreed"), (("a", "b"), "refused")])
-def test_without_a_majority_nothing_is_promised_and_the_asker_is_told(deaf: tuple, outcome: str) -> None:
+def test_without_a_majority_a_proposal_is_refused_with_the_reason(deaf: tuple, outcome: str) -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
     proposer.propose(0, "k", SetOnce(b"x"), NAMES, 2_000_000)
@@ -413,18 +416,18 @@
     assert not proposer.ops
 
 
-def test_an_accept_that_left_without_answers_is_open_not_refused() -> None:
+def test_an_accept_that_was_sent_without_replies_is_open_not_refused() -> None:
     acceptors = {n: Acceptor(1, True) for n in NAMES}
     proposer = Proposer("p/1", 1, 1)
     proposer.propose(0, "k", SetOnce(b"x"), NAMES, 100_000)
     for action in [a for a in proposer.actions if isinstance(a, Send)]:
         proposer.receive(1, action.to, acceptors[action.to].receive(action.message)[0])
-    proposer.actions = []  # its accepts are lost, or their answers are
+    proposer.actions = []  # its accepts are lost, or their replies
     proposer.wake(100_000)
     assert [(a.outcome, a.value) for a in proposer.actions] == [("open", b"")]
 
 
-def test_votes_of_blank_members_do_not_make_a_majority() -> None:
+def test_replicas_without_votes_do_not_make_a_majority() -> None:
     acceptors = {"a": Acceptor(1, True), "b": Acceptor(1, False), "c": Acceptor(1, False)}
     proposer = Proposer("p/1", 1, 1)
     proposer.propose(0, "k", SetOnce(b"x"), NAMES, 1_000_000)
@@ -436,10 +439,10 @@
     assert (found[0].outcome, found[0].reason) == ("refused", "no_votes")
 
 
-# Sets.
+# Replica sets.
 
 
-def test_a_key_keeps_its_planners_when_others_come_and_go_and_spreads_over_zones() -> None:
+def test_a_key_keeps_its_replicas_when_other_planners_change_and_spreads_over_zones() -> None:
     fleet = [ReplicaCandidate(f"p{n}", f"z{n % 3}") for n in range(16)]
     before = {f"k{n}": replicas(f"k{n}", fleet, 3) for n in range(2000)}
     assert all(
@@ -455,7 +458,7 @@
 
 
 def plain(key: str, planners: list[ReplicaCandidate], count: int) -> tuple[str, ...]:
-    """The sets as they are told of: all drawn in order, each time the best of the zones used least."""
+    """The sets by their definition: planners by score, each time the best of the zones used least."""
     draws = {p: xxhash.xxh3_64_intdigest(f"{len(key)}/{key}/{p.name}".encode()) for p in planners}
     order = sorted(planners, key=lambda p: -draws[p])
     found: list[ReplicaCandidate] = []
@@ -470,16 +473,16 @@
 @given(
     st.integers(0, 10**6), st.lists(st.integers(0, 4), min_size=1, max_size=30), st.sampled_from([1, 3, 5, 7])
 )
-def test_sets_are_those_of_the_plain_form(key: int, zones: list[int], count: int) -> None:
+def test_sets_match_the_plain_implementation(key: int, zones: list[int], count: int) -> None:
     planners = [ReplicaCandidate(f"p{n}", f"z{zone}") for n, zone in enumerate(zones)]
     assert replicas(f"k{key}", planners, count) == plain(f"k{key}", planners, count)
 
 
-# The checker of histories, itself checked.
+# The checker of histories is checked itself.
 
 
-def call(kind: str, *given_: object, gives: object = None, at: tuple[int, int] = (0, NEVER)) -> Call:
-    return Call(kind, given_, gives, *at)
+def call(kind: str, *arguments: object, gives: object = None, at: tuple[int, int] = (0, NEVER)) -> Call:
+    return Call(kind, arguments, gives, *at)
 
 
 GOOD = [
@@ -503,75 +506,75 @@
 
 
 @pytest.mark.parametrize("calls", GOOD)
-def test_a_history_that_has_an_order_is_found_to_have_one(calls: list[Call]) -> None:
+def test_a_linearizable_history_is_accepted(calls: list[Call]) -> None:
     assert linearizable(calls)
 
 
 @pytest.mark.parametrize("calls", BAD)
-def test_a_history_without_an_order_is_found_out(calls: list[Call]) -> None:
+def test_a_history_that_is_not_linearizable_is_rejected(calls: list[Call]) -> None:
     assert not linearizable(calls)
 
 
 def played(
     seed: int, proposer: type = Proposer, acceptor: type = Acceptor, hints: bool = False
 ) -> list[Call]:
-    """What clients of three proposers saw, with messages lost and late and acceptors that restart. `hints`:
-    each proposer is told before its askings what some acceptor has promised."""
+    """The calls of the clients of three proposers, with lost, late and duplicated messages. `hints`: before
+    its proposals each proposer learns what some acceptor has promised."""
     random = Random(seed)
     acceptors = {n: acceptor(1, True) for n in NAMES}
     proposers = [proposer(f"p{n}/1", 1, seed * 10 + n) for n in range(3)]
     calls: list[Call] = []
-    asked: dict[tuple[int, int], tuple[str, tuple, int]] = {}
+    pending: dict[tuple[int, int], tuple[str, tuple, int]] = {}
     events: list[tuple[int, int, Callable[..., None], tuple]] = []
     now, number = 0, 0
 
-    def later(after: int, do: Callable[..., None], *given_: object) -> None:
+    def later(after: int, do: Callable[..., None], *arguments: object) -> None:
         nonlocal number
         number += 1
-        events.append((now + after, number, do, given_))
+        events.append((now + after, number, do, arguments))
 
     def ask(at: int) -> None:
         kind = random.choice(["once", "swap", "read"])
-        given_ = {
+        arguments = {
             "once": (random.choice([b"x", b"y"]),),
             "read": (),
             "swap": (random.choice([b"x", b"y", b"z"]), random.choice([b"x", b"y", b"z"])),
         }[kind]
-        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*given_)
+        change = {"once": SetOnce, "swap": CompareAndSwap, "read": Read}[kind](*arguments)
         if hints:
             cells = acceptors[random.choice(NAMES)].cells
             proposers[at].promised("k", cells["k"].promised if "k" in cells else messages.NO_BALLOT)
         no = proposers[at].propose(now, "k", change, NAMES, now + 400_000)
-        asked[at, no] = kind, given_, now
-        carry(at)
+        pending[at, no] = kind, arguments, now
+        act(at)
 
-    def carry(at: int) -> None:
+    def act(at: int) -> None:
         actions, proposers[at].actions = proposers[at].actions, []
         for action in actions:
             if isinstance(action, Done):
-                kind, given_, begin = asked.pop((at, action.number))
+                kind, arguments, begin = pending.pop((at, action.number))
                 agreed = action.outcome == "agreed"
-                # a round that was not heard of may have been made at any time, or never
-                calls.extend(Call(kind, given_, None, begin) for _ in range(action.rounds - agreed))
+                # a round without replies may take effect at any time, or never
+                calls.extend(Call(kind, arguments, None, begin) for _ in range(action.rounds - agreed))
                 if agreed:
-                    calls.append(Call(kind, given_, action.value, begin, now))
+                    calls.append(Call(kind, arguments, action.value, begin, now))
             else:
                 for _ in range(random.choice([0, 1, 1, 1, 1, 2])):
                     later(random.randint(100, 60_000), arrive, at, action)
 
     def arrive(at: int, action: Send) -> None:
-        answer, _ = acceptors[action.to].receive(action.message)
+        reply, _ = acceptors[action.to].receive(action.message)
         for _ in range(random.choice([0, 1, 1, 1, 1, 2])):
-            later(random.randint(100, 60_000), answered, at, action.to, answer)
+            later(random.randint(100, 60_000), answered, at, action.to, reply)
 
-    def answered(at: int, name: str, answer: messages.Message) -> None:
-        proposers[at].receive(now, name, answer)
-        carry(at)
+    def answered(at: int, name: str, reply: messages.Message) -> None:
+        proposers[at].receive(now, name, reply)
+        act(at)
 
     def tick() -> None:
         for at, each in enumerate(proposers):
             each.wake(now)
-            carry(at)
+            act(at)
 
     for n in range(12):
         later(random.randint(0, 800_000), ask, n % 3)
@@ -579,15 +582,15 @@
         later(n * 5000, tick)
     while events:
         events.sort(key=lambda e: e[:2])
-        now, _, do, given_ = events.pop(0)
-        do(*given_)
-    assert not asked, "an asking was never answered"
+        now, _, do, arguments = events.pop(0)
+        do(*arguments)
+    assert not pending, "a proposal has no outcome"
     return calls
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**6), st.booleans())
-def test_what_clients_see_amid_losses_doubles_and_delays_is_linearizable(seed: int, hints: bool) -> None:
+def test_histories_with_lost_duplicated_and_late_messages_are_linearizable(seed: int, hints: bool) -> None:
     calls = played(seed, hints=hints)
     assert linearizable(calls)
 
