--- a/hazelhold/client/client.py
+++ b/hazelhold/client/client.py
@@ -114,7 +114,11 @@
         guest."""
         entry = self.core.pending[guest]
         known = Standing(
-            guest, "idle" if entry.state == "idle" else "silent", "", entry.planner, entry.ask + 1
+            guest,
+            "idle" if entry.state == "idle" else "silent",
+            "",
+            entry.planner,
+            entry.submission_number + 1,
         )
         waiter: tuple[trio.Event, list] = trio.Event(), []
         if not self.core.query(self.net.now(), guest):
--- a/hazelhold/client/core.py
+++ b/hazelhold/client/core.py
@@ -42,7 +42,7 @@
     request: TaskRequest
     deadline: int
     life_ends: int
-    ask: int = -1
+    submission_number: int = -1
     planner: str = ""
     state: str = "idle"  # idle, submitted, uncertain, placed
     until: int = 0  # when the planner's time limit for this submission ends
@@ -143,7 +143,7 @@
         if entry.state == "idle":
             self._finish(entry, "cancelled")
         elif self.up.get(entry.planner):
-            self._send(now, entry.planner, m.Cancel(guest=guest, ask=entry.ask))
+            self._send(now, entry.planner, m.Cancel(guest=guest, ask=entry.submission_number))
 
     def query(self, now: int, guest: str) -> bool:
         """Queries a guest's state at its planner; False if none has it or that one is not connected."""
@@ -169,7 +169,7 @@
                 self._submit_to_planner(now, entry)
 
     def refused(self, now: int, planner: str, after: int = 0) -> None:
-        """A dial was refused, or the planner asked to return `after` so many microseconds."""
+        """A dial was refused, or the planner requested a return `after` so many microseconds."""
         if planner not in self.up:
             return
         was_dead, self.dead[planner] = self.dead[planner], not after
@@ -223,7 +223,7 @@
             self._state(now, entry, message)
         elif isinstance(message, m.GuestEnded):
             self._finish(entry, message.how, message.machine)
-        elif message.ask != entry.ask:
+        elif message.ask != entry.submission_number:
             self.counts["late_answers"] += 1
         elif isinstance(message, m.Held):
             self.throttles[planner].record(now, True)
@@ -312,19 +312,24 @@
                 entry, now + int(self.random.uniform(0.5, 1.5) * self.policy.again_least * 2), "submit"
             )
             return
-        entry.ask, entry.planner, entry.state, entry.sent_at = entry.ask + 1, planner, "submitted", now
+        entry.submission_number, entry.planner, entry.state, entry.sent_at = (
+            entry.submission_number + 1,
+            planner,
+            "submitted",
+            now,
+        )
         fraction = 1.0 if entry.request.effect == "exclusive" else self.policy.try_share
         time_limit = max(min(time_left, self.policy.least), int(time_left * fraction))
         entry.until = now + time_limit
         request = entry.request
         self.counts["sent"] += 1
-        self.counts["retries"] += entry.ask > 0
+        self.counts["retries"] += entry.submission_number > 0
         self._send(
             now,
             planner,
             m.Submit(
                 guest=request.guest,
-                ask=entry.ask,
+                ask=entry.submission_number,
                 product=request.product,
                 service=request.service,
                 cores=request.cores,
@@ -344,7 +349,7 @@
             self._finish(entry, "cancelled", reason=reason)
             return
         policy = self.policy
-        backoff = min(policy.again_most, policy.again_least << min(entry.ask, 10))
+        backoff = min(policy.again_most, policy.again_least << min(entry.submission_number, 10))
         latest = entry.deadline - policy.least - now
         wait = max(advised_wait, min(latest, int(backoff * self.random.uniform(0.5, 1.0))))
         if latest < 0 or wait > latest:
@@ -361,7 +366,7 @@
         return "broken_off" if entry.first_unsure and entry.request.effect != "rerunnable" else "turned_back"
 
     def _query(self, now: int, entry: PendingGuest) -> None:
-        self._send(now, entry.planner, m.Query(guest=entry.request.guest, ask=entry.ask))
+        self._send(now, entry.planner, m.Query(guest=entry.request.guest, ask=entry.submission_number))
 
     def _send(self, now: int, planner: str, message: m.Message) -> None:
         """Sends a message. A planner that receives it answers at once, so a missing answer means that the
@@ -380,7 +385,7 @@
     ) -> None:
         self.counts[state] += 1
         self.actions.append(
-            Notify(Outcome(entry.request.guest, state, machine, reason, entry.ask + 1), final)
+            Notify(Outcome(entry.request.guest, state, machine, reason, entry.submission_number + 1), final)
         )
 
     # Timers.
--- a/hazelhold/membership/base.py
+++ b/hazelhold/membership/base.py
@@ -87,12 +87,12 @@
         """Sends one datagram: the rows `first`, then as many queued gossip rows as fit."""
         rows = first
         if fill:
-            room = (
+            space = (
                 messages.MAX_BYTES
                 - 8
                 - len(messages.encode(self.settings.deployment, self.me, payload, first))
             )
-            gossip, _ = self.table.gossip.take(self.table, room, self.retransmit_limit())
+            gossip, _ = self.table.gossip.take(self.table, space, self.retransmit_limit())
             rows = [*first, *gossip]
         self.actions.append(
             SendDatagram(address, name, messages.encode(self.settings.deployment, self.me, payload, rows))
--- a/hazelhold/membership/exchange.py
+++ b/hazelhold/membership/exchange.py
@@ -91,13 +91,13 @@
         queue = deque([mine, *first, *rows])
         for number in range(8):
             payload = messages.Rows(to, want if not number else [])
-            room = (
+            space = (
                 messages.MAX_BYTES - 8 - len(messages.encode(self.settings.deployment, self.me, payload, []))
             )
             taken: list[msgspec.Raw] = []
-            while queue and len(queue[0]) <= room:
+            while queue and len(queue[0]) <= space:
                 taken.append(queue.popleft())
-                room -= len(taken[-1])
+                space -= len(taken[-1])
             self._send(at, name, payload, taken, fill=False)
             if not queue:
                 return
--- a/hazelhold/membership/probing.py
+++ b/hazelhold/membership/probing.py
@@ -188,7 +188,7 @@
         member = self.table.members.get(probe.name)
         if member is None or (member.row.life, member.row.nonce) != probe.life:
             return
-        member.unanswered, member.heard = 0, self.now
+        member.unanswered, member.last_ack_at = 0, self.now
         member.via = "" if datagram.sender == probe.name else datagram.sender
         if not member.via and not probe.step:  # only if one ping was sent: later acks are ambiguous
             rtt = self.now - probe.started_at
--- a/hazelhold/membership/table.py
+++ b/hazelhold/membership/table.py
@@ -22,7 +22,7 @@
         "digest",
         "bucket",
         "since",
-        "heard",
+        "last_ack_at",
         "rtt",
         "unanswered",
         "via",
@@ -32,7 +32,7 @@
 
     def __init__(self, row: Row, now: int) -> None:
         self.bucket = bucket(row.name, BUCKETS)
-        self.heard = self.rtt = -1
+        self.last_ack_at = self.rtt = -1
         self.unanswered = 0  # consecutive own probes without an ack or a witness
         self.via = ""
         self.accusers: list[str] = []  # at most as many as the confirmations that count
@@ -105,28 +105,28 @@
             if not self.rounds[times]:
                 self.rounds[times] = {}  # a dict that was large remains slow to iterate
 
-    def take(self, table: "Table", room: int, max_times: int) -> tuple[list[msgspec.Raw], int]:
-        """Returns rows that fit in `room` bytes, and the bytes left. Each name is returned `max_times` times
+    def take(self, table: "Table", space: int, max_times: int) -> tuple[list[msgspec.Raw], int]:
+        """Returns rows that fit in `space` bytes, and the bytes left. Each name is returned `max_times` times
         at most."""
         rows: list[msgspec.Raw] = []
         taken: list[tuple[str, int]] = []
         if not self.times_sent:
-            return rows, room
+            return rows, space
         for times, names in enumerate(self.rounds):
             for name in names:
                 raw = table.members[name].raw
-                if len(raw) > room:
+                if len(raw) > space:
                     break
-                room -= len(raw)
+                space -= len(raw)
                 rows.append(raw)
                 taken.append((name, times))
-            if room < 60:  # the length of the shortest row
+            if space < 60:  # the length of the shortest row
                 break
         for name, times in taken:
             self.drop(name)
             if times + 1 < max_times:
                 self._put(name, times + 1)
-        return rows, room
+        return rows, space
 
 
 class Table:
@@ -167,7 +167,7 @@
             self.digests[member.bucket] ^= member.digest
             member.set(row, now)
             if not same_life(before, row):
-                member.heard = member.rtt = -1
+                member.last_ack_at = member.rtt = -1
                 member.unanswered, member.via = 0, ""
         self.digests[member.bucket] ^= member.digest
         member.accusers = []
--- a/hazelhold/membership/views.py
+++ b/hazelhold/membership/views.py
@@ -51,7 +51,7 @@
         return messages.MemberView(
             row,
             self.now - member.since,
-            self.now - member.heard if member.heard >= 0 else -1,
+            self.now - member.last_ack_at if member.last_ack_at >= 0 else -1,
             member.rtt,
             member.unanswered,
             member.via,
@@ -65,7 +65,7 @@
         names = sorted(n for n in self.table.members if n > query.after)
         mine = self.status()
         views: list[messages.MemberView] = []
-        room = (
+        space = (
             messages.MAX_BYTES
             - 60
             - len(
@@ -76,8 +76,8 @@
         )
         for name in names:
             view = self.member_view(name)
-            room -= len(messages.ENCODER.encode(view))
-            if room < 0:
+            space -= len(messages.ENCODER.encode(view))
+            if space < 0:
                 break
             views.append(view)
         payload = messages.ViewPage(query.no, views, len(views) < len(names), mine)
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -1,8 +1,8 @@
 """The claims of a planner: which offers may be sent, what has to be agreed first, and what outcomes mean.
 
-No I/O. The engine calls `clear` before it sends an offer and passes the outcome of each proposal to `told`;
-proposals come out of `wanted`. Each proposal ends with exactly one `told` within `span`, whichever planners
-are partitioned or dead: the host guarantees that (`proposer.Proposer` does).
+No I/O. The engine calls `may_dispatch` before it sends an offer and passes the outcome of each proposal to
+`proposal_ended`; proposals come out of `wanted`. Each proposal ends with exactly one `proposal_ended` within
+`timeout`, whichever planners are partitioned or dead: the host guarantees that (`proposer.Proposer` does).
 """
 
 from collections import Counter
@@ -12,14 +12,14 @@
 from hazelhold.replica.proposer import Change, Read
 
 # Facts in progress. More are dropped: other planners then know less, but nothing wrong.
-FACTS_MOST = 10_000
-FACT_SPAN = 20_000_000  # microseconds after which a fact is given up
+MAX_FACTS = 10_000
+FACT_TIMEOUT = 20_000_000  # microseconds after which a fact is given up
 LIFE = "life/"  # prefix of the keys of run numbers; those of guests start with `claim/`
 CLAIM = "claim/"
 
 
 class ProposalRequest(NamedTuple):
-    """A change to agree on by `deadline` (microseconds). The outcome goes to `told` with the number."""
+    """A change to agree on by `deadline` (microseconds). `proposal_ended` gets its outcome and number."""
 
     no: int
     key: str
@@ -32,7 +32,7 @@
 
     `mine`: the offer may be sent, `value` is its claim. `theirs`: `claim` is in force, and this planner must
     not send. `not_agreed`: with the reason, and with `value` if the claim may still be agreed. `again`: call
-    `clear` once more. `looked`: the reply to `look`, with the claim in force (None: there is none) or the
+    `may_dispatch` again. `looked`: the reply to `query`, with the claim in force (None: there is none) or the
     reason why it is not known.
     """
 
@@ -52,13 +52,16 @@
 
 
 class ClaimGate:
-    """`planner` is a name in the agreed set; `span` is the timeout of a claim in microseconds."""
+    """Decides which dispatches of a planner may be sent.
 
-    def __init__(self, planner: str, span: int) -> None:
-        self.planner, self.span = planner, span
+    `planner` is a name in the agreed set; `timeout` is how long a claim may take, in microseconds.
+    """
+
+    def __init__(self, planner: str, timeout: int) -> None:
+        self.planner, self.timeout = planner, timeout
         self.life = 0  # the number of this run, once agreed
         self.wanted: list[ProposalRequest] = []  # emptied by the engine
-        self.under_way: dict[int, PendingProposal] = {}  # emptied by `told`
+        self.in_progress: dict[int, PendingProposal] = {}  # emptied by `proposal_ended`
         self.taking: dict[str, int] = {}  # record name to its proposal; emptied by the outcome
         # records that wait for the number of this run; emptied by its outcome
         self.awaiting_run_number: dict[str, None] = {}
@@ -70,13 +73,13 @@
         """Proposes a number for this run, unless there is one or a proposal is in progress."""
         if not self.life and not self.run_number_proposed:
             self.run_number_proposed = True
-            self._propose(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.span)
+            self._propose(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.timeout)
 
     def clear(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool:
-        """Whether this dispatch may be sent now. If not, its claim has been proposed, and `told` returns the
-        outcome. `known` is the claim that the record has, or had in the previous run."""
+        """Whether this dispatch may be sent now. If not, its claim has been proposed, and `proposal_ended`
+        returns the outcome. `known` is the claim that the record has, or had in the previous run."""
         if self.mine(known):
             previous = c.decode(known)
             if (previous.ask, previous.attempt, previous.machine) == (ask, attempt, machine):
@@ -88,7 +91,9 @@
             self.begin(now)
             return False
         take = c.Take(self.planner, self.life, ask, attempt, machine, self.number + 1, known)
-        self.taking[name] = self._propose(now, PendingProposal("take", name, take), CLAIM + guest, self.span)
+        self.taking[name] = self._propose(
+            now, PendingProposal("take", name, take), CLAIM + guest, self.timeout
+        )
         return False
 
     def mine(self, value: bytes) -> bool:
@@ -106,12 +111,12 @@
             self._propose_fact(now, guest, c.Release(known))
 
     def look(self, now: int, guest: str, name: str) -> None:
-        """Queries the claim in force; `told` returns it under this name."""
-        self._propose(now, PendingProposal("look", name, Read()), CLAIM + guest, self.span)
+        """Queries the claim in force; `proposal_ended` returns it under this name."""
+        self._propose(now, PendingProposal("look", name, Read()), CLAIM + guest, self.timeout)
 
     def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
         """Handles the outcome of proposal `no`."""
-        proposal = self.under_way.pop(no, None)
+        proposal = self.in_progress.pop(no, None)
         if proposal is None:
             return []
         self.counts[f"{proposal.what}_{outcome}"] += 1
@@ -142,14 +147,14 @@
         return [Verdict("again" if agreed else "not_agreed", name, reason=reason) for name in names]
 
     def _propose_fact(self, now: int, guest: str, change: Change) -> None:
-        if self.facts >= FACTS_MOST:
+        if self.facts >= MAX_FACTS:
             self.counts["facts_dropped"] += 1
             return
         self.facts += 1
-        self._propose(now, PendingProposal("fact", guest, change), CLAIM + guest, FACT_SPAN)
+        self._propose(now, PendingProposal("fact", guest, change), CLAIM + guest, FACT_TIMEOUT)
 
-    def _propose(self, now: int, proposal: PendingProposal, key: str, span: int) -> int:
+    def _propose(self, now: int, proposal: PendingProposal, key: str, timeout: int) -> int:
         self.number += 1
-        self.under_way[self.number] = proposal
-        self.wanted.append(ProposalRequest(self.number, key, proposal.change, now + span))
+        self.in_progress[self.number] = proposal
+        self.wanted.append(ProposalRequest(self.number, key, proposal.change, now + timeout))
         return self.number
--- a/hazelhold/replica/host.py
+++ b/hazelhold/replica/host.py
@@ -88,8 +88,8 @@
         self.connection: Wire | None = None
         self.waiting: deque[messages.Message] = deque(maxlen=MAX_QUEUED)
         self.opening = False
-        self.used = 0.0
-        self.heard = -1  # time of its last reply, on this planner's clock
+        self.used_at = 0.0
+        self.last_reply_at = -1  # time of its last reply, on this planner's clock
 
 
 class ReplicaHost:
@@ -215,7 +215,7 @@
             self.log.warning("agrees_again")
         elif done.outcome != "agreed" and done.reason not in (self.unavailable_reason, "contended", "busy"):
             self.unavailable_reason = done.reason
-            heard = sorted(f.name for f in self.remotes.values() if f.heard >= began)
+            heard = sorted(f.name for f in self.remotes.values() if f.last_reply_at >= began)
             self.log.warning(
                 "cannot_agree",
                 reason=done.reason,
@@ -230,7 +230,9 @@
         """For operators: whether proposals of this planner are agreed, why not, and which planners are
         silent."""
         silent = sorted(
-            f.name for f in self.remotes.values() if f.used and self.net.now() - f.heard > SILENT_AFTER
+            f.name
+            for f in self.remotes.values()
+            if f.used_at and self.net.now() - f.last_reply_at > SILENT_AFTER
         )
         named = ", ".join(silent[:8]) + (f" and {len(silent) - 8} more" if silent[8:] else "")
         return {"agrees": self.unavailable_reason or "yes", "votes": self._voting_status(), "silent": named}
@@ -254,7 +256,7 @@
 
     def _send_to_planner(self, to: str, message: Struct) -> None:
         remote = self.remotes[to]
-        remote.used = trio.current_time()
+        remote.used_at = trio.current_time()
         if remote.connection is not None:
             if message is not self.packed[0]:  # the same message goes to a whole set
                 self.packed = message, encode(message)
@@ -269,7 +271,7 @@
         self, sender: str, reply: messages.Message | messages.RejoinReply | messages.CellPage
     ) -> None:
         if remote := self.remotes.get(sender):
-            remote.heard = self.net.now()
+            remote.last_reply_at = self.net.now()
         if isinstance(reply, messages.RejoinReply | messages.CellPage):
             self._handle_rejoin_reply(sender, reply)
             return
@@ -330,7 +332,7 @@
                 )
             remote.connection = None
             remote.waiting.clear()  # too late by now: the proposer retries if it still waits
-            if trio.current_time() - remote.used > IDLE_TIMEOUT:
+            if trio.current_time() - remote.used_at > IDLE_TIMEOUT:
                 remote.opening = False
                 return
             await trio.sleep(pause)
@@ -368,7 +370,7 @@
         while True:
             await trio.sleep(IDLE_TIMEOUT / 4)
             for remote in self.remotes.values():
-                if remote.connection is not None and trio.current_time() - remote.used > IDLE_TIMEOUT:
+                if remote.connection is not None and trio.current_time() - remote.used_at > IDLE_TIMEOUT:
                     remote.connection.finish()
 
     # From other planners.
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from hazelhold.audit.history import Call
 from hazelhold.protocol import messages as m
 from hazelhold.replica import claims as c
-from hazelhold.replica.gate import FACTS_MOST, ClaimGate
+from hazelhold.replica.gate import MAX_FACTS, ClaimGate
 from tests.helpers import MS, EngineHarness, of, stand
 
 PLANNERS = st.sampled_from(["p0", "p1"])
@@ -367,9 +367,9 @@
 
 def test_facts_in_progress_are_bounded() -> None:
     gate = ClaimGate("p0", 500)
-    for number in range(FACTS_MOST + 5):
+    for number in range(MAX_FACTS + 5):
         gate.fact(0, f"g{number}", 0, "placed", "a")
-    assert len(gate.wanted) == FACTS_MOST and gate.counts["facts_dropped"] == 5
+    assert len(gate.wanted) == MAX_FACTS and gate.counts["facts_dropped"] == 5
 
 
 # Proof of the tests: a variant without any one part is detected.
