--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -1,5 +1,5 @@
-"""Whole planners with membership on, in memory and virtual time; the port on real sockets; the
-configuration."""
+"""Planners with membership in memory and virtual time; the datagram port on real sockets; the
+configuration and the command."""
 
 import json
 import subprocess
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Planners p0, p1, ... in this process, each in a scope of its own."""
+    """Planners p0, p1, ... in this process, each in its own cancel scope."""
 
     def __init__(self, net: MemoryNet, nursery: trio.Nursery) -> None:
         self.net, self.nursery = net, nursery
@@ -54,9 +54,9 @@
     def view(self, of: str, other: str) -> int | None:
         return self.planners[of].members.core.state_of(other)
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         with trio.fail_after(120):
-            while not true():
+            while not condition():
                 await trio.sleep(0.05)
 
 
@@ -74,7 +74,7 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-def test_planners_find_each_other_notice_a_death_and_a_leave_and_take_back_who_returns() -> None:
+def test_planners_find_each_other_detect_a_crash_and_a_leave_and_accept_a_return() -> None:
     async def test(fleet: Fleet) -> None:
         fleet.scopes["p2"].cancel()
         await fleet.until(lambda: fleet.view("p0", "p2") == fleet.view("p3", "p2") == GONE)
@@ -86,8 +86,8 @@
     with_fleet(4, test)
 
 
-def test_a_planner_goes_on_placing_whatever_its_view_says() -> None:
-    """A view is a hint: one that yielded, or that is alone, still runs as a planner."""
+def test_a_planner_keeps_running_whatever_its_view_is() -> None:
+    """A view is only a hint: a planner that is alone still accepts connections."""
 
     async def test(fleet: Fleet) -> None:
         fleet.net.carry = lambda body, source, to: None
@@ -116,13 +116,13 @@
         "bad = ('hazelhold.membership', 'hazelhold.replica', 'xxhash', 'prometheus')\n"
         "print([n for n in sys.modules if n.startswith(bad)])\n"
     )
-    said = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, cwd=EXAMPLE.parent.parent, timeout=60
     )
-    assert said.stdout.splitlines()[-1:] == ["[]"], said.stderr
+    assert output.stdout.splitlines()[-1:] == ["[]"], output.stderr
 
 
-def test_a_port_takes_many_at_once_and_drops_what_cannot_be_sent() -> None:
+def test_a_port_receives_many_datagrams_at_once_and_drops_what_cannot_be_sent() -> None:
     async def run() -> None:
         net = TcpNet()
         one, other = await net.port("127.0.0.1:0"), await net.port("127.0.0.1:0")
@@ -130,11 +130,11 @@
         for number in range(20):
             assert one.send(b"%d" % number, (host, int(port)))
         with trio.fail_after(10):
-            found: list[bytes] = []
-            while len(found) < 20:
+            received: list[bytes] = []
+            while len(received) < 20:
                 await other.readable()
-                found += [body for body, _ in other.pending()]
-        assert found == [b"%d" % n for n in range(20)]
+                received += [body for body, _ in other.pending()]
+        assert received == [b"%d" % n for n in range(20)]
         assert not one.send(b"x" * 70_000, (host, int(port)))
         with pytest.raises(OSError, match=other.address):
             await net.port(other.address)
@@ -143,14 +143,14 @@
     trio.run(run)
 
 
-def test_an_address_told_that_is_no_ip_address_is_never_looked_up() -> None:
+def test_a_reported_address_that_is_no_ip_address_is_never_looked_up() -> None:
     from hazelhold.membership.host import numeric
 
     assert numeric("127.0.0.1:80") == ("127.0.0.1", 80) and numeric("[::1]:9") == ("::1", 9)
     assert [numeric(a) for a in ("example.org:80", "127.0.0.1:0", "x", "127.0.0.1", "::1:x")] == [None] * 5
 
 
-def test_what_is_wrong_with_a_configuration_is_said_place_by_place(tmp_path: Path) -> None:
+def test_the_faults_of_a_configuration_are_listed_by_setting(tmp_path: Path) -> None:
     assert check_membership(MembershipConfig()) == []
     assert check_membership(MembershipConfig(seeds=["a:1"]))[0][0] == "membership.listen"
     wrong = MembershipConfig(
@@ -175,13 +175,13 @@
         read_planner(file)
 
 
-def members(*given: str) -> subprocess.CompletedProcess:
+def members(*arguments: str) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "hazelhold", "members", *given], capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "hazelhold", "members", *arguments], capture_output=True, text=True, timeout=60
     )
 
 
-def test_the_command_reads_a_view_of_many_pages_and_says_when_nobody_answers() -> None:
+def test_the_command_reads_a_view_of_many_pages_and_reports_a_missing_answer() -> None:
     from hazelhold.membership.core import MembershipCore, MembershipSettings
 
     async def run() -> None:
@@ -198,8 +198,8 @@
             core._merge(Row(f"x{number:03d}", 1, 1, 0, SUSPECTED, "10.0.0.1:7", "p7"), "p7")
         done: list[subprocess.CompletedProcess] = []
 
-        async def ask(*given: str) -> None:
-            done.append(await trio.to_thread.run_sync(members, port.address, *given))
+        async def ask(*arguments: str) -> None:
+            done.append(await trio.to_thread.run_sync(members, port.address, *arguments))
             if len(done) == 3:
                 nursery.cancel_scope.cancel()
 
@@ -217,9 +217,9 @@
         port.close()
         refused = next(d for d in done if d.returncode == 1)
         assert "no answer" in refused.stderr
-        said = next(json.loads(d.stdout) for d in done if d.stdout.startswith("{"))
-        assert len(said["members"]) == 101 and said["planner"]["name"] == "p0"
-        assert said["members"][5]["accusers"] == ["p7"] and said["members"][5]["state"] == "suspected"
+        output = next(json.loads(d.stdout) for d in done if d.stdout.startswith("{"))
+        assert len(output["members"]) == 101 and output["planner"]["name"] == "p0"
+        assert output["members"][5]["accusers"] == ["p7"] and output["members"][5]["state"] == "suspected"
         assert any("accused by p7" in d.stdout for d in done)
 
     trio.run(run)
@@ -228,7 +228,7 @@
     assert "membership is off" in members("--config", str(EXAMPLE)).stderr
 
 
-def test_figures_are_there_if_an_address_is_given() -> None:
+def test_metrics_are_served_if_an_address_is_configured() -> None:
     from prometheus_client import generate_latest
 
     from hazelhold.membership.core import MembershipCore, MembershipSettings
