--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -15,8 +15,8 @@
 
 from hazelhold.emulate.parley import Parley
 from hazelhold.membership import messages
-from hazelhold.membership.core import Post, Terms
-from hazelhold.membership.rows import ALIVE, Row, told
+from hazelhold.membership.core import MembershipSettings, SendDatagram
+from hazelhold.membership.rows import ALIVE, Row, encode_row
 
 MOST = 64
 
@@ -60,13 +60,13 @@
         deployment,
         Row(random.choice(["ghost-1", "m9", ""]) or "x", 1, 1, 0, ALIVE, "nowhere"),
         payload,
-        [told(ghost)],
+        [encode_row(ghost)],
     )
 
 
 def fuzz(seed: int, datagrams: int) -> Counter[str]:
     random = Random(f"fuzz/{seed}")
-    made = Parley(seed, Terms("fuzz", most_members=MOST, forget=20_000_000))
+    made = Parley(seed, MembershipSettings("fuzz", most_members=MOST, forget=20_000_000))
     made.keep_news = False
     names = [f"m{n}" for n in range(5)]
     for name in names:
@@ -74,7 +74,7 @@
     kept: list[bytes] = []
     post = made._post
 
-    def listen(process: object, action: Post) -> None:
+    def listen(process: object, action: SendDatagram) -> None:
         if len(kept) < 500 or random.random() < 0.01:
             kept.append(action.body)
             del kept[:-500]
@@ -87,7 +87,7 @@
         for name in names:
             process = made.processes[name]
             for _ in range(20):
-                process.core.hear(process.clock(made.now), spoilt(random, kept, names))
+                process.core.receive(process.clock(made.now), spoilt(random, kept, names))
                 made._carry_out(process)
                 done += 1
             assert len(process.core.table.members) <= MOST
--- a/hazelhold/membership/host.py
+++ b/hazelhold/membership/host.py
@@ -1,4 +1,4 @@
-"""Runs one planner's membership on a datagram port, inside the planner's nursery."""
+"""Runs the membership of one planner on a datagram port, in the planner's nursery."""
 
 import ipaddress
 from collections.abc import Callable
@@ -12,7 +12,13 @@
 from hazelhold import __version__
 from hazelhold.config.load import split_address
 from hazelhold.config.planner import MembershipConfig, to_microseconds
-from hazelhold.membership.core import Core, News, Post, Reply, Terms
+from hazelhold.membership.core import (
+    MembershipChange,
+    MembershipCore,
+    MembershipSettings,
+    Reply,
+    SendDatagram,
+)
 from hazelhold.membership.messages import VERSION
 from hazelhold.membership.rows import ALIVE, Row
 from hazelhold.protocol.record import Recorder
@@ -22,14 +28,15 @@
 
 
 class Note(msgspec.Struct):
-    """What a planner came to believe, in its record."""
+    """A change of a planner's view, as it is written to its record."""
 
     what: str
     life: int
 
 
-def terms(config: MembershipConfig) -> Terms:
-    return Terms(
+def settings(config: MembershipConfig) -> MembershipSettings:
+    """The settings of the core, from milliseconds and seconds to microseconds."""
+    return MembershipSettings(
         deployment=config.deployment,
         probe=to_microseconds(config.probe_ms),
         answer=to_microseconds(config.answer_ms),
@@ -45,7 +52,8 @@
 
 @lru_cache(maxsize=8192)
 def numeric(address: str) -> tuple[str, int] | None:
-    """host:port with an IP address as host; None for anything else, which a datagram is never sent to."""
+    """Host and port of `host:port` with an IP address as host. None for anything else: names that other
+    members report are never looked up."""
     try:
         host, port = split_address(address)
         ipaddress.ip_address(host)
@@ -54,18 +62,19 @@
     return (host, port) if port else None
 
 
-class Members:
-    """One planner's membership: `core` holds the view. `run` ends by being cancelled, or after `leave`."""
+class MembershipHost:
+    """Hosts one planner's membership; `core` holds its view. `run` ends when it is cancelled or after
+    `leave`."""
 
     def __init__(
         self, name: str, config: MembershipConfig, net: Net, recorder: Recorder | None = None
     ) -> None:
         self.name, self.config, self.net, self.recorder = name, config, net, recorder
         self.log = structlog.get_logger().bind(planner=name)
-        self.core: Core | None = None
+        self.core: MembershipCore | None = None
         self.port: DatagramPort | None = None
         self.notified = trio.Event()
-        self.beside: Callable[[], dict[str, str]] = dict  # what else `hazelhold members` shows
+        self.extra_status: Callable[[], dict[str, str]] = dict  # more values for `hazelhold members`
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         config, draw = self.config, SystemRandom()
@@ -82,8 +91,10 @@
                 program=__version__,
                 speaks=[VERSION],
             )
-            self.core = Core(me, list(config.seeds), terms(config), draw.getrandbits(62), self.net.now())
-            self.core.beside = self.beside
+            self.core = MembershipCore(
+                me, list(config.seeds), settings(config), draw.getrandbits(62), self.net.now()
+            )
+            self.core.extra_status = self.extra_status
             self.core.start(self.net.now())
             self.log.info(
                 "membership",
@@ -97,10 +108,10 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._listen)
                 if config.metrics:
-                    from hazelhold.membership.figures import Figures
+                    from hazelhold.membership.metrics import MembershipMetrics
 
-                    nursery.start_soon(Figures(self.core, config.metrics).run)
-                await self._tend()
+                    nursery.start_soon(MembershipMetrics(self.core, config.metrics).run)
+                await self._run_timers()
                 nursery.cancel_scope.cancel()
         finally:
             self.port.close()
@@ -112,20 +123,20 @@
             self.notified.set()
 
     def _drain(self) -> None:
-        """Takes what has come, before any timer says that it has not."""
+        """Handles all datagrams that have arrived, before a timer could count them as missing."""
         for body, source in self.port.pending():
-            self.core.hear(self.net.now(), body)
+            self.core.receive(self.net.now(), body)
             self._carry_out(source)
 
-    async def _tend(self) -> None:
+    async def _run_timers(self) -> None:
         core = self.core
         while not core.left:
             self._drain()
             core.wake(self.net.now())
             self._carry_out(None)
             due = core.next_at()
-            span = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
-            with trio.move_on_after(span):
+            timeout = float("inf") if due is None else max(0.0, (due - self.net.now()) / 1e6)
+            with trio.move_on_after(timeout):
                 await self.notified.wait()
             await trio.lowlevel.checkpoint()
             self.notified = trio.Event()
@@ -133,13 +144,13 @@
     def _carry_out(self, source: object) -> None:
         actions, self.core.actions = self.core.actions, []
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 reach = self.config.reach
                 self._send(action.body, reach.get(action.name) or reach.get(action.address) or action.address)
             elif isinstance(action, Reply):
                 self.port.send(action.body, source)
             else:
-                self._say(action)
+                self._log_change(action)
 
     def _send(self, body: bytes, address: str) -> None:
         to = numeric(address) if self.port.numeric else address
@@ -152,16 +163,16 @@
         if self.recorder is not None:
             self.recorder.note(self.net.now(), name, "member", Note(what, life))
 
-    def _say(self, news: News) -> None:
-        self._note(news.name, news.what, news.cause.get("life", -1))
-        if news.what == "yielded":
-            self.log.error("member_yielded", member=news.name, **news.cause)
+    def _log_change(self, change: MembershipChange) -> None:
+        self._note(change.name, change.what, change.cause.get("life", -1))
+        if change.what == "yielded":
+            self.log.error("member_yielded", member=change.name, **change.cause)
         else:
-            say = self.log.warning if news.what in WARNINGS else self.log.info
-            say("member", state=news.what, member=news.name, **news.cause)
+            log = self.log.warning if change.what in WARNINGS else self.log.info
+            log("member", state=change.what, member=change.name, **change.cause)
 
     async def leave(self) -> None:
-        """Tells the others, for as long as that takes: under a second."""
+        """Leaves the group and waits until the others were informed, at most a second."""
         if self.core is None:
             return
         self.core.leave(self.net.now())
--- a/hazelhold/membership/figures.py
+++ b/hazelhold/membership/metrics.py
@@ -1,19 +1,19 @@
-"""Figures of a planner's membership for Prometheus, on an address of one's own; loaded only if one is
-configured."""
+"""Prometheus metrics of a planner's membership, served on an address of their own. The module is imported
+only if that address is configured."""
 
 import trio
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from hazelhold.config.load import split_address
-from hazelhold.membership.core import Core
+from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import STATES
 
 
-class Figures:
-    """Collected when asked for, from the core as it stands."""
+class MembershipMetrics:
+    """Collects the metrics from the core's current state at each scrape."""
 
-    def __init__(self, core: Core, address: str) -> None:
+    def __init__(self, core: MembershipCore, address: str) -> None:
         self.core = core
         self.host, self.port = split_address(address)
         self.registry = CollectorRegistry()
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -20,7 +20,7 @@
 from hazelhold.service.ticker import Ticker
 
 if TYPE_CHECKING:
-    from hazelhold.replica.host import Copies
+    from hazelhold.replica.host import ReplicaHost
     from hazelhold.service.state_writer import StateWriter
 
 
@@ -34,7 +34,7 @@
         self.engine, self.net, self.tap, self.perform = engine, net, tap, perform
         self.ticker = Ticker(net.now, engine.next_at, self._work, batch_s)
         self.state_writer: StateWriter | None = None
-        self.copies: Copies | None = None
+        self.replica_host: ReplicaHost | None = None
         self.handed_over = False  # another process owns the state: no input is accepted any more
 
     def _work(self, now: int) -> None:
@@ -103,9 +103,9 @@
 
     def _propose_changes(self, actions: list[Action]) -> list[Action]:
         """Starts the proposals among these actions, which need not wait for the disk; returns the others."""
-        if self.copies is None:
+        if self.replica_host is None:
             return actions
         for action in actions:
             if isinstance(action, Agree):
-                self.copies.ask(*action)
+                self.replica_host.propose(*action)
         return [a for a in actions if not isinstance(a, Agree)]
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -74,7 +74,7 @@
         self.handing_over, self.take_over = False, take_over
         self._make_connections(seed)
         self._make_members()
-        self._make_copies(votes)
+        self._make_replica_host(votes)
         self._make_follower(file, revisions)
         self._make_state_writer(disk)
 
@@ -92,18 +92,18 @@
         """Creates the membership component, if the configuration enables it."""
         self.members = None
         if self.config.membership.listen:
-            from hazelhold.membership.host import Members  # only when it is enabled
+            from hazelhold.membership.host import MembershipHost  # only when it is enabled
 
-            self.members = Members(self.config.name, self.config.membership, self.net, self.recorder)
+            self.members = MembershipHost(self.config.name, self.config.membership, self.net, self.recorder)
 
-    def _make_copies(self, votes: Disk | None) -> None:
+    def _make_replica_host(self, votes: Disk | None) -> None:
         """Creates the replication of claims, if the configuration enables it."""
-        self.copies = None
+        self.replica_host = None
         config = self.config
         if config.copies.listen:
-            from hazelhold.replica.host import Copies
+            from hazelhold.replica.host import ReplicaHost
 
-            self.copies = self.driver.copies = Copies(
+            self.replica_host = self.driver.replica_host = ReplicaHost(
                 config.name,
                 config.copies,
                 self.net,
@@ -112,7 +112,7 @@
                 self.recorder,
             )
             if self.members is not None:
-                self.members.beside = self.copies.standing
+                self.members.extra_status = self.replica_host.status
 
     def _make_follower(self, file: PlannerConfig, revisions: Disk | None) -> None:
         """Creates the follower of the fleet's configuration, if the planner's file enables it."""
@@ -157,7 +157,7 @@
                 nursery.start_soon(self.state_writer.run)
                 nursery.start_soon(self.state_writer.maintain)
                 nursery.start_soon(self.state_writer.release_held_back)
-            if self.copies is not None:
+            if self.replica_host is not None:
                 await self._claim(nursery)
             if self.follower is not None:
                 await self.follower.open(self.take_over)
@@ -185,12 +185,12 @@
 
     async def _claim(self, nursery: trio.Nursery) -> None:
         """Opens the replicated claims; from now on at-most-once guests are claimed among the planners."""
-        from hazelhold.replica.gate import Gate
+        from hazelhold.replica.gate import ClaimGate
 
-        self.copies.open()
-        await nursery.start(self.copies.run)
+        self.replica_host.open()
+        await nursery.start(self.replica_host.run)
         self.engine.claim_by(
-            self.net.now(), Gate(self.config.name, round(self.config.copies.claim_ms * 1000))
+            self.net.now(), ClaimGate(self.config.name, round(self.config.copies.claim_ms * 1000))
         )
         self.driver.carry_out()
 
