--- a/bench/capacity/outage.py
+++ b/bench/capacity/outage.py
@@ -11,9 +11,9 @@
 from bench import throughput
 from bench.capacity import workers
 from hazelhold.config.planner import LimitsConfig
-from hazelhold.engine.cases import Dial, Send
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.terms import Peers, terms_of
+from hazelhold.engine.records import Dial, Send
+from hazelhold.engine.settings import Peers, terms_of
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
--- a/bench/capacity/rows_door.py
+++ b/bench/capacity/rows_door.py
@@ -11,9 +11,9 @@
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import measurement
 from hazelhold.config.planner import LimitsConfig, micros
-from hazelhold.engine import advice
-from hazelhold.engine.cases import Send
+from hazelhold.engine import admission
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Send
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
@@ -34,7 +34,7 @@
         self.engine = Engine(throughput.planner_config(), 1, 0)
         entries = throughput.memory_machines("cordoned")
         self.engine.list_said(0, m.Listing(version=1, whole=True, entries=entries))
-        throughput.submit_held(self.engine, advice.SHORT + 1)
+        throughput.submit_held(self.engine, admission.SHORT + 1)
         self.bytes = self.refused = 0
 
     def submit(self, bodies: list[bytes]) -> None:
@@ -126,7 +126,7 @@
     how="module alone",
     sizes=REFUSED,
     small=FEW_REFUSED,
-    note=f"traced by Python's allocator; at most {advice.KNOWN:,} are remembered; requests alive with it",
+    note=f"traced by Python's allocator; at most {admission.KNOWN:,} are remembered; requests alive with it",
 )
 def refused_memory(size: int) -> Iterator[float]:
     made, bodies = Refusing(), requests(size)
@@ -147,7 +147,7 @@
 )
 def connections_time(size: int) -> Iterator[float]:
     limits = LimitsConfig()
-    door = advice.Doorman(
+    door = admission.Doorman(
         limits.handshakes_a_second,
         limits.handshake_burst,
         limits.handshakes_at_once,
--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -10,8 +10,8 @@
 from bench.capacity.target import TASKS_RUNNING
 from hazelhold.brain import Brain
 from hazelhold.config.planner import deployment
-from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Dial
 from hazelhold.interface import Ask, Mode, Step
 from hazelhold.protocol import messages as m
 
--- a/bench/client.py
+++ b/bench/client.py
@@ -89,7 +89,7 @@
     town.clock.run(4 * SECOND)
     town.want(town.clock.now + seconds * SECOND)
     town.clock.run(town.clock.now + (seconds + 2) * SECOND + patience)
-    said, counts = town.office.engine.advice.counts, town.counts
+    said, counts = town.office.engine.retry_advisor.counts, town.counts
     return {
         "times": times,
         "patience_s": patience / SECOND,
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -30,7 +30,7 @@
     ProductConfig,
     deployment,
 )
-from hazelhold.engine import advice
+from hazelhold.engine import admission
 from hazelhold.engine.engine import Engine
 from hazelhold.interface import Ask, Ending, Listed, Mode, Remark, Step
 from hazelhold.protocol import messages as m
@@ -320,9 +320,9 @@
 
     Without a pace it refuses what goes past the first few in line.
     """
-    line_seconds = PATIENCE / 1_000_000 * advice.SAFE
+    line_seconds = PATIENCE / 1_000_000 * admission.SAFE
     for number in range(ceil((count + 1) / line_seconds * PACE_SECONDS)):
-        engine.advice.placed(0, f"earlier{number}")
+        engine.retry_advisor.placed(0, f"earlier{number}")
 
 
 def tell_running(engine: Engine, count: int) -> None:
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -17,8 +17,8 @@
 from hazelhold.capture.tap import module_digest
 from hazelhold.config.load import ConfigError, build
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.cases import Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Send
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.state.images import BATCH
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -5,8 +5,8 @@
 from hazelhold.config.planner import PlannerConfig, micros
 from hazelhold.emulate.fleet_lines import Line
 from hazelhold.emulate.fleet_time import SECOND, Notes, Wake
-from hazelhold.engine.cases import AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import AskList, Dial, HangUp, Lost, Send
 from hazelhold.protocol import messages as m
 
 if TYPE_CHECKING:
--- a/hazelhold/emulate/town.py
+++ b/hazelhold/emulate/town.py
@@ -17,10 +17,10 @@
 from hazelhold.client.types import ClientPolicy, Connect, Leave, Send, TaskRequest, Tell
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.emulate.clock import Clock
-from hazelhold.engine.advice import Doorman
-from hazelhold.engine.cases import AskList, Dial
-from hazelhold.engine.cases import Send as Say
+from hazelhold.engine.admission import Doorman
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import AskList, Dial
+from hazelhold.engine.records import Send as Say
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -4,9 +4,9 @@
 the list's last confirmation may have come to that one; the list tells later.
 """
 
-from hazelhold.engine.cases import Case
-from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.machines import Fellow, Link, News
+from hazelhold.engine.records import Case
+from hazelhold.engine.verification import DoubtedTasks
 from hazelhold.interface import Mode
 
 
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -3,8 +3,8 @@
 Claims are decided in `hazelhold.replica`; nothing of that is loaded unless a host hands one in by `claim_by`.
 """
 
-from hazelhold.engine.cases import Case, Claimed, Claims, Verdict
 from hazelhold.engine.dispatches import Dispatches
+from hazelhold.engine.records import Case, Claimed, Claims, Verdict
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -2,7 +2,7 @@
 
 from hazelhold.brain import NEVER_RAN
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import Case, Loose
+from hazelhold.engine.records import Case, Loose
 from hazelhold.engine.tables import OutstandingProbe, Tables
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -13,11 +13,11 @@
 from heapq import heappop
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import AskList, HangUp
 from hazelhold.engine.claiming import Claiming
-from hazelhold.engine.keep import Keeping, recover
 from hazelhold.engine.links import Links
 from hazelhold.engine.owners import Owners
+from hazelhold.engine.persistence import Keeping, recover
+from hazelhold.engine.records import AskList, HangUp
 from hazelhold.interface import Decision, Ending, Remark, Step
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -1,9 +1,9 @@
 """What the loss of a connection to a machine, and of the machine itself, means for what is there."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import HangUp
 from hazelhold.engine.dispatches import Dispatches
 from hazelhold.engine.machines import Link
+from hazelhold.engine.records import HangUp
 from hazelhold.interface import Ending, Remark
 
 
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -1,11 +1,11 @@
 """The connections to machines, and what machines say on them."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import Case, HangUp, Loose, Lost
 from hazelhold.engine.dispatches import CROSSED
-from hazelhold.engine.list_news import ListNews
+from hazelhold.engine.list_updates import ListNews
+from hazelhold.engine.liveness import Silence
 from hazelhold.engine.machines import Link
-from hazelhold.engine.silence import Silence
+from hazelhold.engine.records import Case, HangUp, Loose, Lost
 from hazelhold.interface import Ending, Load, Remark
 from hazelhold.protocol import messages as m
 
@@ -175,7 +175,7 @@
             self._fact(now, case, "placed")
             self.brain.dispatch_taken(now, case.name, now - case.sent_at)
             if self.peers.advised:
-                self.advice.placed(now, case.guest)
+                self.retry_advisor.placed(now, case.guest)
             self._answer(
                 now,
                 case,
--- a/hazelhold/engine/list_news.py
+++ b/hazelhold/engine/list_updates.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 
 from hazelhold.engine.address_reuse import AddressReuse
-from hazelhold.engine.cases import DoubtCause, HangUp
 from hazelhold.engine.events import ListEvent
 from hazelhold.engine.list_lease import Lapse
-from hazelhold.engine.machine_lives import old_life_ended
+from hazelhold.engine.machine_incarnations import old_life_ended
 from hazelhold.engine.machines import Link, News
+from hazelhold.engine.records import DoubtCause, HangUp
 from hazelhold.interface import Ending
 from hazelhold.protocol import messages as m
 
--- a/hazelhold/engine/silence.py
+++ b/hazelhold/engine/liveness.py
@@ -1,9 +1,9 @@
 """What the silence of machines means: those that say nothing are asked, and then taken for lost."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import HangUp, Loose
-from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.machines import Link
+from hazelhold.engine.records import HangUp, Loose
+from hazelhold.engine.verification import DoubtedTasks
 from hazelhold.protocol import messages as m
 
 GONE_WITHIN = 1_000_000
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -1,11 +1,11 @@
 """What owners say: asks, cancels, queries, guests that stand already."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import Case
-from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.events import TaskEvent
 from hazelhold.engine.permission import Denial, offer_denied, start_denied
+from hazelhold.engine.records import Case
 from hazelhold.engine.tables import WaitingStand
+from hazelhold.engine.verification import DoubtedTasks
 from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
 from hazelhold.protocol import messages as m
 
@@ -49,7 +49,7 @@
             self.counts["answers_repeated"] += 1
             self._send_owner(owner, past[0])
             return
-        kept = self.peers.advised and self.advice.came(now, guest)
+        kept = self.peers.advised and self.retry_advisor.came(now, guest)
         if fault := self._fault(now, submit, kept):
             self.counts["rejected_" + fault[0]] += 1
             later = self._later(now, guest) if fault[0] in LATER else 0
@@ -96,7 +96,9 @@
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.cases) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
-        if self.peers.advised and self.advice.hopeless(now, len(self.brain.waiting), submit.patience, kept):
+        if self.peers.advised and self.retry_advisor.hopeless(
+            now, len(self.brain.waiting), submit.patience, kept
+        ):
             return "overloaded", "the line is longer than this patience"
         return None
 
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -7,8 +7,8 @@
 
 from enum import Enum
 
-from hazelhold.engine.cases import Case
 from hazelhold.engine.machines import Fellow
+from hazelhold.engine.records import Case
 from hazelhold.interface import Effect, Mode, Product
 
 
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/persistence.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import Case, Loose
+from hazelhold.engine.records import Case, Loose
 from hazelhold.engine.tables import Tables
 from hazelhold.interface import Earlier, Effect, Learned, Mode
 from hazelhold.protocol import messages as m
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -7,14 +7,14 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import PlannerConfig, micros
-from hazelhold.engine.advice import Advice
-from hazelhold.engine.cases import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
+from hazelhold.engine.admission import Advice
 from hazelhold.engine.events import Event, MachineEvent, RuleEvent, TaskEvent
 from hazelhold.engine.list_lease import ListLease
 from hazelhold.engine.machines import Fellow, Link, Roster
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import Denial
-from hazelhold.engine.terms import Terms, terms_of
+from hazelhold.engine.records import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
+from hazelhold.engine.settings import Terms, terms_of
 from hazelhold.interface import Ask, Earlier, Effect
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
@@ -104,7 +104,7 @@
         self.denials: Counter[Denial] = Counter()  # what the last check kept back, by reason
         self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that gives it room, emptied by it
         self.more = False  # the last pump ended at its limit
-        self.advice = Advice(
+        self.retry_advisor = Advice(
             micros(self.limits.again_least_ms), micros(self.limits.again_most_ms), Random(f"advice/{seed}")
         )
 
@@ -195,7 +195,7 @@
 
     def _later(self, now: int, guest: str, span: int = 0) -> int:
         """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
-        return self.advice.wait(now, guest, len(self.brain.waiting)) if self.peers.advised else span
+        return self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advised else span
 
     def _blind(self) -> bool:
         """Whether guests may run that this planner has not heard of: it has just started, and has no list
--- a/hazelhold/engine/doubts.py
+++ b/hazelhold/engine/verification.py
@@ -8,9 +8,9 @@
 """
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.cases import Case, Doubt, DoubtCause
 from hazelhold.engine.link_loss import LinkLoss
 from hazelhold.engine.machines import Link
+from hazelhold.engine.records import Case, Doubt, DoubtCause
 from hazelhold.protocol import messages as m
 
 VOUCHED_WITHIN = 2_500_000
--- a/hazelhold/fleetconfig/settings.py
+++ b/hazelhold/fleetconfig/settings.py
@@ -20,7 +20,7 @@
 
 from hazelhold.config.planner import Estate, PlannerConfig, ProductConfig, check_estate
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.terms import Terms, terms_of
+from hazelhold.engine.settings import Terms, terms_of
 from hazelhold.fleetconfig.document import Document, Fault
 from hazelhold.fleetconfig.schema import read_item
 
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -13,7 +13,7 @@
 
 from hazelhold.config.load import ConfigError, read_text, split_address
 from hazelhold.config.planner import LimitsConfig
-from hazelhold.engine.terms import Peers, Terms
+from hazelhold.engine.settings import Peers, Terms
 from hazelhold.interface import Deployment
 from hazelhold.simhost import Pairs, WireError, read_deployment, truth
 
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -11,8 +11,8 @@
 import structlog
 import trio
 
-from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Dial
 from hazelhold.platform import words
 from hazelhold.platform.codec import CodecError, Line
 from hazelhold.platform.peer import MachinePeer
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -13,8 +13,8 @@
 import trio
 
 from hazelhold.config.load import ConfigError
-from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.interface import Mode
 from hazelhold.platform import words
 from hazelhold.platform.beliefs import machine_beliefs
--- a/hazelhold/rehearse/crashes.py
+++ b/hazelhold/rehearse/crashes.py
@@ -12,7 +12,7 @@
 
 from hazelhold.config.day import Day
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.cases import Action, Send
+from hazelhold.engine.records import Action, Send
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.runners import InProcessRunner, captured
 from hazelhold.service.net import Net
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from hazelhold.capture.tap import Tap
-from hazelhold.engine.cases import Action, Agree
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, Agree
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import frame
 from hazelhold.service.net import Net
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -16,8 +16,8 @@
 import trio
 
 from hazelhold.config.planner import StateConfig, micros
-from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, Send
 from hazelhold.protocol import messages as m
 from hazelhold.service.slowly import slowly
 from hazelhold.state import frames
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -5,7 +5,7 @@
 import structlog
 import trio
 
-from hazelhold.engine.cases import Dial
+from hazelhold.engine.records import Dial
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.service.driver import EngineDriver
--- a/hazelhold/service/owner_door.py
+++ b/hazelhold/service/owner_door.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.advice import Doorman
+from hazelhold.engine.admission import Doorman
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
 from hazelhold.service.driver import EngineDriver
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -17,8 +17,8 @@
 
 from hazelhold.capture.tap import Tap
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.driver import EngineDriver
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,8 +10,8 @@
     PlannerConfig,
     ProductConfig,
 )
-from hazelhold.engine.cases import Agree, Dial, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Agree, Dial, Send
 from hazelhold.interface import Ask, Decision, Deployment, Effect, Kind, Listed, Mode, Place, Product, Step
 from hazelhold.protocol import messages as m
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -14,7 +14,7 @@
 from hazelhold.client.backoff import ReconnectBackoff, RetryBudget
 from hazelhold.client.core import ClientCore
 from hazelhold.client.types import Connect, Send, Tell
-from hazelhold.engine.advice import Advice, Doorman
+from hazelhold.engine.admission import Advice, Doorman
 from hazelhold.protocol import messages as m
 from tests.helpers import MS, planner_config
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hazelhold.engine.cases import HangUp
+from hazelhold.engine.records import HangUp
 from hazelhold.protocol import messages as m
 from tests.helpers import MS, EngineHarness, of, stand
 
--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -13,10 +13,10 @@
 import pytest
 import trio
 
-from hazelhold.engine import list_news
-from hazelhold.engine.doubts import DoubtedTasks
-from hazelhold.engine.machine_lives import OldLife, old_life_ended
+from hazelhold.engine import list_updates
+from hazelhold.engine.machine_incarnations import OldLife, old_life_ended
 from hazelhold.engine.machines import Link, PastConnection
+from hazelhold.engine.verification import DoubtedTasks
 from tests.faults.discovery import Fault
 from tests.faults.judge import RELEASE_AT_LATEST
 from tests.faults.servers import Draining, Server
@@ -469,7 +469,7 @@
         told.append((owner.of(1)[1:], owner.of(2)[1:]))
 
     play_in_memory(test, machines="a")
-    monkeypatch.setattr(list_news, "old_life_ended", lambda now, link, started: OldLife(started, 0))
+    monkeypatch.setattr(list_updates, "old_life_ended", lambda now, link, started: OldLife(started, 0))
     play_in_memory(test, machines="a")
     lost = [(end(1).type, 41)]
     assert told == [(lost, []), (lost, lost)]
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -18,7 +18,7 @@
 import pytest
 import trio
 
-from hazelhold.engine.silence import Silence
+from hazelhold.engine.liveness import Silence
 from hazelhold.platform.codec import encode_binary
 from hazelhold.platform.owner_door import FIRST_MESSAGE
 from hazelhold.platform.peer import OwnerPeer
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -2,7 +2,6 @@
 
 import pytest
 
-from hazelhold.engine.cases import Case
 from hazelhold.engine.machines import Fellow
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import (
@@ -11,6 +10,7 @@
     offer_denied,
     start_denied,
 )
+from hazelhold.engine.records import Case
 from hazelhold.interface import Effect, Mode, Place, Product
 from hazelhold.protocol import messages as m
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from hazelhold.engine.cases import Dial
+from hazelhold.engine.records import Dial
 from hazelhold.platform.codec import DESCRIPTION, END, TEST, TESTED, BinaryMessage
 from tests.platform_rig import PLACED, Machine, Owner, Rig, end, event, host, play, set_up
 
--- a/tests/test_throughput_bench.py
+++ b/tests/test_throughput_bench.py
@@ -3,9 +3,9 @@
 import trio
 
 from bench.throughput import memory, sockets
-from hazelhold.engine import advice
+from hazelhold.engine import admission
 
-PAST_THE_LINE = 2 * advice.SHORT + 1  # more than admission control takes without a pace
+PAST_THE_LINE = 2 * admission.SHORT + 1  # more than admission control takes without a pace
 WINDOW = 32
 SECONDS = 60
 
