--- a/bench/capacity/outage.py
+++ b/bench/capacity/outage.py
@@ -13,13 +13,13 @@
 from hazelhold.config.planner import LimitsConfig
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.records import Dial, Send
-from hazelhold.engine.settings import Peers, terms_of
+from hazelhold.engine.settings import PeerCapabilities, engine_settings
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
 START = 3600 * SECOND  # when the outage begins; no worker is cold then
 ROUND_TRIP = 1000  # microseconds until a dial is refused or answered
-OWN_PROTOCOL = Peers()
+OWN_PROTOCOL = PeerCapabilities()
 HELLO_BYTES = len(m.encode(m.Hello(role="planner", name="planner-000")))
 
 
@@ -43,8 +43,10 @@
     """An engine whose first `away` workers stop answering. `refuses`: their machines are up and refuse
     connections, as after the end of a process; else dials are answered by nobody."""
 
-    def __init__(self, listed: int, away: int, peers: Peers = OWN_PROTOCOL, refuses: bool = True) -> None:
-        terms = terms_of(throughput.planner_config())._replace(limits=LimitsConfig(), peers=peers)
+    def __init__(
+        self, listed: int, away: int, peers: PeerCapabilities = OWN_PROTOCOL, refuses: bool = True
+    ) -> None:
+        terms = engine_settings(throughput.planner_config())._replace(limits=LimitsConfig(), peers=peers)
         self.engine = Engine(terms, 1, START)
         self.names = [workers.name(number) for number in range(away)]
         self.refuses, self.now, self.version = refuses, START, 1
--- a/bench/capacity/rows_door.py
+++ b/bench/capacity/rows_door.py
@@ -147,7 +147,7 @@
 )
 def connections_time(size: int) -> Iterator[float]:
     limits = LimitsConfig()
-    door = admission.Doorman(
+    door = admission.ConnectionAdmission(
         limits.handshakes_a_second,
         limits.handshake_burst,
         limits.handshakes_at_once,
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -6,7 +6,7 @@
 from hazelhold.emulate.fleet_lines import Line
 from hazelhold.emulate.fleet_time import SECOND, Notes, Wake
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import AskList, Dial, HangUp, Lost, Send
+from hazelhold.engine.records import Dial, Disconnect, FetchList, HangUp, Send
 from hazelhold.protocol import messages as m
 
 if TYPE_CHECKING:
@@ -60,9 +60,9 @@
             self._dial(action.machine)
         elif isinstance(action, HangUp):
             self._hang_up(action.machine)
-        elif isinstance(action, Lost):
+        elif isinstance(action, Disconnect):
             self._hang_up(action.peer)
-        elif isinstance(action, AskList):
+        elif isinstance(action, FetchList):
             self.list_wanted = action.since
             self._ask_list()
 
--- a/hazelhold/emulate/town.py
+++ b/hazelhold/emulate/town.py
@@ -17,9 +17,9 @@
 from hazelhold.client.types import ClientPolicy, Connect, Leave, Send, TaskRequest, Tell
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.emulate.clock import Clock
-from hazelhold.engine.admission import Doorman
+from hazelhold.engine.admission import ConnectionAdmission
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import AskList, Dial
+from hazelhold.engine.records import Dial, FetchList
 from hazelhold.engine.records import Send as Say
 from hazelhold.protocol import messages as m
 
@@ -80,7 +80,7 @@
     def start(self) -> None:
         limits, self.life, self.up = self.config.limits, self.life + 1, True
         self.engine = Engine(self.config, self.life, self.clock.now)
-        self.door = Doorman(
+        self.door = ConnectionAdmission(
             limits.handshakes_a_second,
             limits.handshake_burst,
             limits.handshakes_at_once,
@@ -210,7 +210,7 @@
                 self.clock.at(self.clock.now + delay, self._machine, action.peer, action.message)
             elif isinstance(action, Dial):
                 self._later(("up", action.machine))
-            elif isinstance(action, AskList):
+            elif isinstance(action, FetchList):
                 self._later(("list",))
 
     def _later(self, item: tuple) -> None:
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -4,16 +4,16 @@
 the list's last confirmation may have come to that one; the list tells later.
 """
 
-from hazelhold.engine.machines import Fellow, Link, News
-from hazelhold.engine.records import Case
-from hazelhold.engine.verification import DoubtedTasks
+from hazelhold.engine.machines import Link, RosterChanges, RosterMachine
+from hazelhold.engine.records import GuestRecord
+from hazelhold.engine.verification import GuestVerification
 from hazelhold.interface import Mode
 
 
-class AddressReuse(DoubtedTasks):
+class AddressReuse(GuestVerification):
     """Moves tasks to the machine that has the address they were sent to."""
 
-    def _inherit(self, now: int, news: News) -> set[str]:
+    def _inherit(self, now: int, news: RosterChanges) -> set[str]:
         """Machines have left the list or come to it. What was sent on a connection younger than the list's
         last confirmation came to whoever had that address by then, and stands there. Returns the machines
         that have got such tasks."""
@@ -34,7 +34,7 @@
                 inherited.add(fellow.name)
         return inherited
 
-    def _move_tasks(self, now: int, link: Link, heir: Fellow) -> None:
+    def _move_tasks(self, now: int, link: Link, heir: RosterMachine) -> None:
         """What was sent to this address before the list confirmed it stands at the machine that has it now;
         what awaits its answer does once it is accepted."""
         self.orphans.pop(link.address, None)
@@ -45,7 +45,7 @@
         new = self._dial(now, heir)
         new.heard_at = new.heard_at or now
 
-    def _move_task(self, now: int, case: Case, machine: str) -> None:
+    def _move_task(self, now: int, case: GuestRecord, machine: str) -> None:
         """A placed task stands at another machine than it was sent to. Where the connection on which it was
         sent has ended since, it may have been to the machine before, which has gone: a machine that goes ends
         its connections. Then the one that has the address now has to speak of the task."""
--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -20,7 +20,7 @@
 SAFE = 0.8  # the part of a patience that the line may fill: of lines filled up to 1 a fiftieth came too late
 
 
-class Advice:
+class RetryAdvisor:
     """The line at one planner's door. `least` and `most` bound advised waits, in microseconds."""
 
     def __init__(self, least: int, most: int, random: Random) -> None:
@@ -106,7 +106,7 @@
         self.at = max(self.at, at)
 
 
-class Doorman:
+class ConnectionAdmission:
     """Admits connections at a bounded rate, and tells the rest when to come back: each gets a place of its
     own in the time ahead, so that those sent away together return at the rate that the door takes."""
 
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -4,7 +4,7 @@
 """
 
 from hazelhold.engine.dispatches import Dispatches
-from hazelhold.engine.records import Case, Claimed, Claims, Verdict
+from hazelhold.engine.records import Claimed, Claims, GuestRecord, Verdict
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
@@ -43,7 +43,7 @@
                     self._offer(now, case)
         self._wanted()
 
-    def _unclaimed(self, now: int, case: Case, open_: bytes, reason: str) -> None:
+    def _unclaimed(self, now: int, case: GuestRecord, open_: bytes, reason: str) -> None:
         """No claim in time. A guest of which nothing can have run goes back with an advised wait; of another,
         what may be said is the Brain's."""
         self.counts["not_agreed_" + reason[:20]] += 1
@@ -61,7 +61,7 @@
         )
         self._forget(case)
 
-    def _elsewhere(self, now: int, case: Case, claim: Claimed) -> None:
+    def _elsewhere(self, now: int, case: GuestRecord, claim: Claimed) -> None:
         """Another planner has the guest, or a life of this one that is not remembered: its claim is what is
         known of it."""
         self.counts["claimed_elsewhere"] += 1
@@ -82,7 +82,7 @@
             self._answer(now, case, said, case.asks)
         self._forget(case)
 
-    def _drop(self, now: int, case: Case) -> None:
+    def _drop(self, now: int, case: GuestRecord) -> None:
         """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
         self._unhold(case)
         self.brain.guest_left(now, case.name)
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -2,7 +2,7 @@
 
 from hazelhold.brain import NEVER_RAN
 from hazelhold.config.planner import micros
-from hazelhold.engine.records import Case, Loose
+from hazelhold.engine.records import AbandonedDispatch, GuestRecord
 from hazelhold.engine.tables import OutstandingProbe, Tables
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
@@ -13,7 +13,7 @@
 class Dispatches(Tables):
     """A guest's way to a machine and back."""
 
-    def _dispatch(self, now: int, case: Case, machine: str, span: int) -> None:
+    def _dispatch(self, now: int, case: GuestRecord, machine: str, span: int) -> None:
         case.attempt, case.machine, case.sent, case.called_off = case.attempt + 1, machine, False, False
         case.sent_at = now
         self._overdue(now + span, case)
@@ -28,7 +28,7 @@
         else:
             link.queue[case.name] = None
 
-    def _offer(self, now: int, case: Case) -> None:
+    def _offer(self, now: int, case: GuestRecord) -> None:
         link, submit = self.links[case.machine], case.submit
         if self._claimed(case) and not self.claims.clear(
             now, case.name, case.guest, case.ask, case.attempt, case.machine, case.claim
@@ -66,13 +66,13 @@
             ),
         )
 
-    def _not_sent(self, now: int, case: Case, ending: Ending) -> None:
+    def _not_sent(self, now: int, case: GuestRecord, ending: Ending) -> None:
         """An offer that never left: this proves that it did not run."""
         if link := self.links.get(case.machine):
             link.queue.pop(case.name, None)
         self._ended(now, case, ending, Remark.NONE)
 
-    def _ended(self, now: int, case: Case, ending: Ending, remark: Remark) -> None:
+    def _ended(self, now: int, case: GuestRecord, ending: Ending, remark: Remark) -> None:
         """The dispatch that was out is over and the guest is held again, or answered by what follows."""
         self._unhold(case)
         self.monitor.attempt_ended(case.name, ending not in NEVER_RAN)
@@ -85,7 +85,12 @@
         self._adopt(now, case.guest)
 
     def _gone(
-        self, now: int, case: Case, how: str, ending: Ending = Ending.CUT_OFF, remark: Remark = Remark.NONE
+        self,
+        now: int,
+        case: GuestRecord,
+        how: str,
+        ending: Ending = Ending.CUT_OFF,
+        remark: Remark = Remark.NONE,
     ) -> None:
         """A placed guest's end, or a dispatch whose machine is lost."""
         if not case.placed:
@@ -105,7 +110,7 @@
             case.owner, m.GuestEnded(guest=case.guest, ask=case.ask, how=how, machine=case.machine)
         )
 
-    def _give_up(self, now: int, case: Case) -> None:
+    def _give_up(self, now: int, case: GuestRecord) -> None:
         """Takes back a dispatch that is waited for no longer; until its machine speaks, its fate is open."""
         if not case.sent:
             return
@@ -116,8 +121,8 @@
         if link and link.state == "up":
             self._send_machine(case.machine, m.Withdraw(guest=case.guest, ask=case.ask, attempt=case.attempt))
 
-    def _loosen(self, now: int, case: Case) -> None:
-        self.loose.setdefault(case.guest, {})[case.machine] = Loose(
+    def _loosen(self, now: int, case: GuestRecord) -> None:
+        self.loose.setdefault(case.guest, {})[case.machine] = AbandonedDispatch(
             case, case.attempt, case.machine, case.sent_at, roll_at=now + 1_000_000
         )
         self._mark("loose", case.guest, case.machine)
@@ -138,7 +143,7 @@
         if (loose := self.loose.get(guest, {}).get(machine)) and up:
             self._send_machine(machine, m.Stop(guest=guest, ask=loose.case.ask, attempt=loose.attempt))
 
-    def _final(self, now: int, case: Case, message: m.TurnedBack | m.BrokenOff) -> None:
+    def _final(self, now: int, case: GuestRecord, message: m.TurnedBack | m.BrokenOff) -> None:
         """A final answer; a dispatch that is still out becomes a loose one."""
         if (
             self.claims is not None
@@ -157,7 +162,9 @@
         self._answer(now, case, message, case.asks)
         self._forget(case)
 
-    def _answer(self, now: int, case: Case, message: m.Message, asks: list[int] | dict[int, None]) -> None:
+    def _answer(
+        self, now: int, case: GuestRecord, message: m.Message, asks: list[int] | dict[int, None]
+    ) -> None:
         """Gives each ask that awaits one its answer, and keeps it for an owner that was away."""
         self.counts["answers_" + message.__struct_config__.tag] += 1
         self._task_event(
@@ -176,7 +183,7 @@
         case.asks = {}
         self._mark("guest", case.name)
 
-    def _stands(self, now: int, loose: Loose) -> None:
+    def _stands(self, now: int, loose: AbandonedDispatch) -> None:
         """A dispatch that was given up was accepted: the Brain says whose it is, or that it goes."""
         loose.stands = True
         self._mark("loose", loose.case.guest, loose.machine)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -16,8 +16,8 @@
 from hazelhold.engine.claiming import Claiming
 from hazelhold.engine.links import Links
 from hazelhold.engine.owners import Owners
-from hazelhold.engine.persistence import Keeping, recover
-from hazelhold.engine.records import AskList, HangUp
+from hazelhold.engine.persistence import StatePersistence, recover
+from hazelhold.engine.records import FetchList, HangUp
 from hazelhold.interface import Decision, Ending, Remark, Step
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
@@ -33,7 +33,7 @@
         """From now on `flush` tells what is to be kept; begins where the images in the ledger left off.
         Before any other input. Returns counts of what was recovered; ValueError if an image cannot be
         read."""
-        self.keeping = Keeping(epoch)
+        self.keeping = StatePersistence(epoch)
         return recover(self, now, ledger, complete)
 
     def flush(self, now: int) -> list[Change]:
@@ -174,7 +174,7 @@
             self._probe(now, machine)
         elif step is Step.FOLLOW_LIST:
             self.list_due = now + 2_000_000
-            self.actions.append(AskList(self.list_version))
+            self.actions.append(FetchList(self.list_version))
 
     # Stopping.
 
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -2,10 +2,10 @@
 
 from hazelhold.config.planner import micros
 from hazelhold.engine.dispatches import CROSSED
-from hazelhold.engine.list_updates import ListNews
-from hazelhold.engine.liveness import Silence
+from hazelhold.engine.list_updates import ListUpdates
+from hazelhold.engine.liveness import LivenessChecks
 from hazelhold.engine.machines import Link
-from hazelhold.engine.records import Case, HangUp, Loose, Lost
+from hazelhold.engine.records import AbandonedDispatch, Disconnect, GuestRecord, HangUp
 from hazelhold.interface import Ending, Load, Remark
 from hazelhold.protocol import messages as m
 
@@ -28,7 +28,7 @@
 }
 
 
-class Links(ListNews, Silence):
+class Links(ListUpdates, LivenessChecks):
     """The machines' side of an engine."""
 
     # Connections.
@@ -46,7 +46,7 @@
         if welcome.name != machine:
             self.counts["wrong_machine"] += 1
             self.actions.append(
-                Lost(
+                Disconnect(
                     "machine",
                     machine,
                     "wrong_machine",
@@ -163,7 +163,7 @@
                 return
         self._heard_loose(now, machine, message)
 
-    def _heard(self, now: int, case: Case, message: m.Offered) -> None:
+    def _heard(self, now: int, case: GuestRecord, message: m.Offered) -> None:
         """News of the dispatch that is out, or of the placed guest."""
         case.spoken_at = now
         if isinstance(message, m.Taken) and not case.placed and case.called_off and not self.peers.rolls:
@@ -217,7 +217,7 @@
             return False
         return how == "done" or how in STOOD and not self.facts.confirms_running
 
-    def _over_before_its_answer(self, now: int, case: Case) -> None:
+    def _over_before_its_answer(self, now: int, case: GuestRecord) -> None:
         """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
         attempt under the same name would be answered "placed" after the end of what was placed."""
         self.counts["over_before_answer"] += 1
@@ -310,7 +310,7 @@
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
-    def _never_arrived(self, now: int, case: Case) -> None:
+    def _never_arrived(self, now: int, case: GuestRecord) -> None:
         """A complete roll without it, in the life that it was sent to: it never arrived, and cannot any more.
         That rests on what this planner last knew. If an earlier life made its claim, the kept state may be
         older than what that life saw, so the claim is not gone on with."""
@@ -325,11 +325,11 @@
             return
         name = f"{stand.guest}/{stand.ask}"
         self.counts["found"] += 1
-        case = Case(name, stand.guest, stand.ask, stand.owner, self.products[stand.product], stand)
+        case = GuestRecord(name, stand.guest, stand.ask, stand.owner, self.products[stand.product], stand)
         case.attempt, case.sent_at = stand.attempt, now
         held = self.newest.get(stand.guest)
         if held and held.machine or name in self.cases:  # out or placed elsewhere: one copy too many
-            loose = Loose(case, stand.attempt, link.machine, now, roll_at=now + 1_000_000)
+            loose = AbandonedDispatch(case, stand.attempt, link.machine, now, roll_at=now + 1_000_000)
             self._mark("loose", stand.guest, link.machine)
             self.loose.setdefault(stand.guest, {})[link.machine] = loose
             self._stands(now, loose)
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -5,14 +5,14 @@
 from hazelhold.engine.address_reuse import AddressReuse
 from hazelhold.engine.events import ListEvent
 from hazelhold.engine.list_lease import Lapse
-from hazelhold.engine.machine_incarnations import old_life_ended
-from hazelhold.engine.machines import Link, News
-from hazelhold.engine.records import DoubtCause, HangUp
+from hazelhold.engine.machine_incarnations import previous_incarnation_ended
+from hazelhold.engine.machines import Link, RosterChanges
+from hazelhold.engine.records import HangUp, VerificationCause
 from hazelhold.interface import Ending
 from hazelhold.protocol import messages as m
 
 
-class ListNews(AddressReuse):
+class ListUpdates(AddressReuse):
     """The list's side of an engine."""
 
     _resolve_stands: Callable[..., None]  # of the owners' side
@@ -68,7 +68,7 @@
     def _new_life(self, now: int, link: Link, started: int) -> None:
         """The list tells of a machine's new life: what came to it in the old one is over. Where the clocks
         may differ, a task sent before a connection ended has to be spoken of on a later one."""
-        ended_at, reset_at = old_life_ended(now, link, started)
+        ended_at, reset_at = previous_incarnation_ended(now, link, started)
         for name in list(link.holds):
             case = self.cases[name]
             if case.handed_over_at and not case.spoken_at:
@@ -78,9 +78,9 @@
             if case.sent_at < ended_at:
                 self._gone(now, case, "lost")
             else:
-                self._doubt_since_reset(reset_at, case, DoubtCause.RESTARTED)
+                self._doubt_since_reset(reset_at, case, VerificationCause.RESTARTED)
 
-    def _log_news(self, now: int, news: News) -> None:
+    def _log_news(self, now: int, news: RosterChanges) -> None:
         for name in news.fresh:
             self._machine_event("listed", name)
         for name in news.closed:
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -2,8 +2,8 @@
 
 from hazelhold.config.planner import micros
 from hazelhold.engine.machines import Link
-from hazelhold.engine.records import HangUp, Loose
-from hazelhold.engine.verification import DoubtedTasks
+from hazelhold.engine.records import AbandonedDispatch, HangUp
+from hazelhold.engine.verification import GuestVerification
 from hazelhold.protocol import messages as m
 
 GONE_WITHIN = 1_000_000
@@ -19,7 +19,7 @@
 """Microseconds in which a process that runs on reads what came meanwhile, and dials again."""
 
 
-class Silence(DoubtedTasks):
+class LivenessChecks(GuestVerification):
     """Tests, and machines that say nothing."""
 
     def _leave_out_stop(self, now: int) -> None:
@@ -92,7 +92,7 @@
         self._drop_queue(now, link)
         self._forget_machine(now, link)
 
-    def _ask_loose(self, now: int, loose: Loose) -> None:
+    def _ask_loose(self, now: int, loose: AbandonedDispatch) -> None:
         """Asks again what became of a dispatch that was given up, ten times in its keeping time, then forgets
         it: its machine is out of reach for good, or has lost its memory."""
         keep = micros(self.limits.keep_answers_ms)
--- a/hazelhold/engine/machine_incarnations.py
+++ b/hazelhold/engine/machine_incarnations.py
@@ -17,7 +17,7 @@
 """Microseconds between a connection's end and a birth by the clock within which both mean one event."""
 
 
-class OldLife(NamedTuple):
+class PreviousIncarnation(NamedTuple):
     """When the old life ended, in microseconds of this planner's clock.
 
     `ended_at`: what was sent before is over; 0 if nothing shows that any is. `reset_at`: when the machine
@@ -28,18 +28,18 @@
     reset_at: int
 
 
-def old_life_ended(now: int, link: Link, started: int) -> OldLife:
+def previous_incarnation_ended(now: int, link: Link, started: int) -> PreviousIncarnation:
     """`started` is the begin of the new life by the list's clock, as this planner reads it; one that is not
     past shows that the clocks differ."""
     ends = [each for each in link.past if each.by_machine and now - each.ended_at <= RECENT]
     if not ends:
-        return OldLife(started if started < now else 0, 0)
+        return PreviousIncarnation(started if started < now else 0, 0)
     last = ends[-1].ended_at
     if started >= now:
-        return OldLife(last, last)
+        return PreviousIncarnation(last, last)
     nearest = min(ends, key=lambda each: abs(each.ended_at - started)).ended_at
     if abs(nearest - started) <= CLOCKS_AGREE:
-        return OldLife(nearest, last)
+        return PreviousIncarnation(nearest, last)
     outlived = any(each.opened_at <= started < each.ended_at for each in ends)
     speaks_since = link.state == "up" and link.opened_at <= started < link.heard_at
-    return OldLife(last if outlived or speaks_since else started, last)
+    return PreviousIncarnation(last if outlived or speaks_since else started, last)
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class Fellow:
+class RosterMachine:
     """One machine of the list. `started` is on the planner's clock, fixed once for each life of the machine,
     so that neither a machine's clock nor a late list makes a life look new."""
 
@@ -82,7 +82,7 @@
 
 
 @dataclass
-class News:
+class RosterChanges:
     """What a listing changed."""
 
     listed: list[Listed] = field(default_factory=list)
@@ -98,10 +98,10 @@
 
     def __init__(self, kinds: dict[str, int]) -> None:
         self.kinds = kinds
-        self.fellows: dict[str, Fellow] = {}
+        self.fellows: dict[str, RosterMachine] = {}
 
-    def learn(self, now: int, listing: Listing) -> News:
-        news = News()
+    def learn(self, now: int, listing: Listing) -> RosterChanges:
+        news = RosterChanges()
         for entry in listing.entries:
             if entry.kind not in self.kinds and entry.machine not in self.fellows:
                 news.faults.append(f"{entry.machine}: no kind is called {entry.kind!r}")
@@ -115,7 +115,7 @@
                 del self.fellows[name]
         return news
 
-    def _entry(self, now: int, entry: Entry, news: News) -> None:
+    def _entry(self, now: int, entry: Entry, news: RosterChanges) -> None:
         old = self.fellows.get(entry.machine)
         mode = MODES[entry.mode]
         started = 0
@@ -146,6 +146,6 @@
             news.fresh.append(entry.machine)
         elif old.address != entry.address:
             news.moved.append(entry.machine)
-        self.fellows[entry.machine] = Fellow(
+        self.fellows[entry.machine] = RosterMachine(
             entry.machine, entry.address, mode, entry.incarnation, started, kind
         )
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Account:
+class GuestAccount:
     """What is known of one task in hand."""
 
     effect: Effect
@@ -37,11 +37,11 @@
 
     def __init__(self, most_attempts: int) -> None:
         self.most_attempts = most_attempts
-        self.accounts: dict[str, Account] = {}  # by task; emptied as tasks are forgotten
+        self.accounts: dict[str, GuestAccount] = {}  # by task; emptied as tasks are forgotten
 
     def attempt_leaves(self, task: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
         """The bytes of an offer are about to leave."""
-        account = self.accounts.setdefault(task, Account(effect))
+        account = self.accounts.setdefault(task, GuestAccount(effect))
         account.attempts += 1
         found = []
         if account.out_at:
@@ -64,7 +64,7 @@
 
     def answered(self, task: str, effect: Effect) -> list[Violation]:
         """The final answer is about to leave."""
-        account = self.accounts.setdefault(task, Account(effect))
+        account = self.accounts.setdefault(task, GuestAccount(effect))
         if account.answered:
             return [Violation.SECOND_ANSWER]
         account.answered = True
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -3,16 +3,16 @@
 from hazelhold.config.planner import micros
 from hazelhold.engine.events import TaskEvent
 from hazelhold.engine.permission import Denial, offer_denied, start_denied
-from hazelhold.engine.records import Case
+from hazelhold.engine.records import GuestRecord
 from hazelhold.engine.tables import WaitingStand
-from hazelhold.engine.verification import DoubtedTasks
+from hazelhold.engine.verification import GuestVerification
 from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
 from hazelhold.protocol import messages as m
 
 LATER = ("full", "overloaded", "stopping", "not_kept")  # rejections after which coming back makes sense
 
 
-class Owners(DoubtedTasks):
+class Owners(GuestVerification):
     """The owners' side of an engine."""
 
     def owner_said(self, now: int, owner: str, message: m.Message) -> None:
@@ -57,7 +57,9 @@
                 owner, m.Rejected(guest=guest, ask=ask, code=fault[0], text=fault[1], again_after=later)
             )
             return
-        case = Case(f"{guest}/{ask}", guest, ask, owner, self.products[submit.product], submit, {ask: None})
+        case = GuestRecord(
+            f"{guest}/{ask}", guest, ask, owner, self.products[submit.product], submit, {ask: None}
+        )
         if case.name in self.cases:  # cancelled, with its call-off under way
             self._send_owner(owner, m.Rejected(guest=guest, ask=ask, code="ending", text="its cancel is on"))
             return
@@ -71,7 +73,7 @@
         self.brain.guest_arrived(now, self._ask(case, submit.patience, earlier))
         self._adopt(now, guest)
 
-    def _earlier(self, now: int, submit: m.Submit, old: Case | None) -> Earlier | None:
+    def _earlier(self, now: int, submit: m.Submit, old: GuestRecord | None) -> Earlier | None:
         """An earlier dispatch of this guest that may have run or may still: given up, being called off, or
         made before this planner started by a machine that has not spoken yet."""
         unsettled = [Earlier(l.machine, l.sent_at) for l in self.loose.get(submit.guest, {}).values()]
@@ -181,7 +183,7 @@
         if len(self.cases) >= self.limits.open_guests:
             return "full"
         self.counts["found"] += 1
-        case = Case(
+        case = GuestRecord(
             f"{submit.guest}/{submit.ask}",
             submit.guest,
             submit.ask,
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -7,8 +7,8 @@
 
 from enum import Enum
 
-from hazelhold.engine.machines import Fellow
-from hazelhold.engine.records import Case
+from hazelhold.engine.machines import RosterMachine
+from hazelhold.engine.records import GuestRecord
 from hazelhold.interface import Effect, Mode, Product
 
 
@@ -32,11 +32,11 @@
 
 def offer_denied(
     now: int,
-    case: Case | None,
+    case: GuestRecord | None,
     attempt: int,
     product: Product,
     most: int,
-    fellow: Fellow | None,
+    fellow: RosterMachine | None,
     list_holds: bool,
 ) -> Denial | None:
     """Whether the bytes of an offer may leave. `case` is the task in hand under its name, `attempt` the
@@ -55,7 +55,7 @@
     return machine_denied(fellow, list_holds)
 
 
-def repeat_denied(now: int, case: Case, product: Product, most: int) -> Denial | None:
+def repeat_denied(now: int, case: GuestRecord, product: Product, most: int) -> Denial | None:
     """Whether an attempt may follow those that were made, of which there may be `most`."""
     if case.offers >= most:
         return Denial.TOO_MANY
@@ -68,7 +68,7 @@
     return None
 
 
-def machine_denied(fellow: Fellow | None, list_holds: bool) -> Denial | None:
+def machine_denied(fellow: RosterMachine | None, list_holds: bool) -> Denial | None:
     """Whether a machine may be sent new work."""
     if fellow is None or fellow.mode is Mode.GONE:
         return Denial.MACHINE_GONE
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.records import Case, Loose
+from hazelhold.engine.records import AbandonedDispatch, GuestRecord
 from hazelhold.engine.tables import Tables
 from hazelhold.interface import Earlier, Effect, Learned, Mode
 from hazelhold.protocol import messages as m
@@ -31,7 +31,7 @@
 ANSWERS = msgspec.msgpack.Decoder(m.Placed | m.TurnedBack | m.BrokenOff)
 
 
-class Keeping:
+class StatePersistence:
     """The marks of one engine."""
 
     def __init__(self, epoch: int) -> None:
@@ -67,7 +67,7 @@
         case = engine.cases.get(name)
         return put("guest", name, self.image(engine, case)) if case else drop("guest", name)
 
-    def image(self, engine: Tables, case: Case) -> GuestImage:
+    def image(self, engine: Tables, case: GuestRecord) -> GuestImage:
         s, known = case.submit, engine.brain.guests.get(case.name)
         unsure = known.window_ends - known.product.window if known and known.may_run else 0
         sent = case.machine if case.sent else ""  # an offer that waits for its link has not left
@@ -174,7 +174,7 @@
         if image.case.product in engine.products:
             # Whoever is no longer in hand has its answer; the image may be older than that.
             case = engine.cases.get(image.case.name) or case_of(engine, replace(image.case, asks=()))
-            loose = Loose(
+            loose = AbandonedDispatch(
                 case, image.attempt, image.machine, image.sent_at - epoch, image.stands, roll_at=now
             )
             engine.loose.setdefault(case.guest, {})[image.machine] = loose
@@ -206,7 +206,7 @@
     )
 
 
-def case_of(engine: Tables, image: GuestImage) -> Case:
+def case_of(engine: Tables, image: GuestImage) -> GuestRecord:
     submit = m.Submit(
         guest=image.guest,
         ask=image.ask,
@@ -218,7 +218,7 @@
         customer=image.customer,
         life=image.life,
     )
-    return Case(
+    return GuestRecord(
         image.name,
         image.guest,
         image.ask,
--- a/hazelhold/engine/records.py
+++ b/hazelhold/engine/records.py
@@ -29,13 +29,13 @@
     machine: str
 
 
-class AskList(NamedTuple):
+class FetchList(NamedTuple):
     """Ask the list service for changes since the version."""
 
     since: int
 
 
-class Lost(NamedTuple):
+class Disconnect(NamedTuple):
     """A peer broke the protocol: tell it so and close the connection; reported as link_down, owner_gone."""
 
     role: str
@@ -44,7 +44,7 @@
     text: str
 
 
-class Agree(NamedTuple):
+class ProposeChange(NamedTuple):
     """Agree on a change of a value among the planners; report `agreed` with the number, by the deadline.
     Rests on nothing that has to be safe first."""
 
@@ -54,11 +54,11 @@
     deadline: int
 
 
-Action = Send | Dial | HangUp | AskList | Lost | Agree
+Action = Send | Dial | HangUp | FetchList | Disconnect | ProposeChange
 
 
 @dataclass
-class Case:
+class GuestRecord:
     """A guest in this planner's hands. `name` is what the Brain calls it: the guest and the ask it came
     with."""
 
@@ -89,10 +89,10 @@
 
 
 @dataclass
-class Loose:
+class AbandonedDispatch:
     """A dispatch that was given up and may stand on its machine all the same."""
 
-    case: Case
+    case: GuestRecord
     attempt: int
     machine: str
     sent_at: int
@@ -100,7 +100,7 @@
     roll_at: int = 0  # when its machine is asked again
 
 
-class DoubtCause(Enum):
+class VerificationCause(Enum):
     """What lets a task be doubted."""
 
     HANDED_OVER = "it may have been over before its hand-over"
@@ -109,14 +109,14 @@
     ADDRESS_REUSED = "it may have been sent to the machine that had the address before"
 
 
-class Doubt(NamedTuple):
+class Verification(NamedTuple):
     """That a task which is held to stand may be over. Moments in microseconds.
 
     A word on the task after `since` ends the doubt; at `decided_at` it is decided on. A list that is current
     as of `listed_at` would have told what is doubted.
     """
 
-    cause: DoubtCause
+    cause: VerificationCause
     since: int
     decided_at: int
     listed_at: int
--- a/hazelhold/engine/settings.py
+++ b/hazelhold/engine/settings.py
@@ -6,7 +6,7 @@
 from hazelhold.interface import Deployment
 
 
-class Peers(NamedTuple):
+class PeerCapabilities(NamedTuple):
     """How the far side behaves. The defaults are this project's own protocol."""
 
     rolls: bool = True  # machines tell on each connection what they hold. If not: a lost connection ends its
@@ -21,7 +21,7 @@
     tells_use: bool = False  # machines tell what each task uses: at a planner's start, and as it changes
 
 
-class Terms(NamedTuple):
+class EngineSettings(NamedTuple):
     """All that an engine needs of a configuration. Names stand in the order of the facts."""
 
     facts: Deployment
@@ -29,12 +29,12 @@
     customers: tuple[str, ...]
     kinds: tuple[str, ...]
     limits: LimitsConfig
-    peers: Peers = Peers()
+    peers: PeerCapabilities = PeerCapabilities()
 
 
-def terms_of(config: PlannerConfig) -> Terms:
+def engine_settings(config: PlannerConfig) -> EngineSettings:
     estate = config.estate
-    return Terms(
+    return EngineSettings(
         deployment(config),
         tuple(p.name for p in estate.products),
         tuple(estate.customers),
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -7,14 +7,24 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import PlannerConfig, micros
-from hazelhold.engine.admission import Advice
+from hazelhold.engine.admission import RetryAdvisor
 from hazelhold.engine.events import Event, MachineEvent, RuleEvent, TaskEvent
 from hazelhold.engine.list_lease import ListLease
-from hazelhold.engine.machines import Fellow, Link, Roster
+from hazelhold.engine.machines import Link, Roster, RosterMachine
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import Denial
-from hazelhold.engine.records import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
-from hazelhold.engine.settings import Terms, terms_of
+from hazelhold.engine.records import (
+    AbandonedDispatch,
+    Action,
+    Claims,
+    Dial,
+    GuestRecord,
+    HangUp,
+    ProposeChange,
+    Send,
+    Verification,
+)
+from hazelhold.engine.settings import EngineSettings, engine_settings
 from hazelhold.interface import Ask, Earlier, Effect
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
@@ -36,7 +46,7 @@
     ended: bool = False  # its owner has ended it meanwhile: the machine is to stop it
 
 
-class Marks(Protocol):
+class ChangeTracker(Protocol):
     """Who is told of what changes here, if it is to outlive the process (`keep.Keeping`)."""
 
     epoch: int
@@ -52,8 +62,8 @@
 class Tables:
     """What one planner knows, and the steps on it that decide nothing."""
 
-    def __init__(self, config: PlannerConfig | Terms, seed: int, now: int) -> None:
-        terms = config if isinstance(config, Terms) else terms_of(config)
+    def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
+        terms = config if isinstance(config, EngineSettings) else engine_settings(config)
         self.limits, self.peers, self.facts = terms.limits, terms.peers, terms.facts
         self.brain = Brain(seed, self.facts)
         self.at_once = self.limits.decisions_at_once  # decisions of a pump; a host that is behind lowers it
@@ -62,13 +72,13 @@
         self.products = {name: at for at, name in enumerate(terms.products)}
         self.customers = {name: at for at, name in enumerate(terms.customers)}
         self.roster = Roster({name: at for at, name in enumerate(terms.kinds)})
-        self.cases: dict[str, Case] = {}  # by the Brain's name; emptied by the last word on a guest
-        self.newest: dict[str, Case] = {}  # by guest; emptied with cases
+        self.cases: dict[str, GuestRecord] = {}  # by the Brain's name; emptied by the last word on a guest
+        self.newest: dict[str, GuestRecord] = {}  # by guest; emptied with cases
         # Final answers that owners may still ask for; emptied by age.
         self.answers: OrderedDict[tuple[str, int], tuple[m.Message, int]] = OrderedDict()
         self.ends: OrderedDict[str, tuple[str, int]] = OrderedDict()  # how guests ended; emptied by age
         # By guest, then machine; emptied by the machine's word, its new life or its leaving the list.
-        self.loose: dict[str, dict[str, Loose]] = {}
+        self.loose: dict[str, dict[str, AbandonedDispatch]] = {}
         self.links: dict[str, Link] = {}  # emptied as machines go
         # Links with something to wait for; settled ones are passed over, so that a pump does not look at all.
         self.restless: dict[str, None] = {}  # emptied as they settle
@@ -82,13 +92,13 @@
         self.probe_number = 0
         self.unheard: set[str] = set()  # machines listed at the start that have not told what they hold
         self.list_heard = self.stopping = False
-        self.keeping: Marks | None = None  # set if what changes here is to outlive the process
+        self.keeping: ChangeTracker | None = None  # set if what changes here is to outlive the process
         self.claims: Claims | None = None  # set if offers that must not leave twice are agreed among planners
         self.sure = False  # all that this planner took in earlier lives is known
         self.kept_well = True  # what is sent is sure to be known after a crash
         self.lease = ListLease(self.facts.list_lease)
         # Tasks that stand, as far as is known, and whose machine has to speak of them; by the Brain's name.
-        self.doubted: dict[str, Doubt] = {}  # emptied by that and by time
+        self.doubted: dict[str, Verification] = {}  # emptied by that and by time
         # Machines that spoke of a task that is not in hand, by task; emptied by its hand-over and by number.
         self.spoken_of: OrderedDict[str, str] = OrderedDict()
         self.list_taken = True  # what the module was last told of the list: whether it is current
@@ -104,7 +114,7 @@
         self.denials: Counter[Denial] = Counter()  # what the last check kept back, by reason
         self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that gives it room, emptied by it
         self.more = False  # the last pump ended at its limit
-        self.retry_advisor = Advice(
+        self.retry_advisor = RetryAdvisor(
             micros(self.limits.again_least_ms), micros(self.limits.again_most_ms), Random(f"advice/{seed}")
         )
 
@@ -112,7 +122,7 @@
         """From now on this planner is that one of so many."""
         self.facts = self.brain.deployment = self.facts._replace(planners=planners, slot=slot)
 
-    def reconfigure(self, terms: Terms) -> None:
+    def reconfigure(self, terms: EngineSettings) -> None:
         """Works on by these terms. Products that are here keep their places and whatever tasks in hand were
         judged by; others may follow them. Kinds are the same, and so is this planner's share of the fleet.
         New tasks are taken by the new terms; limits on dispatches hold for all at once."""
@@ -127,15 +137,15 @@
 
     # Claims.
 
-    def _claimed(self, case: Case) -> bool:
+    def _claimed(self, case: GuestRecord) -> bool:
         """Whether offers of this guest need a claim."""
         return self.claims is not None and (self.facts.products[case.product].effect is not Effect.RERUNNABLE)
 
     def _wanted(self) -> None:
         wanted, self.claims.wanted = self.claims.wanted, []
-        self.actions += [Agree(*each) for each in wanted]
+        self.actions += [ProposeChange(*each) for each in wanted]
 
-    def _fact(self, now: int, case: Case, state: str, how: str = "") -> None:
+    def _fact(self, now: int, case: GuestRecord, state: str, how: str = "") -> None:
         """Lets the other planners know what became of a claimed guest."""
         if self._claimed(case):
             self.claims.fact(now, case.guest, case.ask, state, case.machine, how)
@@ -146,11 +156,11 @@
             self.claims.release(now, guest, claim)
             self._wanted()
 
-    def _overdue(self, due: int, case: Case) -> None:
+    def _overdue(self, due: int, case: GuestRecord) -> None:
         case.due_at = due
         heappush(self.overdue, (due, case.name, case.attempt))
 
-    def _ask(self, case: Case, patience: int, earlier: Earlier | None = None) -> Ask:
+    def _ask(self, case: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
         s = case.submit
         return Ask(
             case.name,
@@ -163,30 +173,30 @@
             earlier,
         )
 
-    def _hold(self, case: Case) -> None:
+    def _hold(self, case: GuestRecord) -> None:
         if case.machine not in self.links:
             self.links[case.machine] = Link(case.machine)
         self.links[case.machine].holds[case.name] = None
 
-    def _unhold(self, case: Case) -> None:
+    def _unhold(self, case: GuestRecord) -> None:
         if link := self.links.get(case.machine):
             link.holds.pop(case.name, None)
             link.queue.pop(case.name, None)
 
     # What is told to the log, and what is checked at run time.
 
-    def _task_event(self, change: str, case: Case, reason: str = "") -> None:
+    def _task_event(self, change: str, case: GuestRecord, reason: str = "") -> None:
         self.events.append(TaskEvent(change, case.guest, case.attempt, case.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
         self.events.append(MachineEvent(change, machine, reason))
 
-    def _violated(self, found: list[Violation], case: Case) -> None:
+    def _violated(self, found: list[Violation], case: GuestRecord) -> None:
         for each in found:
             self.counts["rule_violations"] += 1
             self.events.append(RuleEvent(each.value, case.guest, case.machine))
 
-    def _forget(self, case: Case) -> None:
+    def _forget(self, case: GuestRecord) -> None:
         self.cases.pop(case.name, None)
         self.monitor.forget(case.name)
         self._mark("guest", case.name)
@@ -227,7 +237,7 @@
             del self.restless[name]
         return [self.links[name] for name in self.restless]
 
-    def _dial(self, now: int, fellow: Fellow) -> Link:
+    def _dial(self, now: int, fellow: RosterMachine) -> Link:
         link = self.links.get(fellow.name)
         if link is None:
             link = self.links[fellow.name] = Link(fellow.name)
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -10,7 +10,7 @@
 from hazelhold.config.planner import micros
 from hazelhold.engine.link_loss import LinkLoss
 from hazelhold.engine.machines import Link
-from hazelhold.engine.records import Case, Doubt, DoubtCause
+from hazelhold.engine.records import GuestRecord, Verification, VerificationCause
 from hazelhold.protocol import messages as m
 
 VOUCHED_WITHIN = 2_500_000
@@ -29,25 +29,27 @@
 SPOKEN_OF = 4096  # tasks that machines spoke of and that are not in hand
 
 
-class DoubtedTasks(LinkLoss):
+class GuestVerification(LinkLoss):
     """Ends what does not stand."""
 
-    def _doubt_handed_over(self, case: Case) -> None:
+    def _doubt_handed_over(self, case: GuestRecord) -> None:
         """Its owner says that it stands, and may not know better."""
         at = case.handed_over_at
-        self.doubted[case.name] = Doubt(DoubtCause.HANDED_OVER, at, at + VOUCHED_WITHIN, at)
+        self.doubted[case.name] = Verification(VerificationCause.HANDED_OVER, at, at + VOUCHED_WITHIN, at)
 
-    def _doubt_reused(self, now: int, case: Case) -> None:
+    def _doubt_reused(self, now: int, case: GuestRecord) -> None:
         """It is held to be on the machine that has the address now, and its connection has ended."""
         if self.peers.tells_use:
-            self.doubted[case.name] = Doubt(DoubtCause.ADDRESS_REUSED, now, now + VOUCHED_WITHIN, now)
+            self.doubted[case.name] = Verification(
+                VerificationCause.ADDRESS_REUSED, now, now + VOUCHED_WITHIN, now
+            )
 
-    def _doubt_since_reset(self, reset_at: int, case: Case, cause: DoubtCause) -> None:
+    def _doubt_since_reset(self, reset_at: int, case: GuestRecord, cause: VerificationCause) -> None:
         """Its machine ended a connection after it was sent, as a process does that dies. Machines speak of a
         task every few seconds, so they are given as long as one that is silent."""
         if self.peers.tells_use:
             decided_at = reset_at + micros(self.limits.lost_ms)
-            self.doubted[case.name] = Doubt(cause, reset_at, decided_at, reset_at + LISTED_WITHIN)
+            self.doubted[case.name] = Verification(cause, reset_at, decided_at, reset_at + LISTED_WITHIN)
 
     def _doubt_all_on(self, now: int, link: Link) -> None:
         """A connection was reset: a process that dies resets its connections and cuts its tasks, and one that
@@ -56,7 +58,7 @@
             return
         for name in link.holds:
             if self.cases[name].placed and name not in self.doubted:
-                self._doubt_since_reset(now + 1, self.cases[name], DoubtCause.RESET)
+                self._doubt_since_reset(now + 1, self.cases[name], VerificationCause.RESET)
 
     def _spoke_of_unknown(self, machine: str, task: str) -> None:
         """A machine has spoken of a task that is not in hand, and may be handed over next."""
@@ -99,13 +101,13 @@
         elif link.state == "down" and (fellow := self.roster.fellows.get(link.machine)):
             self._dial(now, fellow)
 
-    def _end_task(self, now: int, case: Case) -> None:
+    def _end_task(self, now: int, case: GuestRecord) -> None:
         self.counts["found_unvouched"] += 1
         self._task_event("unvouched", case)
         self._tell(now, case.machine, m.Stop(guest=case.guest, ask=case.ask, attempt=case.attempt))
         self._gone(now, case, "lost")
 
-    def _may_be_over(self, link: Link, case: Case, doubt: Doubt) -> bool:
+    def _may_be_over(self, link: Link, case: GuestRecord, doubt: Verification) -> bool:
         """Whether the process that answers for a machine may be another than the task came to: one that has
         the address of a machine that went, or the same machine's after a restart.
 
@@ -113,7 +115,7 @@
         just started counts, by its age: to end all that stands while the list is out would cost owners more
         than the few tasks that may be over.
         """
-        if doubt.cause in (DoubtCause.RESTARTED, DoubtCause.ADDRESS_REUSED):
+        if doubt.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
             return True
         fellow = self.roster.fellows.get(link.machine)
         restarted = fellow is not None and fellow.incarnation > 0
@@ -121,4 +123,4 @@
             return restarted and case.handed_over_at - fellow.started < RESTARTED_WITHIN
         as_of = self.lease.confirmed_as_of
         unconfirmed = bool(self.facts.list_lease) and (as_of is None or as_of < doubt.listed_at)
-        return unconfirmed or restarted and doubt.cause is DoubtCause.HANDED_OVER
+        return unconfirmed or restarted and doubt.cause is VerificationCause.HANDED_OVER
--- a/hazelhold/fleetconfig/settings.py
+++ b/hazelhold/fleetconfig/settings.py
@@ -20,7 +20,7 @@
 
 from hazelhold.config.planner import Estate, PlannerConfig, ProductConfig, check_estate
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.settings import Terms, terms_of
+from hazelhold.engine.settings import EngineSettings, engine_settings
 from hazelhold.fleetconfig.document import Document, Fault
 from hazelhold.fleetconfig.schema import read_item
 
@@ -99,12 +99,12 @@
     return made
 
 
-def _terms(file: PlannerConfig, overrides: Overrides) -> tuple[Estate, Terms]:
+def _terms(file: PlannerConfig, overrides: Overrides) -> tuple[Estate, EngineSettings]:
     """The estate, and what an engine is told of it. SettingsError whatever is wrong: a revision reaches all
     planners, and must not end one of them by an error that nobody thought of."""
     try:
         estate = effective_estate(file.estate, overrides)
-        return estate, terms_of(replace(file, estate=estate))
+        return estate, engine_settings(replace(file, estate=estate))
     except SettingsError:
         raise
     except Exception as wrong:  # noqa: BLE001
@@ -179,7 +179,7 @@
         if reasons := restart_reasons(self.estate, estate):
             raise SettingsError("needs a restart: " + ", ".join(reasons))
         estate = self._in_engine_order(estate)
-        self.engine.reconfigure(terms_of(replace(self.file, estate=estate)))
+        self.engine.reconfigure(engine_settings(replace(self.file, estate=estate)))
         self.estate, self.refused = estate, False
 
     def _in_engine_order(self, estate: Estate) -> Estate:
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -13,11 +13,11 @@
 
 from hazelhold.config.load import ConfigError, read_text, split_address
 from hazelhold.config.planner import LimitsConfig
-from hazelhold.engine.settings import Peers, Terms
+from hazelhold.engine.settings import EngineSettings, PeerCapabilities
 from hazelhold.interface import Deployment
 from hazelhold.simhost import Pairs, WireError, read_deployment, truth
 
-PLATFORM = Peers(
+PLATFORM = PeerCapabilities(
     rolls=False,
     names_attempts=False,
     asks_again=False,
@@ -70,7 +70,7 @@
     bounds: Bounds
     bulletin: str
     known: Known
-    terms: Terms
+    terms: EngineSettings
     zones: dict[str, int]
     most: tuple[float, float]  # cores and memory that the largest machine may be asked for in all
     patience: tuple[int, ...]  # by product: the longest, in microseconds
@@ -169,7 +169,7 @@
     limits = _limits(pairs, bounds, faults)
     if faults or facts is None:
         raise ConfigError(file, faults or [("settings", "are empty")])
-    terms = Terms(
+    terms = EngineSettings(
         facts,
         names(settings, "classes"),
         names(settings, "tenants"),
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -14,7 +14,7 @@
 
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import Action, AskList, Dial, HangUp, Lost, Send
+from hazelhold.engine.records import Action, Dial, Disconnect, FetchList, HangUp, Send
 from hazelhold.interface import Mode
 from hazelhold.platform import words
 from hazelhold.platform.beliefs import machine_beliefs
@@ -230,9 +230,9 @@
                 self.links.tell(action.peer, action.message)
         elif isinstance(action, Dial) and not self.closing:
             self.links.dial(action)
-        elif isinstance(action, HangUp | Lost):
+        elif isinstance(action, HangUp | Disconnect):
             self.links.hang_up(action.machine if isinstance(action, HangUp) else action.peer)
-        elif isinstance(action, AskList):
+        elif isinstance(action, FetchList):
             self.follower.wish()
 
     # The bulletin.
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -12,7 +12,7 @@
 
 from hazelhold.capture.tap import Tap
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import Action, Agree
+from hazelhold.engine.records import Action, ProposeChange
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import frame
 from hazelhold.service.net import Net
@@ -105,6 +105,6 @@
         if self.copies is None:
             return actions
         for action in actions:
-            if isinstance(action, Agree):
+            if isinstance(action, ProposeChange):
                 self.copies.ask(*action)
-        return [a for a in actions if not isinstance(a, Agree)]
+        return [a for a in actions if not isinstance(a, ProposeChange)]
--- a/hazelhold/service/ending.py
+++ b/hazelhold/service/ending.py
@@ -53,7 +53,7 @@
     planner.keeper.take([], [engine.keeping.learned(engine)])
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
         await planner.keeper.drained()
-    spread = planner.door.doorman.window(0, len(planner.owners))
+    spread = planner.door.admission.window(0, len(planner.owners))
     for wire in _wires(planner):
         wire.finish(m.Bye(reason="hand_over", spread=spread))
     await trio.sleep(SETTLE_S)
--- a/hazelhold/service/owner_door.py
+++ b/hazelhold/service/owner_door.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.admission import Doorman
+from hazelhold.engine.admission import ConnectionAdmission
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
 from hazelhold.service.driver import EngineDriver
@@ -33,7 +33,7 @@
         self.counts, self.log = counts, log
         self.owners: dict[str, Wire] = {}
         self.connections = self.greeting = 0  # open ones, and those before their Hello
-        self.doorman = Doorman(
+        self.admission = ConnectionAdmission(
             config.limits.handshakes_a_second,
             config.limits.handshake_burst,
             config.limits.handshakes_at_once,
@@ -45,7 +45,7 @@
         """One owner's connection, from its Hello to its end. Whatever is wrong with it ends it alone."""
         wire = self.wires.wire(stream, OWNERS)
         self.connections += 1
-        later = self.doorman.admits(self.driver.net.now(), self.greeting)
+        later = self.admission.admits(self.driver.net.now(), self.greeting)
         self.greeting += 1
         try:
             async with trio.open_nursery() as nursery:
@@ -66,7 +66,7 @@
 
     def return_window(self) -> int:
         """Microseconds over which owners should spread their return, were they all to lose this planner."""
-        return self.doorman.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
+        return self.admission.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
 
     def _greeted(self, wire: Wire) -> None:
         """A handshake is over, one way or the other."""
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -18,7 +18,7 @@
 from hazelhold.capture.tap import Tap
 from hazelhold.config.planner import PlannerConfig
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import Action, AskList, Dial, HangUp, Lost, Send
+from hazelhold.engine.records import Action, Dial, Disconnect, FetchList, HangUp, Send
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.driver import EngineDriver
@@ -212,9 +212,9 @@
             self.links.dial(action, self.nursery)
         elif isinstance(action, HangUp):
             self.links.hang_up(action.machine)
-        elif isinstance(action, AskList):
+        elif isinstance(action, FetchList):
             self.list_link.ask(action.since)
-        elif isinstance(action, Lost):
+        elif isinstance(action, Disconnect):
             self.counts["peers_lost"] += 1
             self.log.warning(
                 "peer_lost", role=action.role, machine=action.peer, code=action.code, reason=action.text
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,7 @@
     ProductConfig,
 )
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.records import Agree, Dial, Send
+from hazelhold.engine.records import Dial, ProposeChange, Send
 from hazelhold.interface import Ask, Decision, Deployment, Effect, Kind, Listed, Mode, Place, Product, Step
 from hazelhold.protocol import messages as m
 
@@ -94,7 +94,7 @@
         self.stands: dict[str, list[m.Stand]] = {}
         self.lives: dict[str, int] = {}
         self.said: list[tuple[str, m.Message]] = []  # all that was sent, to whom
-        self.asks: list[Agree] = []  # what is to be agreed among planners
+        self.asks: list[ProposeChange] = []  # what is to be agreed among planners
         self.lists(0, [self.entry(name) for name in machines])
 
     def entry(self, name: str, mode: str = "ready", **more: object) -> m.Entry:
@@ -124,7 +124,7 @@
             for action in actions:
                 if isinstance(action, Send):
                     self.said.append((action.peer, action.message))
-                elif isinstance(action, Agree):
+                elif isinstance(action, ProposeChange):
                     self.asks.append(action)
                 elif isinstance(action, Dial):
                     self.dialled.append(action.address)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -14,7 +14,7 @@
 from hazelhold.client.backoff import ReconnectBackoff, RetryBudget
 from hazelhold.client.core import ClientCore
 from hazelhold.client.types import Connect, Send, Tell
-from hazelhold.engine.admission import Advice, Doorman
+from hazelhold.engine.admission import ConnectionAdmission, RetryAdvisor
 from hazelhold.protocol import messages as m
 from tests.helpers import MS, planner_config
 
@@ -263,7 +263,7 @@
 
 
 def test_advice_follows_pace_and_line_and_is_checked() -> None:
-    advice = Advice(100 * MS, 5 * S, Random(1))
+    advice = RetryAdvisor(100 * MS, 5 * S, Random(1))
     assert 2 * S <= advice.wait(0, "g", 0) <= 3 * S  # nothing is known yet
     for n in range(50):
         advice.placed(n * 100 * MS, f"x{n}")
@@ -283,7 +283,7 @@
 
 @pytest.mark.parametrize("count", [1_000, 10_000])
 def test_a_door_spreads_those_that_it_sends_away(count: int) -> None:
-    door = Doorman(500, 100, 1000, 10 * S, Random(1))
+    door = ConnectionAdmission(500, 100, 1000, 10 * S, Random(1))
     back = sorted(filter(None, (door.admits(0) for _ in range(count))))
     assert len(back) == count - 100
     bins = Counter(at // (100 * MS) for at in back)
@@ -291,7 +291,7 @@
 
 
 def test_a_door_with_many_before_their_hello_spreads_the_rest_too() -> None:
-    door = Doorman(500, 100, 20, 10 * S, Random(1))
+    door = ConnectionAdmission(500, 100, 20, 10 * S, Random(1))
     assert door.admits(0, 19) == 0
     assert len({door.admits(0, 20) for _ in range(50)} - {0}) == 50
 
@@ -299,7 +299,7 @@
 def returning(count: int, spread: bool) -> tuple[int, float, int]:
     """Clients that lose their planner at once and find it back after 2 s, with the core's own returns and a
     planner's own door in virtual time: peak dials in 100 ms, seconds until all are back, dials in all."""
-    door, random = Doorman(500, 200, 1000, 10 * S, Random(2)), Random(3)
+    door, random = ConnectionAdmission(500, 200, 1000, 10 * S, Random(2)), Random(3)
     policy = ClientPolicy()
     clients = [ReconnectBackoff(policy.return_base, policy.return_most, Random(n)) for n in range(count)]
     import heapq
--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -14,9 +14,9 @@
 import trio
 
 from hazelhold.engine import list_updates
-from hazelhold.engine.machine_incarnations import OldLife, old_life_ended
+from hazelhold.engine.machine_incarnations import PreviousIncarnation, previous_incarnation_ended
 from hazelhold.engine.machines import Link, PastConnection
-from hazelhold.engine.verification import DoubtedTasks
+from hazelhold.engine.verification import GuestVerification
 from tests.faults.discovery import Fault
 from tests.faults.judge import RELEASE_AT_LATEST
 from tests.faults.servers import Draining, Server
@@ -264,13 +264,13 @@
 
 def ended(
     started: float, *past: tuple[float, float, bool], opened: float = 0.0, heard: float = 0.0
-) -> OldLife:
+) -> PreviousIncarnation:
     """At second 20, with these connections in the past: opened, ended, whether by the machine."""
     link = Link("a", state="up" if opened else "down", opened_at=round(opened * SECOND))
     link.heard_at = round(heard * SECOND)
     link.past = [PastConnection(round(a * SECOND), round(b * SECOND), by) for a, b, by in past]
-    found = old_life_ended(20 * SECOND, link, round(started * SECOND))
-    return OldLife(found.ended_at / SECOND, found.reset_at / SECOND)
+    found = previous_incarnation_ended(20 * SECOND, link, round(started * SECOND))
+    return PreviousIncarnation(found.ended_at / SECOND, found.reset_at / SECOND)
 
 
 def test_without_an_end_of_a_connection_the_clock_dates_a_new_life() -> None:
@@ -367,7 +367,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(DoubtedTasks, "_doubt_all_on", lambda engine, now, link: None)
+    monkeypatch.setattr(GuestVerification, "_doubt_all_on", lambda engine, now, link: None)
     assert heard_after_a_reset(reset=True, silent=True, speaks=False) == []
 
 
@@ -407,7 +407,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(DoubtedTasks, "_doubt_reused", lambda engine, now, case: None)
+    monkeypatch.setattr(GuestVerification, "_doubt_reused", lambda engine, now, case: None)
     assert heard_after_an_address_is_reused(ended=True) == []
 
 
@@ -448,7 +448,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(DoubtedTasks, "_settle_doubts", lambda engine, now: None)
+    monkeypatch.setattr(GuestVerification, "_settle_doubts", lambda engine, now: None)
     assert heard_of_a_hand_over(LONG_AGO, spoken_first=False) == []
 
 
@@ -469,7 +469,9 @@
         told.append((owner.of(1)[1:], owner.of(2)[1:]))
 
     play_in_memory(test, machines="a")
-    monkeypatch.setattr(list_updates, "old_life_ended", lambda now, link, started: OldLife(started, 0))
+    monkeypatch.setattr(
+        list_updates, "old_life_ended", lambda now, link, started: PreviousIncarnation(started, 0)
+    )
     play_in_memory(test, machines="a")
     lost = [(end(1).type, 41)]
     assert told == [(lost, []), (lost, lost)]
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hazelhold.engine.machines import Fellow
+from hazelhold.engine.machines import RosterMachine
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import (
     Denial,
@@ -10,7 +10,7 @@
     offer_denied,
     start_denied,
 )
-from hazelhold.engine.records import Case
+from hazelhold.engine.records import GuestRecord
 from hazelhold.interface import Effect, Mode, Place, Product
 from hazelhold.protocol import messages as m
 
@@ -19,8 +19,8 @@
     return Product(effect, Place.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Place.NOWHERE, 1)
 
 
-def case(**changes: object) -> Case:
-    made = Case(
+def case(**changes: object) -> GuestRecord:
+    made = GuestRecord(
         "g/0",
         "g",
         0,
@@ -34,8 +34,8 @@
     return made
 
 
-def fellow(mode: Mode = Mode.READY) -> Fellow:
-    return Fellow("a", "a:1", mode, 0, 0, 0)
+def fellow(mode: Mode = Mode.READY) -> RosterMachine:
+    return RosterMachine("a", "a:1", mode, 0, 0, 0)
 
 
 EXCLUSIVE, TICKETED = product(Effect.EXCLUSIVE), product(Effect.TICKETED)
@@ -63,10 +63,10 @@
     ],
 )
 def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
-    in_hand: Case | None,
+    in_hand: GuestRecord | None,
     attempt: int,
     of: Product,
-    where: Fellow | None,
+    where: RosterMachine | None,
     list_holds: bool,
     denial: Denial | None,
 ) -> None:
