--- a/bench/capacity/outage.py
+++ b/bench/capacity/outage.py
@@ -57,7 +57,7 @@
         self.failing: list[tuple[int, str]] = []  # dials that will be refused, and when
         self.processor = 0.0  # seconds inside the engine
         self._list(True, workers.entries(listed))
-        if peers.rolls:
+        if peers.reports_inventory:
             for number in range(listed):
                 self._answer(workers.name(number), [stand(number)] if number < away else [])
         else:
@@ -90,13 +90,13 @@
 
     def placed(self) -> int:
         """Tasks that stand on workers."""
-        return sum(case.placed for case in self.engine.cases.values())
+        return sum(case.placed for case in self.engine.records.values())
 
     def _answer(self, name: str, stands: list[m.Stand]) -> None:
         """The worker takes a connection: hello, welcome, roll call, what it has."""
         if name not in self.engine.links or self.engine.links[name].state != "dialling":
             return
-        if not self.engine.peers.rolls:
+        if not self.engine.peers.reports_inventory:
             self._call(self.engine.link_up, name)
             return
         welcome = m.Welcome(name=name, incarnation=self.lives.get(name, 1), up_for=SECOND)
--- a/bench/capacity/rows_state.py
+++ b/bench/capacity/rows_state.py
@@ -73,7 +73,7 @@
             made.keep(10 * SECOND, wall - 10 * SECOND, found.ledger, True)
             store.begin(wall)
             store.close()
-            assert len(made.cases) == size
+            assert len(made.records) == size
 
         for _ in range(3):
             yield processor_time(recover)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -52,7 +52,7 @@
     town.open(4 * SECOND)
     town.clock.run(8 * SECOND)
     if not protected:
-        town.office.engine.retry_advisor.hopeless = lambda *asked: False
+        town.office.engine.retry_advisor.cannot_be_served = lambda *asked: False
     town.want(town.clock.now + seconds * SECOND)
     start = town.clock.now + 2 * SECOND
     town.clock.run(town.clock.now + seconds * SECOND)
@@ -84,7 +84,7 @@
     """Microseconds of processor time for an ask that is refused for the line, on loopback, both ends."""
     net = TcpNet()
     planner = Planner(planner_config(lister="127.0.0.1:1"), 1, net)
-    planner.engine.retry_advisor.hopeless = lambda *asked: True
+    planner.engine.retry_advisor.cannot_be_served = lambda *asked: True
     async with trio.open_nursery() as nursery:
         await nursery.start(planner.run)
         wire = Wire(await net.dial(planner.address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 28)
--- a/bench/state.py
+++ b/bench/state.py
@@ -131,7 +131,7 @@
         store.begin(wall)
         written = time.perf_counter()
         store.close()
-        assert len(engine.cases) == count
+        assert len(engine.records) == count
     return {
         "guests": count,
         "read_s": round(read - began, 3),
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -295,7 +295,7 @@
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(engine.cases) == count and engine.unanswered() == (0 if run else count)
+    assert len(engine.records) == count and engine.unanswered() == (0 if run else count)
     return kept / count
 
 
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -124,8 +124,8 @@
                 self.said.append((action.role, action.peer, action.message))
                 self._fate(self.fates[1], msgspec.to_builtins(action.message), action.peer)
         self.engine.actions = []
-        if self.engine.keeping is not None:
-            self.engine.keeping.marks.clear()  # nothing is kept here
+        if self.engine.persistence is not None:
+            self.engine.persistence.changed_keys.clear()  # nothing is kept here
         self._match()
 
     def _captured(
@@ -168,7 +168,7 @@
             }
             for n, x in list(brain.machines.items())[:50]
         }
-        case = self.engine.newest.get(message.get("guest", ""))
+        case = self.engine.newest_records.get(message.get("guest", ""))
         return {
             "at": self.engine_now,
             "held": len(brain.waiting),
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -23,12 +23,12 @@
             if link is None or not self._awaits_heir(link):
                 continue
             self.orphans[link.address] = name
-            heir = next((f for f in self.roster.fellows.values() if f.address == link.address), None)
+            heir = next((f for f in self.roster.machines.values() if f.address == link.address), None)
             if heir is not None:
                 self._move_tasks(now, link, heir)
                 inherited.add(heir.name)
         for name in news.fresh:
-            fellow = self.roster.fellows.get(name)
+            fellow = self.roster.machines.get(name)
             if fellow is not None and (orphan := self.links.get(self.orphans.get(fellow.address, ""))):
                 self._move_tasks(now, orphan, fellow)
                 inherited.add(fellow.name)
@@ -39,7 +39,7 @@
         what awaits its answer does once it is accepted."""
         self.orphans.pop(link.address, None)
         link.heir = heir.name
-        for case in [self.cases[name] for name in link.holds]:
+        for case in [self.records[name] for name in link.holds]:
             if case.placed and case.sent_unconfirmed:
                 self._move_task(now, case, heir.name)
         new = self._dial(now, heir)
@@ -68,8 +68,8 @@
             if link is not None and link.opened_at > as_of:
                 continue
             del self.unconfirmed_links[name]
-            fellow = self.roster.fellows.get(name)
+            fellow = self.roster.machines.get(name)
             if link is not None and fellow is not None and fellow.mode is Mode.READY:
                 link.unconfirmed = False
                 for each in link.holds:
-                    self.cases[each].sent_unconfirmed = False
+                    self.records[each].sent_unconfirmed = False
--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -27,7 +27,7 @@
         self.least, self.most, self.random = least, most, random
         self.bins = [0] * BINS
         self.at = 0
-        self.advised: OrderedDict[str, int] = OrderedDict()  # guest: when it may return; emptied by age
+        self.return_times: OrderedDict[str, int] = OrderedDict()  # guest: when it may return; emptied by age
         self.back: OrderedDict[str, None] = OrderedDict()  # returned as advised; emptied by its next answer
         self.given_until = 0.0  # up to when places are given away
         self.shows = 1.0  # the fading share of places that are claimed
@@ -60,17 +60,17 @@
             self.given_until = min(self.given_until, now + self.most)
             span = self.most * self.random.uniform(0.5, 1.0)
         wait = int(max(self.least * self.random.uniform(1.0, 1.2), span))
-        self.advised[guest] = now + wait
-        self.advised.move_to_end(guest)
-        if len(self.advised) > KNOWN:
-            self.advised.popitem(last=False)
+        self.return_times[guest] = now + wait
+        self.return_times.move_to_end(guest)
+        if len(self.return_times) > KNOWN:
+            self.return_times.popitem(last=False)
         return wait
 
-    def came(self, now: int, guest: str) -> bool:
+    def guest_returned(self, now: int, guest: str) -> bool:
         """A guest comes; one that was advised counts if it kept to it, and True says that its place is
         kept."""
         self._missed(now)
-        due = self.advised.pop(guest, None)
+        due = self.return_times.pop(guest, None)
         if due is None:
             return False
         if now < due:
@@ -85,11 +85,11 @@
 
     def _missed(self, now: int) -> None:
         """Forgets places whose guests have not come in time."""
-        while self.advised and next(iter(self.advised.values())) + LATE < now:
-            self.advised.popitem(last=False)
+        while self.return_times and next(iter(self.return_times.values())) + LATE < now:
+            self.return_times.popitem(last=False)
             self.shows += 0.02 * (0.1 - self.shows)
 
-    def hopeless(self, now: int, line: int, patience: int, kept: bool = False) -> bool:
+    def cannot_be_served(self, now: int, line: int, patience: int, kept: bool = False) -> bool:
         """Whether a guest that joins the line now cannot be answered within its patience at the present pace.
         One whose place was kept is taken unless the line alone is too long for it."""
         if line <= SHORT:
@@ -97,7 +97,7 @@
         room = self.pace(now) * patience / SECOND  # guests that are placed before it must be
         if kept:
             return line > room
-        return line + min(len(self.advised) * self.shows, room) > room * SAFE
+        return line + min(len(self.return_times) * self.shows, room) > room * SAFE
 
     def _turn(self, now: int) -> None:
         at = now // BIN
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -12,7 +12,7 @@
 class Claiming(Dispatches):
     """The side of an engine that the other planners answer."""
 
-    def claim_by(self, now: int, claims: Claims) -> None:
+    def use_claims(self, now: int, claims: Claims) -> None:
         """From now on no offer of an exclusive or ticketed guest leaves without an agreed claim. Before any
         other input but `keep`."""
         self.claims = claims
@@ -21,11 +21,11 @@
 
     def agreed(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> None:
         """How an `Agree` ended: agreed, with the value that stands; refused, or open, with the reason."""
-        for verdict in self.claims.told(now, no, outcome, value, reason):
+        for verdict in self.claims.proposal_ended(now, no, outcome, value, reason):
             if verdict.what == "looked":
                 self._looked(now, verdict)
                 continue
-            case = self.cases.get(verdict.name)
+            case = self.records.get(verdict.name)
             waits = case is not None and bool(case.machine) and not case.sent and not case.placed
             if verdict.what == "theirs":
                 if case is not None and not case.placed and not case.sent:
@@ -99,7 +99,10 @@
                 owner, m.State(guest=guest, ask=int(ask), state="unsettled", reason=verdict.reason)
             )
         elif (
-            guest in self.newest or claim is None or claim.state == "free" or self.claims.mine(verdict.value)
+            guest in self.newest_records
+            or claim is None
+            or claim.state == "free"
+            or self.claims.mine(verdict.value)
         ):
             self._send_owner(owner, self._state(message))
         else:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -18,7 +18,7 @@
         case.sent_at = now
         self._overdue(now + span, case)
         self._hold(case)
-        fellow = self.roster.fellows.get(machine)
+        fellow = self.roster.machines.get(machine)
         if fellow is None:
             self._not_sent(now, case, Ending.NO_CONNECTION)
             return
@@ -42,10 +42,10 @@
         link.used_at = now
         case.sent, case.sent_at, case.incarnation = True, now, link.incarnation
         case.sent_claim, case.sent_unconfirmed = case.claim, link.unconfirmed
-        self._mark("guest", case.name)
+        self._mark_changed("guest", case.name)
         host = self.brain.machines.get(case.machine)
-        if host and now - host.cold_at < self.facts.cold_for:
-            self._mark("cold", case.machine)
+        if host and now - host.cold_at < self.deployment.cold_for:
+            self._mark_changed("cold", case.machine)
         self.counts["dispatches"] += 1
         self._send_machine(
             case.machine,
@@ -75,12 +75,12 @@
     def _ended(self, now: int, case: GuestRecord, ending: Ending, remark: Remark) -> None:
         """The dispatch that was out is over and the guest is held again, or answered by what follows."""
         self._unhold(case)
-        self.monitor.attempt_ended(case.name, ending not in NEVER_RAN)
+        self.monitor.dispatch_ended(case.name, ending not in NEVER_RAN)
         self._task_event("ended", case, f"{ending.name.lower()} {remark.name.lower()}")
         if ending not in NEVER_RAN:
             case.unsure, case.ran_from = case.machine, case.ran_from or case.sent_at
         case.machine = ""
-        self._mark("guest", case.name)
+        self._mark_changed("guest", case.name)
         self.brain.dispatch_ended(now, case.name, ending, False, remark)
         self._adopt(now, case.guest)
 
@@ -104,7 +104,7 @@
         self._unhold(case)
         self.brain.dispatch_ended(now, case.name, ending, True, remark)
         self._forget(case)
-        if self.peers.asks_again:
+        if self.peers.owners_resubmit:
             self._keep_end(now, case.guest, how)
         self._send_owner(
             case.owner, m.GuestEnded(guest=case.guest, ask=case.ask, how=how, machine=case.machine)
@@ -116,7 +116,7 @@
             return
         self._task_event("given_up", case)
         link = self.links.get(case.machine)
-        if self.peers.rolls:
+        if self.peers.reports_inventory:
             self._loosen(now, case)
         if link and link.state == "up":
             self._send_machine(case.machine, m.Withdraw(guest=case.guest, ask=case.ask, attempt=case.attempt))
@@ -125,10 +125,10 @@
         self.loose.setdefault(case.guest, {})[case.machine] = AbandonedDispatch(
             case, case.attempt, case.machine, case.sent_at, roll_at=now + 1_000_000
         )
-        self._mark("loose", case.guest, case.machine)
+        self._mark_changed("loose", case.guest, case.machine)
 
     def _call_off(self, now: int, name: str, machine: str) -> None:
-        case = self.cases.get(name)
+        case = self.records.get(name)
         link = self.links.get(machine)
         up = link is not None and link.state == "up"
         if case and case.machine == machine:
@@ -157,7 +157,7 @@
             self._give_up(now, case)
             self._unhold(case)
             self.brain.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
-            self.monitor.attempt_ended(case.name, may_have_run=case.sent)
+            self.monitor.dispatch_ended(case.name, may_have_run=case.sent)
             case.machine = ""
         self._answer(now, case, message, case.asks)
         self._forget(case)
@@ -170,23 +170,25 @@
         self._task_event(
             "answered", case, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
-        if not self.peers.asks_again:
-            self._violated(self.monitor.answered(case.name, self.facts.products[case.product].effect), case)
+        if not self.peers.owners_resubmit:
+            self._violated(
+                self.monitor.answered(case.name, self.deployment.products[case.product].effect), case
+            )
         keep = now + micros(self.limits.keep_answers_ms)
         for ask in list(asks):
             told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
-            if self.peers.asks_again:
+            if self.peers.owners_resubmit:
                 self.answers[case.guest, ask] = told, keep
                 self.answers.move_to_end((case.guest, ask))
-                self._mark("answer", case.guest, ask)
+                self._mark_changed("answer", case.guest, ask)
             self._send_owner(case.owner, told)
         case.asks = {}
-        self._mark("guest", case.name)
+        self._mark_changed("guest", case.name)
 
     def _stands(self, now: int, loose: AbandonedDispatch) -> None:
         """A dispatch that was given up was accepted: the Brain says whose it is, or that it goes."""
         loose.stands = True
-        self._mark("loose", loose.case.guest, loose.machine)
+        self._mark_changed("loose", loose.case.guest, loose.machine)
         self.counts["late_copies"] += 1
         self._adopt(now, loose.case.guest)
 
@@ -197,7 +199,7 @@
         for loose in list(self.loose.get(guest, {}).values()):
             if not loose.stands:
                 continue
-            held = self.newest.get(guest)
+            held = self.newest_records.get(guest)
             case = held or loose.case
             self.brain.copy_stands(now, loose.machine, self._ask(case, 0))
             mine = self.brain.guests.get(case.name)
@@ -207,9 +209,9 @@
             case.ask, case.machine, case.attempt = loose.case.ask, loose.machine, loose.attempt
             case.sent, case.placed, case.sent_at = True, True, loose.sent_at
             self._fact(now, case, "placed")
-            self.cases[case.name] = self.newest[guest] = case
+            self.records[case.name] = self.newest_records[guest] = case
             self._hold(case)
-            self._mark("guest", case.name)
+            self._mark_changed("guest", case.name)
             if case.asks:
                 self._answer(now, case, m.Placed(guest=guest, ask=case.ask, machine=case.machine), case.asks)
             if case.cancelled:
@@ -223,9 +225,9 @@
             self._rested(now, link)
         if link is None or link.state == "up":
             self._send_machine(machine, message)
-            if link is not None and not self.peers.rolls:
+            if link is not None and not self.peers.reports_inventory:
                 link.told = [each for each in link.told if each[0] > now] + [(now + CROSSED, message)]
-        elif fellow := self.roster.fellows.get(machine):
+        elif fellow := self.roster.machines.get(machine):
             link.words.append((now + micros(self.limits.keep_answers_ms), message))
             self._dial(now, fellow)
 
@@ -237,7 +239,7 @@
         self.probe_number += 1
         self.counts["probes"] += 1
         self.probes[machine] = OutstandingProbe(self.probe_number, now + micros(self.limits.probe_ms))
-        fellow = self.roster.fellows.get(machine)
+        fellow = self.roster.machines.get(machine)
         if fellow is None:
             self._probe_over(now, machine, False)
             return
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -33,12 +33,12 @@
         """From now on `flush` tells what is to be kept; begins where the images in the ledger left off.
         Before any other input. Returns counts of what was recovered; ValueError if an image cannot be
         read."""
-        self.keeping = StatePersistence(epoch)
+        self.persistence = StatePersistence(epoch)
         return recover(self, now, ledger, complete)
 
     def flush(self, now: int) -> list[Change]:
         """What must be safe before the actions of this moment are carried out."""
-        return self.keeping.flush(self, now)
+        return self.persistence.flush(self, now)
 
     def state_kept(self, now: int, well: bool) -> None:
         """The disk fails, or works again. While it fails no guest is taken or sent whose second run could do
@@ -49,9 +49,9 @@
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
         """An offer did not leave, since what it rests on could not be made safe."""
-        case = self.cases.get(f"{offer.guest}/{offer.ask}") or self.newest.get(offer.guest)
+        case = self.records.get(f"{offer.guest}/{offer.ask}") or self.newest_records.get(offer.guest)
         if case and case.sent and not case.placed and (case.ask, case.attempt) == (offer.ask, offer.attempt):
-            if self.facts.list_lease:
+            if self.deployment.list_lease:
                 self.brain.dispatch_held_back(now, case.name)
             self._not_sent(now, case, Ending.NOT_SENT)
 
@@ -62,7 +62,7 @@
         waited long enough to be read; `next_at` says then to pump again at once."""
         self._time_outs(now)
         self._tell_lease(now)
-        for _ in range(self.at_once):
+        for _ in range(self.decision_batch):
             decision = self.brain.decide(now)
             self.more = decision is not None
             if decision is None:
@@ -88,7 +88,7 @@
                 if t
             ]
         times += [l.roll_at for by in self.loose.values() for l in by.values()]
-        if not self.peers.rolls and self.links:
+        if not self.peers.reports_inventory and self.links:
             times.append(self.idle_at)  # silence is looked for though nothing happens
         return min(times, default=None)
 
@@ -96,7 +96,7 @@
         self._leave_out_stop(now)
         while self.overdue and self.overdue[0][0] <= now:
             _, name, attempt = heappop(self.overdue)
-            case = self.cases.get(name)
+            case = self.records.get(name)
             if case and case.machine and not case.placed and case.attempt == attempt:
                 if case.sent:
                     self._give_up(now, case)
@@ -129,7 +129,7 @@
                 self._forget_machine(now, link)
             if link.state == "down" and link.dial_at and link.dial_at <= now:
                 link.dial_at = 0
-                if fellow := self.roster.fellows.get(link.machine):
+                if fellow := self.roster.machines.get(link.machine):
                     self._dial(now, fellow)
         for by in list(self.loose.values()):
             for loose in list(by.values()):
@@ -145,7 +145,7 @@
         idle = micros(self.limits.idle_close_ms)
         self.idle_at = now + min(500_000, idle // 8)  # four fifths of the far side's time, and a tenth of it
         self._settle_doubts(now)
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             for link in list(self.links.values()):
                 self._watch_silence(now, link)
         for link in [l for l in self.links.values() if l.state == "up" and now - l.used_at > idle]:
@@ -156,16 +156,16 @@
     def _carry_out(self, now: int, decision: Decision) -> None:
         step, name, machine, span = decision
         if step is Step.DISPATCH:
-            self._dispatch(now, self.cases[name], machine, span)
+            self._dispatch(now, self.records[name], machine, span)
         elif step is Step.TURN_BACK:
-            case = self.cases[name]
+            case = self.records[name]
             why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if case.cancelled else self._later(now, case.guest, span)
             self._final(
                 now, case, m.TurnedBack(guest=case.guest, ask=case.ask, reason=why, again_after=later)
             )
         elif step is Step.BREAK_OFF:
-            case = self.cases[name]
+            case = self.records[name]
             why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
             self._final(now, case, m.BrokenOff(guest=case.guest, ask=case.ask, reason=why))
         elif step is Step.CALL_OFF:
@@ -182,14 +182,14 @@
         """Takes nothing more. What is held is answered by the Brain at once; what is out is called off, and
         answered when its machine has said whether it ran. Running guests run on."""
         self.stopping = True
-        for case in list(self.cases.values()):
+        for case in list(self.records.values()):
             if not case.placed:
                 self.brain.guest_cancelled(now, case.name)
         self._pump_all(now)
 
     def stop_now(self, now: int) -> None:
         """The time for a stop is over: what is still out goes to the Brain as unknown, and is answered so."""
-        for case in list(self.cases.values()):
+        for case in list(self.records.values()):
             if case.machine and not case.placed:
                 self._give_up(now, case)
                 self._ended(now, case, Ending.OVERDUE, Remark.NONE)
@@ -202,4 +202,4 @@
 
     def unanswered(self) -> int:
         """Guests taken and not yet answered."""
-        return sum(not c.placed for c in self.cases.values())
+        return sum(not c.placed for c in self.records.values())
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -16,12 +16,16 @@
         self.restless[link.machine] = None
         self._drop_queue(now, link)
         self._probe_over(now, link.machine, False)
-        if not self.peers.rolls:  # a set-up ends with its connection, what stands does not
+        if not self.peers.reports_inventory:  # a set-up ends with its connection, what stands does not
             for name in list(link.holds):
-                case = self.cases[name]
+                case = self.records[name]
                 if case.sent and not case.placed:
                     self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
-        if not self.peers.rolls and link.machine not in self.roster.fellows and not self._awaits_heir(link):
+        if (
+            not self.peers.reports_inventory
+            and link.machine not in self.roster.machines
+            and not self._awaits_heir(link)
+        ):
             self._forget_machine(now, link)  # it has left the list, and its connection with it
             return
         keep = now + micros(self.limits.keep_answers_ms)
@@ -40,11 +44,13 @@
         link.words.clear()
         link.incarnation = link.incarnation if link.state == "up" else 0
         for name in list(link.holds):
-            case = self.cases[name]
-            if case.placed and self.peers.rolls:  # it may run on, cut off: its machine is asked later
+            case = self.records[name]
+            if (
+                case.placed and self.peers.reports_inventory
+            ):  # it may run on, cut off: its machine is asked later
                 self._loosen(now, case)
             self._gone(now, case, "lost")
-        if link.machine not in self.roster.fellows:
+        if link.machine not in self.roster.machines:
             for guest in [g for g, by in self.loose.items() if link.machine in by]:
                 self._settled(guest, link.machine)
             del self.links[link.machine]
@@ -53,11 +59,11 @@
 
     def _drop_queue(self, now: int, link: Link) -> None:
         for name in list(link.queue):
-            self._not_sent(now, self.cases[name], Ending.NO_CONNECTION)
+            self._not_sent(now, self.records[name], Ending.NO_CONNECTION)
 
     def _awaits_heir(self, link: Link) -> bool:
         """Whether a task there may stand at another machine, which the list will name with this address."""
-        return any(self.cases[name].sent_unconfirmed for name in link.holds)
+        return any(self.records[name].sent_unconfirmed for name in link.holds)
 
     def _abandon(self, now: int, link: Link) -> None:
         self.counts["links_silent"] += 1
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -40,7 +40,7 @@
         if link is None or link.state != "dialling":
             self.actions.append(HangUp(machine))
             return
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             self._opened(now, link)
             return
         if welcome.name != machine:
@@ -66,7 +66,7 @@
         """A connection stands to a machine that tells nothing of what it holds."""
         link.state, link.rolled, link.dial_at = "up", True, 0
         link.used_at = link.opened_at = now
-        if self.facts.list_lease:  # until the list shows the machine there at a later moment
+        if self.deployment.list_lease:  # until the list shows the machine there at a later moment
             link.unconfirmed = True
             self.unconfirmed_links[link.machine] = None
         if link.lost_at and self._heard_lately(now, link):
@@ -82,7 +82,7 @@
                 self._send_machine(link.machine, message)
                 link.told.append((now + CROSSED, message))
         for name in list(link.queue):
-            self._offer(now, self.cases[name])
+            self._offer(now, self.records[name])
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
@@ -99,7 +99,7 @@
         link = self.links.get(machine)
         if link is None:
             return
-        if refused and not self.peers.rolls and link.lost_at:
+        if refused and not self.peers.reports_inventory and link.lost_at:
             link.lost_at = now - micros(self.limits.reconnect_ms)
         self.counts["dials_failed"] += 1
         self.restless[machine] = None
@@ -130,7 +130,7 @@
         if link is None or link.state != "up":
             return
         link.heard_at, link.unanswered = now, 0
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             link.lost_at = 0
         if isinstance(message, m.Running):
             self._rolled(now, link, message)
@@ -148,14 +148,17 @@
             return
         if (report := getattr(message, "load", None)) is not None:
             self.brain.machine_reported(now, machine, load(report))
-        for case in (self.newest.get(message.guest), self.cases.get(f"{message.guest}/{message.ask}")):
+        for case in (
+            self.newest_records.get(message.guest),
+            self.records.get(f"{message.guest}/{message.ask}"),
+        ):
             if (
                 case
                 and case.machine
                 and case.machine in (machine, link.heir)
                 and case.sent
                 and (
-                    not self.peers.names_attempts
+                    not self.peers.identifies_dispatches
                     or (case.ask, case.attempt) == (message.ask, message.attempt)
                 )
             ):
@@ -166,15 +169,20 @@
     def _heard(self, now: int, case: GuestRecord, message: m.Offered) -> None:
         """News of the dispatch that is out, or of the placed guest."""
         case.spoken_at = now
-        if isinstance(message, m.Taken) and not case.placed and case.called_off and not self.peers.rolls:
+        if (
+            isinstance(message, m.Taken)
+            and not case.placed
+            and case.called_off
+            and not self.peers.reports_inventory
+        ):
             # The taking back ends what was taken, and no word follows that an owner could be told.
             self._ended(now, case, Ending.CALLED_OFF, Remark.NONE)
         elif isinstance(message, m.Taken) and not case.placed:
             case.placed = True
-            self._mark("guest", case.name)
+            self._mark_changed("guest", case.name)
             self._fact(now, case, "placed")
             self.brain.dispatch_taken(now, case.name, now - case.sent_at)
-            if self.peers.advised:
+            if self.peers.advises_retry:
                 self.retry_advisor.placed(now, case.guest)
             self._answer(
                 now,
@@ -213,32 +221,32 @@
     def _had_accepted(self, how: str) -> bool:
         """Whether only a machine that had accepted a task can end it so. One that accepts a task when it runs
         may push it out before. Where machines roll, their answer always comes first."""
-        if self.peers.rolls:
+        if self.peers.reports_inventory:
             return False
-        return how == "done" or how in STOOD and not self.facts.confirms_running
+        return how == "done" or how in STOOD and not self.deployment.confirms_running
 
     def _over_before_its_answer(self, now: int, case: GuestRecord) -> None:
         """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
         attempt under the same name would be answered "placed" after the end of what was placed."""
         self.counts["over_before_answer"] += 1
         case.cancelled = True
-        self._mark("guest", case.name)
+        self._mark_changed("guest", case.name)
         self.brain.guest_cancelled(now, case.name)
 
     def _heard_loose(self, now: int, machine: str, message: m.Offered) -> None:
         """News of a dispatch that was given up."""
         loose = self.loose.get(message.guest, {}).get(machine)
         if loose is None or loose.case.ask != message.ask:
-            if isinstance(message, m.Ended) and (stand := self.waiting_stands.pop(message.guest, None)):
+            if isinstance(message, m.Ended) and (stand := self.waiting_handovers.pop(message.guest, None)):
                 self.counts["found_ended"] += 1
                 if not stand.ended:
                     told = m.GuestEnded(guest=message.guest, how=message.how, machine=stand.machine)
                     self._send_owner(stand.owner, told)
                 return
             self.counts["stray_messages"] += 1
-            if self.peers.tells_use and isinstance(message, m.Started | m.Use | m.Served):
+            if self.peers.reports_use and isinstance(message, m.Started | m.Use | m.Served):
                 self._spoke_of_unknown(machine, message.guest)
-            if isinstance(message, m.Ended) and not self.peers.asks_again:
+            if isinstance(message, m.Ended) and not self.peers.owners_resubmit:
                 self._keep_end(now, message.guest, message.how)
             return
         if isinstance(message, m.Refused | m.Ended):
@@ -256,7 +264,7 @@
         same_life = not link.before or link.before == link.incarnation
         link.before = link.incarnation
         for name in list(link.holds):
-            case = self.cases[name]
+            case = self.records[name]
             stand = there.pop((case.guest, case.ask), None)
             if not case.sent:
                 continue
@@ -270,7 +278,7 @@
                 stand
                 and stand.state != "line"
                 and not case.placed
-                and not (stand.state == "accepted" and self.facts.confirms_running)
+                and not (stand.state == "accepted" and self.deployment.confirms_running)
             ):
                 self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
             if stand and stand.state == "runs":
@@ -289,13 +297,15 @@
             elif stand.state == "line":
                 loose.roll_at = now  # taken back once more
             elif not loose.stands and (
-                stand.state == "runs" or stand.state == "accepted" and not self.facts.confirms_running
+                stand.state == "runs" or stand.state == "accepted" and not self.deployment.confirms_running
             ):
                 self._stands(now, loose)
         for stand in there.values():
             if stand.state in ("runs", "accepted"):
                 self._found(now, link, stand)
-            elif stand.state == "ended" and stand.how != "withdrawn" and stand.guest not in self.newest:
+            elif (
+                stand.state == "ended" and stand.how != "withdrawn" and stand.guest not in self.newest_records
+            ):
                 # It ended while no planner listened: its owner will ask, and must not hear that it is
                 # unknown.
                 self._keep_end(now, stand.guest, stand.how)
@@ -303,10 +313,10 @@
         # anew.
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
         for name in list(link.queue):
-            if self.cases[name].submit.service in found:
-                self._not_sent(now, self.cases[name], Ending.NOT_SENT)
+            if self.records[name].submit.service in found:
+                self._not_sent(now, self.records[name], Ending.NOT_SENT)
             else:
-                self._offer(now, self.cases[name])
+                self._offer(now, self.records[name])
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
@@ -327,10 +337,10 @@
         self.counts["found"] += 1
         case = GuestRecord(name, stand.guest, stand.ask, stand.owner, self.products[stand.product], stand)
         case.attempt, case.sent_at = stand.attempt, now
-        held = self.newest.get(stand.guest)
-        if held and held.machine or name in self.cases:  # out or placed elsewhere: one copy too many
+        held = self.newest_records.get(stand.guest)
+        if held and held.machine or name in self.records:  # out or placed elsewhere: one copy too many
             loose = AbandonedDispatch(case, stand.attempt, link.machine, now, roll_at=now + 1_000_000)
-            self._mark("loose", stand.guest, link.machine)
+            self._mark_changed("loose", stand.guest, link.machine)
             self.loose.setdefault(stand.guest, {})[link.machine] = loose
             self._stands(now, loose)
             return
@@ -338,12 +348,12 @@
         if held:  # asked again while its planner was away: what runs is the answer
             self.brain.guest_left(now, held.name)
             self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
-            del self.cases[held.name]
-            self._mark("guest", held.name)
-        self.cases[name] = self.newest[stand.guest] = case
+            del self.records[held.name]
+            self._mark_changed("guest", held.name)
+        self.records[name] = self.newest_records[stand.guest] = case
         case.incarnation = link.incarnation
         self._hold(case)
-        self._mark("guest", name)
+        self._mark_changed("guest", name)
         self.brain.guest_found(now, link.machine, self._ask(case, 0))
         self._fact(now, case, "placed")
 
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -26,8 +26,8 @@
         first, self.list_heard = not self.list_heard, True
         self.list_version = message.version
         news = self.roster.learn(now, message)
-        if self.keeping is not None:
-            self.keeping.told(message)
+        if self.persistence is not None:
+            self.persistence.told(message)
         self.counts["list_entries"] += len(message.entries)
         self.counts["list_faults"] += len(news.faults)
         self.brain.machines_listed(now, news.listed, message.whole)
@@ -36,7 +36,7 @@
         for name in news.closed:  # what has not left may not go there any more
             if link := self.links.get(name):
                 for case_name in list(link.queue):
-                    self._not_sent(now, self.cases[case_name], Ending.NOT_SENT)
+                    self._not_sent(now, self.records[case_name], Ending.NOT_SENT)
         for name in news.moved:
             if name in self.links:
                 self.actions.append(HangUp(name))
@@ -47,7 +47,7 @@
             if (link := self.links.get(name)) and (
                 not link.state == "up"
                 and not self._awaits_heir(link)
-                or not self.peers.rolls
+                or not self.peers.reports_inventory
                 and not link.holds
             ):
                 if link.state == "up":
@@ -55,22 +55,22 @@
                     link.close(now)
                 self._forget_machine(now, link)
         self._resolve_stands(now, list_is_whole=False)
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             for name in news.fresh:
                 if (link := self.links.get(name)) and link.machine not in inherited:
-                    self._new_life(now, link, self.roster.fellows[name].started)
+                    self._new_life(now, link, self.roster.machines[name].started)
             return
         if first:
-            self.unheard = {f.name for f in self.roster.fellows.values()}
+            self.unheard = {f.name for f in self.roster.machines.values()}
         for name in news.fresh:  # each is asked once what it holds of ours
-            self._dial(now, self.roster.fellows[name])
+            self._dial(now, self.roster.machines[name])
 
     def _new_life(self, now: int, link: Link, started: int) -> None:
         """The list tells of a machine's new life: what came to it in the old one is over. Where the clocks
         may differ, a task sent before a connection ended has to be spoken of on a later one."""
         ended_at, reset_at = previous_incarnation_ended(now, link, started)
         for name in list(link.holds):
-            case = self.cases[name]
+            case = self.records[name]
             if case.handed_over_at and not case.spoken_at:
                 self._doubt_handed_over(case)
             if not case.sent or case.sent_at >= max(ended_at, reset_at) or case.spoken_at > reset_at > 0:
@@ -95,7 +95,7 @@
     def list_confirmed(self, now: int, as_of: int) -> bool:
         """The list was current at that moment: the service answered a call made then. True if that changes
         anything but the lease's end."""
-        changes = not self.list_taken or bool(self.waiting_stands or self.unconfirmed_links)
+        changes = not self.list_taken or bool(self.waiting_handovers or self.unconfirmed_links)
         self.lease.confirm(as_of)
         if self.lease.holds(now):
             self._resolve_stands(now, list_is_whole=True)
@@ -113,7 +113,7 @@
         self.lease.note(Lapse.FAILED)
         self.list_failed(now)
 
-    def list_moved(self, now: int) -> None:
+    def list_address_changed(self, now: int) -> None:
         """The list service has a new address, which has told nothing yet."""
         self.lease.end(Lapse.MOVED)
         self._tell_lease(now)
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -27,7 +27,7 @@
         held against them, and nothing is taken for lost before what came meanwhile is read."""
         stopped = now - self.pumped_at - PUMPS_APART
         self.pumped_at = now
-        if stopped <= 0 or self.peers.rolls:
+        if stopped <= 0 or self.peers.reports_inventory:
             return
         self.ran_on_at = now
         self.counts["stops_left_out"] += 1
@@ -45,14 +45,14 @@
         if well is not link.passes_tests:
             self._machine_event("test_passed" if well else "test_failed", link.machine)
         link.passes_tests = well
-        if not well and self.facts.list_lease:
+        if not well and self.deployment.list_lease:
             self.brain.machine_refuses(now, link.machine)
 
     def _unheard(self, now: int, machine: str, since: int) -> None:
         """A probe was not answered. Where no roll call tells of a dead connection, two in a row with not a
         word between them are taken for one: it is closed and opened anew."""
         link = self.links.get(machine)
-        if self.peers.rolls or link is None or link.state != "up" or link.heard_at >= since:
+        if self.peers.reports_inventory or link is None or link.state != "up" or link.heard_at >= since:
             return
         link.unanswered += 1
         if link.unanswered >= 2:
@@ -66,7 +66,7 @@
         silent = micros(self.limits.silent_ms)
         if not link.holds or now - self.ran_on_at < HEARD_WITHIN:
             return
-        if link.machine not in self.roster.fellows:
+        if link.machine not in self.roster.machines:
             link.gone_at = link.gone_at or now
             if now - link.gone_at < (HEIR_WITHIN if self._awaits_heir(link) else GONE_WITHIN):
                 return
@@ -77,7 +77,7 @@
             elif (
                 link.state == "up"
                 and now - max(link.heard_at, link.opened_at) > silent
-                and all(self.cases[name].placed for name in link.holds)
+                and all(self.records[name].placed for name in link.holds)
             ):
                 if link.asked_at <= link.heard_at:
                     link.asked_at = now
@@ -110,7 +110,7 @@
                     loose.machine,
                     m.Withdraw(guest=loose.case.guest, ask=loose.case.ask, attempt=loose.attempt),
                 )
-        elif fellow := self.roster.fellows.get(loose.machine):
+        elif fellow := self.roster.machines.get(loose.machine):
             self._dial(now, fellow)
         else:
             self._settled(loose.case.guest, loose.machine)
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -98,25 +98,25 @@
 
     def __init__(self, kinds: dict[str, int]) -> None:
         self.kinds = kinds
-        self.fellows: dict[str, RosterMachine] = {}
+        self.machines: dict[str, RosterMachine] = {}
 
     def learn(self, now: int, listing: Listing) -> RosterChanges:
         news = RosterChanges()
         for entry in listing.entries:
-            if entry.kind not in self.kinds and entry.machine not in self.fellows:
+            if entry.kind not in self.kinds and entry.machine not in self.machines:
                 news.faults.append(f"{entry.machine}: no kind is called {entry.kind!r}")
                 continue
             self._entry(now, entry, news)
         if listing.whole:
             named = {entry.machine for entry in listing.entries}
-            for name in [n for n in self.fellows if n not in named]:
+            for name in [n for n in self.machines if n not in named]:
                 news.closed.append(name)
                 news.gone.append(name)
-                del self.fellows[name]
+                del self.machines[name]
         return news
 
     def _entry(self, now: int, entry: Entry, news: RosterChanges) -> None:
-        old = self.fellows.get(entry.machine)
+        old = self.machines.get(entry.machine)
         mode = MODES[entry.mode]
         started = 0
         if old and old.incarnation == entry.incarnation:
@@ -140,12 +140,12 @@
             news.closed.append(entry.machine)
         if mode is Mode.GONE:
             news.gone.append(entry.machine)
-            self.fellows.pop(entry.machine, None)
+            self.machines.pop(entry.machine, None)
             return
         if not old or old.incarnation != entry.incarnation:
             news.fresh.append(entry.machine)
         elif old.address != entry.address:
             news.moved.append(entry.machine)
-        self.fellows[entry.machine] = RosterMachine(
+        self.machines[entry.machine] = RosterMachine(
             entry.machine, entry.address, mode, entry.incarnation, started, kind
         )
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -39,7 +39,7 @@
         self.most_attempts = most_attempts
         self.accounts: dict[str, GuestAccount] = {}  # by task; emptied as tasks are forgotten
 
-    def attempt_leaves(self, task: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
+    def dispatch_sent(self, task: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
         """The bytes of an offer are about to leave."""
         account = self.accounts.setdefault(task, GuestAccount(effect))
         account.attempts += 1
@@ -57,7 +57,7 @@
         account.out_at = machine
         return found
 
-    def attempt_ended(self, task: str, may_have_run: bool) -> None:
+    def dispatch_ended(self, task: str, may_have_run: bool) -> None:
         if account := self.accounts.get(task):
             account.may_have_run = account.may_have_run or may_have_run
             account.out_at = ""
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -4,7 +4,7 @@
 from hazelhold.engine.events import TaskEvent
 from hazelhold.engine.permission import Denial, offer_denied, start_denied
 from hazelhold.engine.records import GuestRecord
-from hazelhold.engine.tables import WaitingStand
+from hazelhold.engine.tables import WaitingHandover
 from hazelhold.engine.verification import GuestVerification
 from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
 from hazelhold.protocol import messages as m
@@ -26,8 +26,8 @@
 
     def _submitted(self, now: int, owner: str, submit: m.Submit) -> None:
         guest, ask = submit.guest, submit.ask
-        old = case = self.newest.get(guest)
-        in_hand = case is not None and not self.peers.asks_again
+        old = case = self.newest_records.get(guest)
+        in_hand = case is not None and not self.peers.owners_resubmit
         if start_denied(self.stopping, in_hand) is Denial.IN_HAND:
             self.counts["rejected_open_already"] += 1
             self._send_owner(
@@ -38,7 +38,7 @@
             # it joins what is in hand: one guest, one dispatch, one answer for each
             self.counts["repeats"] += 1
             case.owner = owner
-            self._mark("guest", case.name)
+            self._mark_changed("guest", case.name)
             if case.placed:
                 self._answer(now, case, m.Placed(guest=guest, ask=ask, machine=case.machine), [ask])
             else:
@@ -49,7 +49,7 @@
             self.counts["answers_repeated"] += 1
             self._send_owner(owner, past[0])
             return
-        kept = self.peers.advised and self.retry_advisor.came(now, guest)
+        kept = self.peers.advises_retry and self.retry_advisor.guest_returned(now, guest)
         if fault := self._fault(now, submit, kept):
             self.counts["rejected_" + fault[0]] += 1
             later = self._later(now, guest) if fault[0] in LATER else 0
@@ -60,13 +60,13 @@
         case = GuestRecord(
             f"{guest}/{ask}", guest, ask, owner, self.products[submit.product], submit, {ask: None}
         )
-        if case.name in self.cases:  # cancelled, with its call-off under way
+        if case.name in self.records:  # cancelled, with its call-off under way
             self._send_owner(owner, m.Rejected(guest=guest, ask=ask, code="ending", text="its cancel is on"))
             return
-        self.cases[case.name] = self.newest[guest] = case
+        self.records[case.name] = self.newest_records[guest] = case
         self.counts["taken"] += 1
-        self._mark("guest", case.name)
-        if self.peers.hears_held:
+        self._mark_changed("guest", case.name)
+        if self.peers.acknowledges_submission:
             self._send_owner(owner, m.Held(guest=guest, ask=ask))
         earlier = self._earlier(now, submit, old)
         case.unsure = earlier.machine if earlier else ""
@@ -92,13 +92,13 @@
             return "unknown_customer", f"no customer is called {submit.customer!r}"
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
-        if not self.kept_well and self.facts.products[self.products[submit.product]].effect is not (
+        if not self.kept_well and self.deployment.products[self.products[submit.product]].effect is not (
             Effect.RERUNNABLE
         ):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
-        if len(self.cases) >= self.limits.open_guests:
+        if len(self.records) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
-        if self.peers.advised and self.retry_advisor.hopeless(
+        if self.peers.advises_retry and self.retry_advisor.cannot_be_served(
             now, len(self.brain.waiting), submit.patience, kept
         ):
             return "overloaded", "the line is longer than this patience"
@@ -109,30 +109,30 @@
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
-            known is not None and self.facts.products[known].effect is Effect.RERUNNABLE
+            known is not None and self.deployment.products[known].effect is Effect.RERUNNABLE
         )
-        if asked and not (guest in self.newest or self.loose.get(guest) or guest in self.ends):
-            self.claims.look(now, guest, f"{owner}\0{guest}\0{message.ask}")
+        if asked and not (guest in self.newest_records or self.loose.get(guest) or guest in self.ends):
+            self.claims.query(now, guest, f"{owner}\0{guest}\0{message.ask}")
             self._wanted()
         else:
             self._send_owner(owner, self._state(message))
 
     def _cancelled(self, now: int, owner: str, message: m.Cancel) -> None:
-        case = self.newest.get(message.guest)
+        case = self.newest_records.get(message.guest)
         if case is None:
             self._send_owner(owner, self._state(message))
             return
         self.counts["cancels"] += 1
         case.owner, case.cancelled = owner, True
-        self._mark("guest", case.name)
+        self._mark_changed("guest", case.name)
         self.brain.guest_cancelled(now, case.name)
 
     def owner_left(self, now: int, guest: str) -> bool:
         """Its owner waits no longer, or ends what stands: no answer and no word of an end is owed. What is
         out or runs is taken back from its machine. False if the guest is not in hand."""
-        case = self.newest.get(guest)
-        if case is None and guest in self.waiting_stands:
-            self.waiting_stands[guest] = self.waiting_stands[guest]._replace(ended=True)
+        case = self.newest_records.get(guest)
+        if case is None and guest in self.waiting_handovers:
+            self.waiting_handovers[guest] = self.waiting_handovers[guest]._replace(ended=True)
             return True
         if case is None:
             self.counts["left_unknown"] += 1
@@ -149,18 +149,18 @@
         self._forget(case)
         return True
 
-    def give_up(self, now: int, guest: str) -> None:
+    def withdraw_guest(self, now: int, guest: str) -> None:
         """Nothing more is begun for a guest that awaits its answer; that is given as to a cancel."""
-        case = self.newest.get(guest)
+        case = self.newest_records.get(guest)
         if case and not case.placed and not case.cancelled:
             self.counts["given_up"] += 1
             case.cancelled = True
             self.brain.guest_cancelled(now, case.name)
 
-    def guest_stands(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
+    def adopt_guest(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
         """An owner hands over a guest that runs on a machine already; returns what is wrong, or nothing. One
         that is in hand stays as it is."""
-        if submit.guest in self.newest:
+        if submit.guest in self.newest_records:
             self.counts["found_known"] += 1
             return ""
         if submit.guest in self.ends:  # its machine told of its end before its owner handed it over
@@ -170,17 +170,17 @@
             return ""
         if submit.product not in self.products:
             return "unknown_product"
-        fellow = self.roster.fellows.get(machine)
+        fellow = self.roster.machines.get(machine)
         if fellow is None and not self.lease.holds(now):
             self.counts["found_before_list"] += 1
             self.events.append(
                 TaskEvent("handed_over", submit.guest, 0, machine, "its machine is not listed yet")
             )
-            self.waiting_stands[submit.guest] = WaitingStand(owner, machine, submit)
+            self.waiting_handovers[submit.guest] = WaitingHandover(owner, machine, submit)
             return ""
         if fellow is None:
             return "unknown_machine"
-        if len(self.cases) >= self.limits.open_guests:
+        if len(self.records) >= self.limits.open_guests:
             return "full"
         self.counts["found"] += 1
         case = GuestRecord(
@@ -198,7 +198,7 @@
             handed_over_at=now,
             spoken_at=now if self.spoken_of.pop(submit.guest, "") == machine else 0,
         )
-        self.cases[case.name] = self.newest[case.guest] = case
+        self.records[case.name] = self.newest_records[case.guest] = case
         self._doubt_handed_over(case)
         self._hold(case)
         self._task_event("handed_over", case)
@@ -210,12 +210,12 @@
     def _resolve_stands(self, now: int, list_is_whole: bool) -> None:
         """Takes tasks that were handed over before the list knew their machines; `list_is_whole` if a machine
         that it still lacks is gone."""
-        for guest, stand in list(self.waiting_stands.items()):
-            known = stand.machine in self.roster.fellows
+        for guest, stand in list(self.waiting_handovers.items()):
+            known = stand.machine in self.roster.machines
             if not known and not list_is_whole:
                 continue
-            del self.waiting_stands[guest]
-            if known and not (wrong := self.guest_stands(now, stand.owner, stand.machine, stand.submit)):
+            del self.waiting_handovers[guest]
+            if known and not (wrong := self.adopt_guest(now, stand.owner, stand.machine, stand.submit)):
                 if stand.ended:
                     self.owner_left(now, guest)
                 continue
@@ -224,47 +224,47 @@
                 ended = m.GuestEnded(guest=guest, how="lost", machine=stand.machine)
                 self._send_owner(stand.owner, ended)
 
-    def stands(self, guest: str) -> bool:
-        case = self.newest.get(guest)
+    def is_placed(self, guest: str) -> bool:
+        case = self.newest_records.get(guest)
         return case is not None and case.placed
 
-    def out(self, guest: str) -> bool:
+    def is_outstanding(self, guest: str) -> bool:
         """Whether the guest is in hand and awaits its answer."""
-        case = self.newest.get(guest)
+        case = self.newest_records.get(guest)
         return case is not None and not case.placed
 
     def time_left(self, now: int, offer: m.Offer) -> int:
         """How long the answer to an offer whose bytes have not left yet is waited for; 0 if it is not wanted
         any more, or its machine takes nothing any more."""
-        case = self.newest.get(offer.guest)
+        case = self.newest_records.get(offer.guest)
         if case is None or case.ask != offer.ask:
             self.denials[Denial.OVER] += 1
             return 0
-        product, fellow = self.facts.products[case.product], self.roster.fellows.get(case.machine)
-        most, list_holds = self.facts.max_dispatches, self.lease.holds(now)
+        product, fellow = self.deployment.products[case.product], self.roster.machines.get(case.machine)
+        most, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
         if denial := offer_denied(now, case, offer.attempt, product, most, fellow, list_holds):
             self.denials[denial] += 1
             self._task_event("held_back", case, denial.value)
             return 0
         return case.due_at - now
 
-    def offer_leaves(self, now: int, guest: str) -> None:
+    def offer_sent(self, now: int, guest: str) -> None:
         """The bytes of an offer that `time_left` allowed are about to be written."""
-        case = self.newest[guest]
+        case = self.newest_records[guest]
         case.offers += 1
         self.links[case.machine].offered_at = now
-        effect, list_holds = self.facts.products[case.product].effect, self.lease.holds(now)
-        self._violated(self.monitor.attempt_leaves(case.name, case.machine, effect, list_holds), case)
+        effect, list_holds = self.deployment.products[case.product].effect, self.lease.holds(now)
+        self._violated(self.monitor.dispatch_sent(case.name, case.machine, effect, list_holds), case)
         as_of = self.lease.confirmed_as_of
         self._task_event("sent", case, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
 
     def ready(self) -> bool:
         """Whether guests can be placed: some machine of the list takes them."""
-        return not self.stopping and any(f.mode is Mode.READY for f in self.roster.fellows.values())
+        return not self.stopping and any(f.mode is Mode.READY for f in self.roster.machines.values())
 
     def _state(self, message: m.Named) -> m.State:
         guest, ask = message.guest, message.ask
-        case = self.newest.get(guest)
+        case = self.newest_records.get(guest)
         if case and case.placed:
             state, machine = "running", case.machine
         elif case:
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -36,7 +36,7 @@
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.marks: dict[tuple[str, str], None] = {}  # emptied by every flush
+        self.changed_keys: dict[tuple[str, str], None] = {}  # emptied by every flush
         self.entries: dict[str, m.Entry] = {}  # the list as it was told; emptied with it
         self.list_image: object = None
 
@@ -51,20 +51,20 @@
                 self.entries.pop(entry.machine, None)
             else:
                 self.entries[entry.machine] = entry
-        self.marks["list", ""] = None
+        self.changed_keys["list", ""] = None
 
     def flush(self, engine: Tables, now: int) -> list[Change]:
         """The images of all that has changed since the last flush."""
-        marks, self.marks = self.marks, {}
+        changed_keys, self.changed_keys = self.changed_keys, {}
         changes = []
-        for kind, key in marks:
+        for kind, key in changed_keys:
             change = getattr(self, "_" + kind)(engine, now, key)
             if change is not None:
                 changes.append(change)
         return changes
 
     def _guest(self, engine: Tables, now: int, name: str) -> Change:
-        case = engine.cases.get(name)
+        case = engine.records.get(name)
         return put("guest", name, self.image(engine, case)) if case else drop("guest", name)
 
     def image(self, engine: Tables, case: GuestRecord) -> GuestImage:
@@ -119,7 +119,7 @@
         return put("end", guest, EndImage(guest, kept[0]), self.wall(kept[1])) if kept else drop("end", guest)
 
     def _cold(self, engine: Tables, now: int, machine: str) -> Change | None:
-        host, window = engine.brain.machines.get(machine), 2 * engine.facts.cold_window
+        host, window = engine.brain.machines.get(machine), 2 * engine.deployment.cold_window
         if host is None:
             return None
         times = tuple(self.wall(at) for at in host.offers if at > now - window)
@@ -133,7 +133,7 @@
         self.list_image = alike
         entries = []
         for entry in self.entries.values():
-            fellow = engine.roster.fellows.get(entry.machine)
+            fellow = engine.roster.machines.get(entry.machine)
             up = max(0, now - fellow.started) if fellow and fellow.started else None
             entries.append(replace(entry, up_for=up))
         return put("list", "", ListImage(engine.list_version, self.wall(now), entries))
@@ -148,7 +148,7 @@
     Patience goes on while nobody is there. What had left for a machine is out until that machine speaks. If
     something may be missing, every held guest whose second run could do harm counts as one that may run.
     """
-    keeping, counts = engine.keeping, ledger.sizes()
+    keeping, counts = engine.persistence, ledger.sizes()
     epoch = keeping.epoch
     engine.sure = complete
     for image in ledger.images("list"):
@@ -158,7 +158,7 @@
         # What the list said last may never have become safe: nothing goes anywhere before it speaks again.
         listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.learn(heard, listing).listed]
         engine.brain.machines_listed(heard, listed, True)
-        engine.unheard = {f.name for f in engine.roster.fellows.values()}
+        engine.unheard = {f.name for f in engine.roster.machines.values()}
     past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in ledger.images("learned"):
         past = moved(image.data, image.epoch - epoch)
@@ -173,7 +173,7 @@
     for image in ledger.images("loose"):
         if image.case.product in engine.products:
             # Whoever is no longer in hand has its answer; the image may be older than that.
-            case = engine.cases.get(image.case.name) or case_of(engine, replace(image.case, asks=()))
+            case = engine.records.get(image.case.name) or case_of(engine, replace(image.case, asks=()))
             loose = AbandonedDispatch(
                 case, image.attempt, image.machine, image.sent_at - epoch, image.stands, roll_at=now
             )
@@ -186,7 +186,7 @@
     for table in (engine.answers, engine.ends):
         for key in sorted(table, key=lambda k, t=table: t[k][1]):
             table.move_to_end(key)
-    for fellow in list(engine.roster.fellows.values()):
+    for fellow in list(engine.roster.machines.values()):
         engine._dial(now, fellow)
     return counts
 
@@ -237,9 +237,9 @@
 
 def _recover_case(engine: Tables, now: int, image: GuestImage, epoch: int, complete: bool) -> None:
     case = case_of(engine, image)
-    engine.cases[case.name] = engine.newest[case.guest] = case
+    engine.records[case.name] = engine.newest_records[case.guest] = case
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.facts.products[case.product].effect is not Effect.RERUNNABLE
+    harmful = engine.deployment.products[case.product].effect is not Effect.RERUNNABLE
     earlier = None
     if image.unsure_at:
         earlier = Earlier(image.unsure_machine, image.unsure_at - epoch)
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -37,7 +37,7 @@
     due: int
 
 
-class WaitingStand(NamedTuple):
+class WaitingHandover(NamedTuple):
     """A task that its owner says stands on a machine that is not known yet."""
 
     owner: str
@@ -50,9 +50,9 @@
     """Who is told of what changes here, if it is to outlive the process (`keep.Keeping`)."""
 
     epoch: int
-    marks: dict[tuple[str, str], None]
+    changed_keys: dict[tuple[str, str], None]
 
-    def told(self, listing: m.Listing) -> None: ...
+    def proposal_ended(self, listing: m.Listing) -> None: ...
 
     def flush(self, tables: "Tables", now: int) -> list[Change]: ...
 
@@ -64,16 +64,18 @@
 
     def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
         terms = config if isinstance(config, EngineSettings) else engine_settings(config)
-        self.limits, self.peers, self.facts = terms.limits, terms.peers, terms.facts
-        self.brain = Brain(seed, self.facts)
-        self.at_once = self.limits.decisions_at_once  # decisions of a pump; a host that is behind lowers it
+        self.limits, self.peers, self.deployment = terms.limits, terms.peers, terms.deployment
+        self.brain = Brain(seed, self.deployment)
+        self.decision_batch = (
+            self.limits.decisions_at_once
+        )  # decisions of a pump; a host that is behind lowers it
         self.actions: list[Action] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
         self.products = {name: at for at, name in enumerate(terms.products)}
         self.customers = {name: at for at, name in enumerate(terms.customers)}
         self.roster = Roster({name: at for at, name in enumerate(terms.kinds)})
-        self.cases: dict[str, GuestRecord] = {}  # by the Brain's name; emptied by the last word on a guest
-        self.newest: dict[str, GuestRecord] = {}  # by guest; emptied with cases
+        self.records: dict[str, GuestRecord] = {}  # by the Brain's name; emptied by the last word on a guest
+        self.newest_records: dict[str, GuestRecord] = {}  # by guest; emptied with cases
         # Final answers that owners may still ask for; emptied by age.
         self.answers: OrderedDict[tuple[str, int], tuple[m.Message, int]] = OrderedDict()
         self.ends: OrderedDict[str, tuple[str, int]] = OrderedDict()  # how guests ended; emptied by age
@@ -92,19 +94,21 @@
         self.probe_number = 0
         self.unheard: set[str] = set()  # machines listed at the start that have not told what they hold
         self.list_heard = self.stopping = False
-        self.keeping: ChangeTracker | None = None  # set if what changes here is to outlive the process
+        self.persistence: ChangeTracker | None = None  # set if what changes here is to outlive the process
         self.claims: Claims | None = None  # set if offers that must not leave twice are agreed among planners
         self.sure = False  # all that this planner took in earlier lives is known
         self.kept_well = True  # what is sent is sure to be known after a crash
-        self.lease = ListLease(self.facts.list_lease)
+        self.lease = ListLease(self.deployment.list_lease)
         # Tasks that stand, as far as is known, and whose machine has to speak of them; by the Brain's name.
         self.doubted: dict[str, Verification] = {}  # emptied by that and by time
         # Machines that spoke of a task that is not in hand, by task; emptied by its hand-over and by number.
         self.spoken_of: OrderedDict[str, str] = OrderedDict()
         self.list_taken = True  # what the module was last told of the list: whether it is current
-        self.monitor = RuleMonitor(self.facts.max_dispatches)
+        self.monitor = RuleMonitor(self.deployment.max_dispatches)
         # Tasks handed over on machines that the list lacks while it is not confirmed, by name; see handover.
-        self.waiting_stands: dict[str, WaitingStand] = {}  # emptied by the list, the owner and the task's end
+        self.waiting_handovers: dict[
+            str, WaitingHandover
+        ] = {}  # emptied by the list, the owner and the task's end
         # Links with tasks to machines that have left the list, by address, where another may have taken their
         # place before the connection was opened; emptied as links are forgotten.
         self.orphans: dict[str, str] = {}
@@ -118,28 +122,30 @@
             micros(self.limits.again_least_ms), micros(self.limits.again_most_ms), Random(f"advice/{seed}")
         )
 
-    def share(self, planners: int, slot: int) -> None:
+    def set_planner_share(self, planners: int, slot: int) -> None:
         """From now on this planner is that one of so many."""
-        self.facts = self.brain.deployment = self.facts._replace(planners=planners, slot=slot)
+        self.deployment = self.brain.deployment = self.deployment._replace(planners=planners, slot=slot)
 
     def reconfigure(self, terms: EngineSettings) -> None:
         """Works on by these terms. Products that are here keep their places and whatever tasks in hand were
         judged by; others may follow them. Kinds are the same, and so is this planner's share of the fleet.
         New tasks are taken by the new terms; limits on dispatches hold for all at once."""
-        facts = terms.facts._replace(planners=self.facts.planners, slot=self.facts.slot)
-        self.facts = self.brain.deployment = facts
+        facts = terms.deployment._replace(planners=self.deployment.planners, slot=self.deployment.slot)
+        self.deployment = self.brain.deployment = facts
         self.products = {name: at for at, name in enumerate(terms.products)}
         self.customers = {name: at for at, name in enumerate(terms.customers)}
 
-    def _mark(self, kind: str, *key: object) -> None:
-        if self.keeping is not None:
-            self.keeping.marks[kind, "\0".join(str(part) for part in key)] = None
+    def _mark_changed(self, kind: str, *key: object) -> None:
+        if self.persistence is not None:
+            self.persistence.changed_keys[kind, "\0".join(str(part) for part in key)] = None
 
     # Claims.
 
     def _claimed(self, case: GuestRecord) -> bool:
         """Whether offers of this guest need a claim."""
-        return self.claims is not None and (self.facts.products[case.product].effect is not Effect.RERUNNABLE)
+        return self.claims is not None and (
+            self.deployment.products[case.product].effect is not Effect.RERUNNABLE
+        )
 
     def _wanted(self) -> None:
         wanted, self.claims.wanted = self.claims.wanted, []
@@ -148,7 +154,7 @@
     def _fact(self, now: int, case: GuestRecord, state: str, how: str = "") -> None:
         """Lets the other planners know what became of a claimed guest."""
         if self._claimed(case):
-            self.claims.fact(now, case.guest, case.ask, state, case.machine, how)
+            self.claims.report_fact(now, case.guest, case.ask, state, case.machine, how)
             self._wanted()
 
     def _release(self, now: int, guest: str, claim: bytes) -> None:
@@ -197,15 +203,17 @@
             self.events.append(RuleEvent(each.value, case.guest, case.machine))
 
     def _forget(self, case: GuestRecord) -> None:
-        self.cases.pop(case.name, None)
+        self.records.pop(case.name, None)
         self.monitor.forget(case.name)
-        self._mark("guest", case.name)
-        if self.newest.get(case.guest) is case:
-            del self.newest[case.guest]
+        self._mark_changed("guest", case.name)
+        if self.newest_records.get(case.guest) is case:
+            del self.newest_records[case.guest]
 
     def _later(self, now: int, guest: str, span: int = 0) -> int:
         """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
-        return self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advised else span
+        return (
+            self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advises_retry else span
+        )
 
     def _blind(self) -> bool:
         """Whether guests may run that this planner has not heard of: it has just started, and has no list
@@ -217,12 +225,12 @@
             self.ends.popitem(last=False)
         self.ends[guest] = how, now + micros(self.limits.keep_answers_ms)
         self.ends.move_to_end(guest)
-        self._mark("end", guest)
+        self._mark_changed("end", guest)
 
     def _settled(self, guest: str, machine: str) -> None:
         if by := self.loose.get(guest):
             by.pop(machine, None)
-            self._mark("loose", guest, machine)
+            self._mark_changed("loose", guest, machine)
             if not by:
                 del self.loose[guest]
 
@@ -255,17 +263,17 @@
         """Leaves a connection that has been quiet for so long that its machine may be closing it: what would
         be written now could cross that, and nobody could tell whether it ran."""
         if (
-            self.peers.rolls
+            self.peers.reports_inventory
             or link.state != "up"
             or link.queue
             or link.machine in self.probes
-            or (link.machine not in self.roster.fellows)
+            or (link.machine not in self.roster.machines)
             or (  # it could not be dialled again
                 now - max(link.used_at, link.heard_at, link.opened_at) <= micros(self.limits.idle_close_ms)
             )
         ):
             return
-        if all(self.cases[name].placed or not self.cases[name].sent for name in link.holds):
+        if all(self.records[name].placed or not self.records[name].sent for name in link.holds):
             self.counts["links_rested"] += 1
             self.actions.append(HangUp(link.machine))
             link.close(now)
@@ -285,7 +293,7 @@
                 link.state == "up"
                 and not link.queue
                 and link.machine not in self.probes
-                and all(self.cases[name].placed for name in link.holds)
+                and all(self.records[name].placed for name in link.holds)
             ):
                 self.counts["links_closed_for_others"] += 1
                 self.actions.append(HangUp(link.machine))
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -39,7 +39,7 @@
 
     def _doubt_reused(self, now: int, case: GuestRecord) -> None:
         """It is held to be on the machine that has the address now, and its connection has ended."""
-        if self.peers.tells_use:
+        if self.peers.reports_use:
             self.doubted[case.name] = Verification(
                 VerificationCause.ADDRESS_REUSED, now, now + VOUCHED_WITHIN, now
             )
@@ -47,18 +47,18 @@
     def _doubt_since_reset(self, reset_at: int, case: GuestRecord, cause: VerificationCause) -> None:
         """Its machine ended a connection after it was sent, as a process does that dies. Machines speak of a
         task every few seconds, so they are given as long as one that is silent."""
-        if self.peers.tells_use:
+        if self.peers.reports_use:
             decided_at = reset_at + micros(self.limits.lost_ms)
             self.doubted[case.name] = Verification(cause, reset_at, decided_at, reset_at + LISTED_WITHIN)
 
     def _doubt_all_on(self, now: int, link: Link) -> None:
         """A connection was reset: a process that dies resets its connections and cuts its tasks, and one that
         lives may have lost that connection only. The list tells which it was, unless it is silent."""
-        if not self.facts.list_lease:
+        if not self.deployment.list_lease:
             return
         for name in link.holds:
-            if self.cases[name].placed and name not in self.doubted:
-                self._doubt_since_reset(now + 1, self.cases[name], VerificationCause.RESET)
+            if self.records[name].placed and name not in self.doubted:
+                self._doubt_since_reset(now + 1, self.records[name], VerificationCause.RESET)
 
     def _spoke_of_unknown(self, machine: str, task: str) -> None:
         """A machine has spoken of a task that is not in hand, and may be handed over next."""
@@ -71,7 +71,7 @@
         """Ends tasks of which their machine says nothing, at the machine too: were one of them there all the
         same, it must not go on without an owner."""
         for name, doubt in list(self.doubted.items()):
-            case = self.cases.get(name)
+            case = self.records.get(name)
             link = self.links.get(case.machine) if case else None
             if link is None or case.spoken_at >= doubt.since:
                 del self.doubted[name]
@@ -98,7 +98,7 @@
             link.asked_at = now
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
-        elif link.state == "down" and (fellow := self.roster.fellows.get(link.machine)):
+        elif link.state == "down" and (fellow := self.roster.machines.get(link.machine)):
             self._dial(now, fellow)
 
     def _end_task(self, now: int, case: GuestRecord) -> None:
@@ -117,10 +117,10 @@
         """
         if doubt.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
             return True
-        fellow = self.roster.fellows.get(link.machine)
+        fellow = self.roster.machines.get(link.machine)
         restarted = fellow is not None and fellow.incarnation > 0
-        if not self.peers.tells_use:
+        if not self.peers.reports_use:
             return restarted and case.handed_over_at - fellow.started < RESTARTED_WITHIN
         as_of = self.lease.confirmed_as_of
-        unconfirmed = bool(self.facts.list_lease) and (as_of is None or as_of < doubt.listed_at)
+        unconfirmed = bool(self.deployment.list_lease) and (as_of is None or as_of < doubt.listed_at)
         return unconfirmed or restarted and doubt.cause is VerificationCause.HANDED_OVER
--- a/hazelhold/platform/beliefs.py
+++ b/hazelhold/platform/beliefs.py
@@ -6,11 +6,11 @@
 def machine_beliefs(engine: Engine, now: int) -> dict[str, str]:
     """A line for each machine of the list. `now` in microseconds of the engine's clock."""
     found = {}
-    for name, fellow in engine.roster.fellows.items():
+    for name, fellow in engine.roster.machines.items():
         known, link = engine.brain.machines.get(name), engine.links.get(name)
         if known is None:
             continue
-        cores, memory = known.room(engine.facts)
+        cores, memory = known.room(engine.deployment)
         found[name] = (
             f"{fellow.mode.name} room={cores:.1f}/{memory:.1f} used={known.used} "
             f"guests={len(known.guests)} strikes={known.strikes} mute={known.mute} "
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -18,11 +18,11 @@
 from hazelhold.simhost import Pairs, WireError, read_deployment, truth
 
 PLATFORM = PeerCapabilities(
-    rolls=False,
-    names_attempts=False,
-    asks_again=False,
-    hears_held=False,
-    advised=False,
+    reports_inventory=False,
+    identifies_dispatches=False,
+    owners_resubmit=False,
+    acknowledges_submission=False,
+    advises_retry=False,
     list_confirms=True,
 )
 AT_ONCE = 8  # decisions before peers are read again: of up to some 10 ms each, within a drain's 250 ms grace
@@ -158,7 +158,7 @@
         try:
             facts = read_deployment(pairs)
             facts = facts._replace(
-                dispatches_named=PLATFORM.names_attempts,
+                dispatches_named=PLATFORM.identifies_dispatches,
                 ages_by_clock=True,
                 list_lease=list_lease(pairs) if PLATFORM.list_confirms else 0,
             )
@@ -175,7 +175,7 @@
         names(settings, "tenants"),
         names(settings, "kinds"),
         limits,
-        PLATFORM._replace(tells_use=truth(pairs.values.get("family-info.use-notes", ""))),
+        PLATFORM._replace(reports_use=truth(pairs.values.get("family-info.use-notes", ""))),
     )
     most = (
         max(k.cores for k in facts.kinds) * facts.cores_multiple,
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -154,7 +154,7 @@
 
     def _resume(self, task: str) -> None:
         """Lets the offer of a task leave that stood aside."""
-        case = self.engine.newest.get(task)
+        case = self.engine.newest_records.get(task)
         if case and (peer := self.peer(case.machine)):
             peer.resume(task)
 
@@ -177,7 +177,7 @@
             self.behind_owners.setdefault(offer.owner, []).append(offer.guest)
             return -1
         if left:
-            self.engine.offer_leaves(now, offer.guest)
+            self.engine.offer_sent(now, offer.guest)
         else:
             self.counts["offers_held_back"] += 1
             self.engine.offer_held_back(now, offer)
@@ -198,7 +198,7 @@
     def _said(self, machine: str, line: Line) -> None:
         if self.log_frames:
             self.log.debug("machine_said", machine=machine, line=repr(line))
-        message = words.from_machine(line, not self.engine.out(line.call))
+        message = words.from_machine(line, not self.engine.is_outstanding(line.call))
         if message is None:
             return
         self.engine.machine_said(self.net.now(), machine, message)
--- a/hazelhold/platform/owner_door.py
+++ b/hazelhold/platform/owner_door.py
@@ -216,7 +216,7 @@
     def _came_on(self, peer: OwnerPeer, task: str) -> bool:
         """Whether a request in hand came on this connection: a refusal of a second one under its id would be
         read there as its own answer or end. On any other connection the refusal is the second's alone."""
-        case = self.engine.newest.get(task)
+        case = self.engine.newest_records.get(task)
         return task in peer.open or (case is not None and case.owner == peer.name)
 
     # What owners say.
@@ -243,9 +243,9 @@
         """An owner gives up what is open, or ends what stands. What is open belongs to the connection that it
         came on, but its owner may have lost that one: named on another, nothing more is begun for it, and its
         own connection is answered. An end that comes before its set-up is kept for a while."""
-        if self.engine.out(task) and task not in peer.open:
+        if self.engine.is_outstanding(task) and task not in peer.open:
             self.counts["ends_of_others"] += 1
-            self.engine.give_up(now, task)
+            self.engine.withdraw_guest(now, task)
             return
         peer.open.pop(task, None)
         if self.engine.owner_left(now, task):
@@ -273,7 +273,7 @@
         elif ended:
             peer.send(words.released(binary.id, words.FULL))
         else:
-            if binary.id not in self.engine.newest:
+            if binary.id not in self.engine.newest_records:
                 peer.open[binary.id] = None
             peer.good = True
             self.engine.owner_said(now, peer.name, self._since_sent(peer, submit))
@@ -299,7 +299,7 @@
         if self.releases.tell_waiting_of(peer, submit.guest):
             peer.good = peer.told = True
             return
-        if wrong := self.engine.guest_stands(now, peer.name, at, submit):
+        if wrong := self.engine.adopt_guest(now, peer.name, at, submit):
             self.counts["found_" + wrong] += 1
             peer.send(words.released(submit.guest, words.RESET))
             return
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -72,7 +72,7 @@
             net,
             start.bulletin,
             start.known,
-            self.engine.facts.list_lease / 1e6,
+            self.engine.deployment.list_lease / 1e6,
             self._event,
             self._discovery_answered,
             self._discovery_failed,
@@ -111,8 +111,8 @@
                 "up",
                 address=self.address,
                 known=self.start.known.no,
-                ready=sum(fellow.mode is Mode.READY for fellow in self.engine.roster.fellows.values()),
-                machines=len(self.engine.roster.fellows),
+                ready=sum(fellow.mode is Mode.READY for fellow in self.engine.roster.machines.values()),
+                machines=len(self.engine.roster.machines),
                 sockets=self.start.bounds.sockets,
                 memory_mb=self.start.bounds.memory_mb,
                 cores=self.start.bounds.cores,
@@ -151,12 +151,14 @@
         except ConfigError as wrong:
             return str(wrong)
         self.counts["reloads"] += 1
-        told = fresh.terms.facts  # how many share the fleet's budgets; all else holds for a planner's life
-        self.engine.share(told.planners, told.slot)
+        told = (
+            fresh.terms.deployment
+        )  # how many share the fleet's budgets; all else holds for a planner's life
+        self.engine.set_planner_share(told.planners, told.slot)
         self.log.info(
             "configuration_read",
             bulletin=fresh.bulletin,
-            settings_same=fresh.terms.facts == self.start.terms.facts,
+            settings_same=fresh.terms.deployment == self.start.terms.deployment,
         )
         try:
             items = self.follower.fresh(fresh.known.items)
@@ -164,7 +166,7 @@
             items = []  # what is missing comes from the bulletin itself
         if items:  # the file alone does not show that the list is still heard
             self._hear_discovery(items)
-        self.engine.list_moved(self.net.now())  # the old address tells nothing any more
+        self.engine.list_address_changed(self.net.now())  # the old address tells nothing any more
         self.follower.move(fresh.bulletin)
         return ""
 
@@ -206,8 +208,10 @@
         self.engine.pump(now)
         self._carry_out()
         took, most = self.net.now() - now, self.limits.decisions_at_once
-        self.engine.at_once = (
-            max(1, self.engine.at_once // 2) if took > TURN * 1e6 else min(most, self.engine.at_once + 1)
+        self.engine.decision_batch = (
+            max(1, self.engine.decision_batch // 2)
+            if took > TURN * 1e6
+            else min(most, self.engine.decision_batch + 1)
         )
 
     def _progress(self) -> None:
@@ -294,7 +298,7 @@
             "beliefs",
             waiting=len(engine.brain.waiting),
             out=len(engine.brain.out),
-            cases=len(engine.cases),
+            cases=len(engine.records),
             owners=len(self.door.peers),
             links=len(self.links.by_machine),
             held=len(self.door.releases.waiting),
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -89,7 +89,9 @@
         claim = c.decode(value)
         return claim is not None and (claim.planner, claim.life) == (self.planner, self.life)
 
-    def fact(self, now: int, guest: str, ask: int, state: c.State, machine: str, how: str = "") -> None:
+    def report_fact(
+        self, now: int, guest: str, ask: int, state: c.State, machine: str, how: str = ""
+    ) -> None:
         """Tells the others what became of a claimed guest; nothing waits for it."""
         self._tell(now, guest, c.Fact(self.planner, ask, state, machine, how))
 
@@ -98,11 +100,11 @@
         if known:
             self._tell(now, guest, c.Release(known))
 
-    def look(self, now: int, guest: str, name: str) -> None:
+    def query(self, now: int, guest: str, name: str) -> None:
         """Asks what stands; `told` gives it back under this name."""
         self._want(now, Asking("look", name, Read()), CLAIM + guest, self.span)
 
-    def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
+    def proposal_ended(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
         asking = self.under_way.pop(no, None)
         if asking is None:
             return []
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -91,7 +91,7 @@
     def carry_out(self) -> None:
         """Does what the engine wants done; what a failed send causes goes in as an input and is done too."""
         if self.keeper is not None:
-            while self.engine.actions or self.engine.keeping.marks:
+            while self.engine.actions or self.engine.persistence.changed_keys:
                 actions, self.engine.actions = self._ask_others(self.engine.actions), []
                 self.keeper.take(actions, self.engine.flush(self.net.now()))
             return
--- a/hazelhold/service/ending.py
+++ b/hazelhold/service/ending.py
@@ -50,7 +50,7 @@
     """Reads nothing more, makes all safe, and goes."""
     driver, engine = planner.driver, planner.engine
     driver.handed_over = True
-    planner.keeper.take([], [engine.keeping.learned(engine)])
+    planner.keeper.take([], [engine.persistence.learned(engine)])
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
         await planner.keeper.drained()
     spread = planner.door.admission.window(0, len(planner.owners))
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -65,7 +65,7 @@
             self._failed(wrong)
 
     def wall(self) -> int:
-        return self.now() + self.engine.keeping.epoch
+        return self.now() + self.engine.persistence.epoch
 
     def take(self, actions: list[Action], changes: list[Change]) -> None:
         """Carries out the actions once the changes are safe, after all that was taken before."""
@@ -173,7 +173,7 @@
 
     def _harmful(self, product: str) -> bool:
         engine = self.engine
-        return engine.facts.products[engine.products[product]].effect.name != "RERUNNABLE"
+        return engine.deployment.products[engine.products[product]].effect.name != "RERUNNABLE"
 
     def _until(self, message: m.TurnedBack | m.BrokenOff) -> int:
         """Until when this answer is better held back; 0 if it may go. What the disk may still have of the
@@ -195,7 +195,7 @@
             now = self.now()
             if not self.failed and now >= learn_at:
                 learn_at = now + round(self.config.learned_s * 1e6)
-                self.take([], [self.engine.keeping.learned(self.engine)])
+                self.take([], [self.engine.persistence.learned(self.engine)])
             if self.failed:
                 await self._renew()
 
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -186,7 +186,7 @@
 
         self.copies.open()
         await nursery.start(self.copies.run)
-        self.engine.claim_by(
+        self.engine.use_claims(
             self.net.now(), Gate(self.config.name, round(self.config.copies.claim_ms * 1000))
         )
         self.driver.carry_out()
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -119,7 +119,7 @@
 
     def __init__(self, name: str, gate: type = Gate, machines: str = "ab") -> None:
         super().__init__(machines)
-        self.engine.claim_by(0, gate(name, 500 * MS))
+        self.engine.use_claims(0, gate(name, 500 * MS))
 
 
 class Table:
@@ -201,7 +201,7 @@
     table.agree(70)
     assert other.sent(m.State)[-1].state == "done"
     assert other.sent(m.GuestEnded, "x")[-1].how == "done"
-    assert not other.sent(m.Offer, "x") and not other.engine.cases and not other.engine.brain.guests
+    assert not other.sent(m.Offer, "x") and not other.engine.records and not other.engine.brain.guests
 
 
 def test_two_planners_asked_at_once_send_one_offer() -> None:
@@ -294,7 +294,7 @@
     made.asks.clear()
     made.engine.claims = None
     made.engine.keep(100, 0, ledger, True)
-    made.engine.claim_by(100, Gate("p0", 500 * MS))
+    made.engine.use_claims(100, Gate("p0", 500 * MS))
     table.members = (made, *table.members[1:])
     table.agree(100)
     made.lists(110, [made.entry(n) for n in "ab"], whole=True)
@@ -308,7 +308,7 @@
     one, other = Member("p0", machines=""), Member("p1")
     one.engine.claims = None
     one.engine.keep(0, 0, Ledger(), True)
-    one.engine.claim_by(0, Gate("p0", 500 * MS))
+    one.engine.use_claims(0, Gate("p0", 500 * MS))
     table = Table(one, other)
     table.agree(0)
     one.lists(0, [one.entry(n) for n in "ab"], whole=True)
@@ -369,7 +369,7 @@
 def test_facts_under_way_are_bounded() -> None:
     gate = Gate("p0", 500)
     for number in range(FACTS_MOST + 5):
-        gate.fact(0, f"g{number}", 0, "placed", "a")
+        gate.report_fact(0, f"g{number}", 0, "placed", "a")
     assert len(gate.wanted) == FACTS_MOST and gate.counts["facts_dropped"] == 5
 
 
@@ -386,10 +386,10 @@
 class Overtakes(Gate):
     """Takes a silent planner for dead, and its claim."""
 
-    def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list:
+    def proposal_ended(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list:
         return [
             v._replace(what="mine") if v.what == "theirs" else v
-            for v in super().told(now, no, outcome, value, reason)
+            for v in super().proposal_ended(now, no, outcome, value, reason)
         ]
 
     def mine(self, value: bytes) -> bool:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -270,15 +270,17 @@
     now = 4900 * MS
     waits = [advice.wait(now, f"g{n}", 9) for n in range(30)]  # ten a second are placed: a place each
     assert waits == sorted(waits) and all(800 * MS < w < 4 * S for w in waits) and len(set(waits)) == 30
-    assert advice.hopeless(now, 100, 2 * S) and not advice.hopeless(now, 100, 20 * S)
-    assert advice.hopeless(now, 100, 14 * S) and not advice.hopeless(now, 100, 14 * S, kept=True)
-    assert not advice.hopeless(now, 20, 1)
-    assert not advice.came(now, "g2") and advice.came(now + waits[1], "g1")
+    assert advice.cannot_be_served(now, 100, 2 * S) and not advice.cannot_be_served(now, 100, 20 * S)
+    assert advice.cannot_be_served(now, 100, 14 * S) and not advice.cannot_be_served(
+        now, 100, 14 * S, kept=True
+    )
+    assert not advice.cannot_be_served(now, 20, 1)
+    assert not advice.guest_returned(now, "g2") and advice.guest_returned(now + waits[1], "g1")
     advice.placed(now + waits[1], "g1")
     assert advice.counts == {"advised_came": 1, "advised_served": 1, "advised_came_early": 1}
     for n in range(30_000):
         advice.wait(now, f"h{n}", 5)
-    assert len(advice.advised) <= 10_000
+    assert len(advice.return_times) <= 10_000
 
 
 @pytest.mark.parametrize("count", [1_000, 10_000])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,7 +35,7 @@
             await owner.stream.send_eof()
         else:
             await owner.stream.aclose()
-        await until(lambda: not rig.planner.engine.out(name(1)))
+        await until(lambda: not rig.planner.engine.is_outstanding(name(1)))
         assert peer.sending and peer.name in rig.planner.door.peers  # the answer is still on its way out
         await until(
             lambda: (
@@ -60,7 +60,7 @@
             assert owner.of(1) == [(END, 34)]
         await owner.say(set_up(2))
         await until(lambda: owner.of(2) == PLACED)
-        assert not rig.offers(1) and not rig.planner.engine.out(name(1))
+        assert not rig.offers(1) and not rig.planner.engine.is_outstanding(name(1))
 
     on_sockets(test)
 
@@ -72,7 +72,7 @@
         await until(lambda: rig.planner.door.early)
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a"))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
-        assert not rig.planner.engine.stands(name(1)) and not owner.of(1)
+        assert not rig.planner.engine.is_placed(name(1)) and not owner.of(1)
 
     on_sockets(test)
 
@@ -117,7 +117,7 @@
 
         engine.brain.decide = slow
         await owner.say(*(set_up(guest) for guest in range(1, 41)))
-        await until(lambda: begun and not engine.cases)
+        await until(lambda: begun and not engine.records)
         assert engine.counts["dispatches"] <= begun[0] + 2
 
     on_sockets(test)
@@ -153,7 +153,7 @@
         await until(lambda: peer.sending)
         await rig.machines[first].end(name(1), 47)  # it may have run there
         await until(lambda: any(isinstance(each, m.Offer) for each in peer.messages))
-        case = engine.newest[name(1)]
+        case = engine.newest_records[name(1)]
         await until(lambda: rig.net.now() - case.ran_from >= 200_000)
         tap.stopped = False
         tap.open.set()
@@ -210,7 +210,7 @@
 
         async def aclose() -> None:
             if way == "ending":
-                engine.pump(engine.newest[name(1)].due_at + 1)
+                engine.pump(engine.newest_records[name(1)].due_at + 1)
                 rig.planner._carry_out()
             await until(lambda: other.aside or order)
             order.append("closed")
--- a/tests/test_crossings_connections.py
+++ b/tests/test_crossings_connections.py
@@ -17,7 +17,7 @@
 
     async def test(rig: SocketRig) -> None:
         held = trio.Event()
-        real, dialled, watched = TcpNet.dial, [], rig.planner.engine.roster.fellows["a"].address
+        real, dialled, watched = TcpNet.dial, [], rig.planner.engine.roster.machines["a"].address
 
         async def dial(self: TcpNet, address: str) -> trio.SocketStream:
             dialled.extend([address] * (address == watched))
@@ -115,7 +115,7 @@
         await until(lambda: owner.of(1) == PLACED)
         link = rig.planner.engine.links["a"]
         rig.bulletin.events += [event(2, host("a", "terminated"))]
-        await until(lambda: not rig.planner.engine.roster.fellows)
+        await until(lambda: not rig.planner.engine.roster.machines)
         rig.planner.engine.idle_at = rig.net.now() + 60_000_000  # no look closes it before the end is read
         link.used_at = link.heard_at = link.opened_at = rig.net.now() - 300_000
         await owner.say(end(1))
--- a/tests/test_crossings_planner.py
+++ b/tests/test_crossings_planner.py
@@ -114,7 +114,7 @@
         await until(lambda: moved.asked)
         assert rig.planner.counts["reloads"] == 1 and rig.planner.counts["reloads_refused"] == 2
         known = rig.planner.engine.brain.deployment  # among how many the budgets are shared
-        assert (known.planners, known.slot) == (20, 17) and rig.planner.engine.facts is known
+        assert (known.planners, known.slot) == (20, 17) and rig.planner.engine.deployment is known
 
     on_sockets(test, machines="a")
 
@@ -125,7 +125,7 @@
             event(2, host("c", dial="x" * 80 + ":1"), host("d", dial="nowhere")),
             event(3, host("e", dial="127.0.0.1:0")),
         ]
-        await until(lambda: "e" in rig.planner.engine.roster.fellows)
+        await until(lambda: "e" in rig.planner.engine.roster.machines)
         owner = await rig.owner()
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:c"))
         await until(lambda: rig.planner.counts["dials_failed"])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -78,7 +78,7 @@
 def test_held_again_a_late_copy_is_the_guests_place() -> None:
     harness = EngineHarness("a")
     offer, machine = harness.offer(0, "g", "ticket")
-    case = harness.engine.cases["g/0"]
+    case = harness.engine.records["g/0"]
     harness.engine._give_up(1000 * MS, case)
     from hazelhold.interface import Ending, Remark
 
@@ -188,7 +188,7 @@
     assert isinstance(harness.submits(200 * MS, "g", patience=100 * MS)[-1], m.TurnedBack)
     harness.run(5000 * MS)
     assert harness.owner(5000 * MS, m.Query(guest="g"))[-1].state == "unknown"
-    assert not harness.engine.answers and not harness.engine.cases and not harness.engine.newest
+    assert not harness.engine.answers and not harness.engine.records and not harness.engine.newest_records
 
 
 class TestCancel:
@@ -288,7 +288,9 @@
     plain = {"guest": "g", "product": "plain", "service": "s", "cores": 1.0, "memory": 1.0, "patience": 1000}
     said = harness.owner(0, m.Submit(**(plain | change)))
     assert (
-        said[-1].code == code and harness.engine.counts["rejected_" + code] == 1 and not harness.engine.cases
+        said[-1].code == code
+        and harness.engine.counts["rejected_" + code] == 1
+        and not harness.engine.records
     )
 
 
@@ -314,7 +316,7 @@
         of(m.Refused, offer, remark="odd"),
     ):
         harness.says(MS, "a", message)
-    assert not harness.sent(m.Placed) and harness.engine.cases
+    assert not harness.sent(m.Placed) and harness.engine.records
 
 
 def test_found_guests_count_before_offers_that_waited_for_the_same_link() -> None:
@@ -329,7 +331,9 @@
     back(harness, 10 * MS, "a")
     first = [offer.guest for offer in harness.sent(m.Offer)]
     harness.run(500 * MS)
-    assert first[0] == "h" and harness.engine.cases["g/0"].attempt == 1  # g was decided anew, knowing of old
+    assert (
+        first[0] == "h" and harness.engine.records["g/0"].attempt == 1
+    )  # g was decided anew, knowing of old
 
 
 def test_what_ended_while_no_planner_listened_is_not_called_unknown() -> None:
@@ -350,7 +354,7 @@
     other = {"a": "b", "b": "a"}[machine]
     harness.engine.link_down(2 * MS, other)
     harness.stands[other] = [stand(offer)]
-    harness.engine._dial(3 * MS, harness.engine.roster.fellows[other])
+    harness.engine._dial(3 * MS, harness.engine.roster.machines[other])
     back(harness, 3 * MS, other)
     assert [(peer, said.guest) for peer, said in harness.said if isinstance(said, m.Stop)] == [(other, "g")]
 
--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -385,7 +385,7 @@
         await trio.sleep(0.02)
         await owner.say(set_up(2))
         await trio.sleep(0.1)
-        assert rig.planner.engine.newest[f"{2:016x}"].sent_unconfirmed
+        assert rig.planner.engine.newest_records[f"{2:016x}"].sent_unconfirmed
         if ended:
             await machine.streams[-1].aclose()
         rig.bulletin.silent = False
--- a/tests/test_fleetconfig_settings.py
+++ b/tests/test_fleetconfig_settings.py
@@ -72,8 +72,8 @@
     assert before.items() <= engine.products.items() and engine.products["added"] == len(before)
     planner.put(products__aaa={"effect": "rerunnable", "goal_ms": 300, "patience_ms": 5000})
     assert engine.products["added"] == len(before) and engine.products["aaa"] == len(before) + 1
-    assert engine.facts.products[engine.products["added"]].effect.name == "EXCLUSIVE"
-    assert engine.brain.deployment is engine.facts
+    assert engine.deployment.products[engine.products["added"]].effect.name == "EXCLUSIVE"
+    assert engine.brain.deployment is engine.deployment
 
 
 def test_times_of_a_product_hold_for_new_tasks_and_those_in_hand_keep_theirs() -> None:
@@ -119,10 +119,10 @@
 )
 def test_what_needs_a_restart_is_refused_whole_and_named(name: str, value: object, reason: str) -> None:
     planner = Planner()
-    facts = planner.desk.engine.facts
+    facts = planner.desk.engine.deployment
     with pytest.raises(SettingsError, match=f"needs a restart: {reason}"):
         planner.put(customers__acme={}, **{name: value})
-    assert planner.desk.engine.facts is facts
+    assert planner.desk.engine.deployment is facts
     assert planner.rejected("g1", customer="acme") == "unknown_customer"
     with pytest.raises(SettingsError, match="needs a restart"):
         planner.put(teams__a={"quota_cores": 1})  # what was refused is still in the document
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -59,14 +59,14 @@
             kept.append(planner)
             await nursery.start(planner.run)
             with trio.move_on_after(HELD_S):
-                while len(planner.engine.roster.fellows) < WORKERS:
+                while len(planner.engine.roster.machines) < WORKERS:
                     await trio.sleep(0.1)
             planner.stop()
             await trio.sleep(5)
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert (len(kept[0].engine.roster.fellows) == WORKERS) is complete
+    assert (len(kept[0].engine.roster.machines) == WORKERS) is complete
     return kept[0]
 
 
@@ -93,7 +93,7 @@
 def test_with_the_bound_of_other_frames_it_would_not() -> None:
     planner = hear(replace(large_list_config(), list=ListConfig("list", False, frame_bytes=MAX_FRAME)), False)
     assert planner.counts["list_frame_too_long"] > 1
-    assert not planner.engine.roster.fellows
+    assert not planner.engine.roster.machines
 
 
 def test_a_larger_bound_of_all_frames_still_counts_for_the_list() -> None:
@@ -163,7 +163,7 @@
         async with trio.open_nursery() as nursery:
             planner = Planner(made, 2, MemoryNet())  # nobody lists workers there
             await nursery.start(planner.run)
-            found.append(len(planner.engine.roster.fellows))
+            found.append(len(planner.engine.roster.machines))
             planner.stop()
 
     trio.run(run)
@@ -181,7 +181,7 @@
         rig.bulletin.events = [told]
         await trio.sleep(5)
         assert rig.planner.follower.last == 2
-        assert set(names) <= rig.planner.engine.roster.fellows.keys()
+        assert set(names) <= rig.planner.engine.roster.machines.keys()
         assert not rig.planner.counts["discovery_failures"]
 
     play(test, settings=DEPLOYMENT | {"balancers": 16})
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -57,7 +57,7 @@
 def test_the_lease_is_a_part_of_the_grace_for_drains(grace: float | None, lease: int) -> None:
     rules = DEPLOYMENT["rules"] | ({} if grace is None else {"drain-grace": grace})
     text = file(settings=DEPLOYMENT | {"rules": rules})
-    assert check_start(text, "test").terms.facts.list_lease == lease
+    assert check_start(text, "test").terms.deployment.list_lease == lease
 
 
 @pytest.mark.parametrize("grace", [-1, "soon", 1e12])
@@ -356,7 +356,7 @@
         rig.bulletin.events += [event(2, host("c"))]
         rig.bulletin.silent = False
         await trio.sleep(3)
-        assert owner.of(1) == [] and rig.planner.engine.stands(f"{1:016x}")
+        assert owner.of(1) == [] and rig.planner.engine.is_placed(f"{1:016x}")
         await machine.end(f"{1:016x}", 16)
         await trio.sleep(0.1)
         assert owner.of(1) == [(12, 16)]
@@ -368,7 +368,7 @@
     async def test(rig: Rig, owner: object, machine: Machine) -> None:
         rig.bulletin.silent = False
         await trio.sleep(3)
-        assert owner.of(1) == [(12, 41)] and not rig.planner.engine.waiting_stands
+        assert owner.of(1) == [(12, 41)] and not rig.planner.engine.waiting_handovers
 
     handed_over(test)
 
@@ -402,7 +402,7 @@
         rig.bulletin.events += [event(2, host(at, "terminated")), event(3, host("new", dial=f"{at}:1"))]
         rig.bulletin.silent = False
         await trio.sleep(5)
-        assert owner.of(1) == PLACED and rig.planner.engine.newest[f"{1:016x}"].machine == "new"
+        assert owner.of(1) == PLACED and rig.planner.engine.newest_records[f"{1:016x}"].machine == "new"
         await machine.end(f"{1:016x}", 16)
         await trio.sleep(0.1)
         assert owner.of(1) == [*PLACED, (12, 16)]
@@ -429,7 +429,7 @@
         assert rig.planner.follower.last == 3
         await machine.accept(machine.streams[0], f"{1:016x}")
         await trio.sleep(3)
-        assert owner.of(1) == PLACED and rig.planner.engine.newest[f"{1:016x}"].machine == "new"
+        assert owner.of(1) == PLACED and rig.planner.engine.newest_records[f"{1:016x}"].machine == "new"
         await machine.end(f"{1:016x}", 16)
         await trio.sleep(0.1)
         assert owner.of(1) == [*PLACED, (12, 16)]
@@ -452,7 +452,7 @@
         await trio.sleep(3)  # confirmed more than once
         rig.bulletin.events += [event(3, host("a", "terminated")), event(4, host("new", dial="a:1"))]
         await trio.sleep(3)
-        assert owner.of(1) == PLACED and rig.planner.engine.newest[f"{1:016x}"].machine == "new"
+        assert owner.of(1) == PLACED and rig.planner.engine.newest_records[f"{1:016x}"].machine == "new"
 
     play(test, machines="a", settings=MANY_PLANNERS)
 
@@ -473,6 +473,6 @@
         second = await rig.owner()
         await second.say(stands)
         await trio.sleep(0.5)
-        assert second.of(1) == [(12, 16)] and f"{1:016x}" not in rig.planner.engine.newest
+        assert second.of(1) == [(12, 16)] and f"{1:016x}" not in rig.planner.engine.newest_records
 
     play(test)
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -92,19 +92,19 @@
 def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
     monitor = RuleMonitor(most_attempts=2)
     once = Effect.EXCLUSIVE
-    assert monitor.attempt_leaves("sound", "a", once, list_holds=True) == []
-    monitor.attempt_ended("sound", may_have_run=False)
-    assert monitor.attempt_leaves("sound", "b", once, list_holds=True) == []
+    assert monitor.dispatch_sent("sound", "a", once, list_holds=True) == []
+    monitor.dispatch_ended("sound", may_have_run=False)
+    assert monitor.dispatch_sent("sound", "b", once, list_holds=True) == []
     assert monitor.answered("sound", once) == []
     monitor.forget("sound")
     assert monitor.accounts == {}
 
-    assert monitor.attempt_leaves("t", "a", once, list_holds=False) == [Violation.LIST_NOT_CURRENT]
-    assert monitor.attempt_leaves("t", "b", once, list_holds=True) == [Violation.TWO_OUT]
-    monitor.attempt_ended("t", may_have_run=True)
+    assert monitor.dispatch_sent("t", "a", once, list_holds=False) == [Violation.LIST_NOT_CURRENT]
+    assert monitor.dispatch_sent("t", "b", once, list_holds=True) == [Violation.TWO_OUT]
+    monitor.dispatch_ended("t", may_have_run=True)
     assert monitor.answered("t", once) == []
     assert monitor.answered("t", once) == [Violation.SECOND_ANSWER]
-    assert monitor.attempt_leaves("t", "c", once, list_holds=True) == [
+    assert monitor.dispatch_sent("t", "c", once, list_holds=True) == [
         Violation.REPEATED,
         Violation.AFTER_ANSWER,
         Violation.TOO_MANY,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -64,7 +64,7 @@
             for line in rig.machines[name].heard
             if line["call"] == f"{1:016x}" and line["op"] != "test"
         ] == [("offer", None), ("end", 16)]
-        assert not rig.planner.engine.cases
+        assert not rig.planner.engine.records
 
     play(test)
 
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -145,7 +145,7 @@
         "rules.tip-after=2000.0"
     )
     start = check_start(file(), "test")
-    assert start.terms.facts == read_deployment(Pairs(wire.split(" ")))._replace(
+    assert start.terms.deployment == read_deployment(Pairs(wire.split(" ")))._replace(
         dispatches_named=False, ages_by_clock=True, list_lease=200_000
     )
     assert flat(DEPLOYMENT)["kinds"] == "small_box,large-box" and start.terms.kinds[0] == "small box"
--- a/tests/test_platform_doors.py
+++ b/tests/test_platform_doors.py
@@ -187,11 +187,11 @@
         rig.machines["a"].accepts = stands
         owner = await rig.owner()
         await owner.say(set_up(1))
-        await until(lambda: rig.planner.engine.stands(f"{1:016x}") if stands else rig.offers(1))
+        await until(lambda: rig.planner.engine.is_placed(f"{1:016x}") if stands else rig.offers(1))
         await owner.say(set_up(1, product="plain" if usable else "nothing so called"))
         await until(lambda: owner.closed_at or len(owner.of(1)) > stands)
         assert owner.closed_at and owner.of(1) == (PLACED if stands else [])
-        assert rig.planner.engine.stands(f"{1:016x}") == stands
+        assert rig.planner.engine.is_placed(f"{1:016x}") == stands
 
     play(test, machines="a")
 
@@ -220,7 +220,7 @@
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a"))
-        await until(lambda: rig.planner.engine.stands(f"{1:016x}"))
+        await until(lambda: rig.planner.engine.is_placed(f"{1:016x}"))
         crowd = [await rig.owner() for _ in range(rig.planner.limits.connections - 1)]
         for number, other in enumerate(crowd, 2):
             await other.say(set_up(number))
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -44,7 +44,7 @@
         bulletin.events += [event(2, host("a", "terminating")), event(3, host("a", "terminated"))]
         bulletin.silent = False
         await trio.sleep(2)
-        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.fellows) == {"b"}
+        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.machines) == {"b"}
 
     play(test)
 
@@ -79,7 +79,7 @@
     async def test(rig: Rig) -> None:
         rig.bulletin.events += [{"no": 2, "roster": {"hosts": 7}}, event(3, host("b", "terminated"))]
         await trio.sleep(1)
-        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.fellows) == {"a"}
+        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.machines) == {"a"}
         counts = rig.planner.counts
         assert counts["discovery_unreadable"] == 3 and counts["discovery_failures"] == 2
 
@@ -96,10 +96,10 @@
             event(4, host("c", "terminating") | {"class": "no such box"}),
         ]
         await trio.sleep(0.03)  # one call, and the time that it takes to be heard
-        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.fellows.items()}
+        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.machines.items()}
         assert modes["a"] == modes["b"] == "CORDONED"
         await trio.sleep(0.5)
-        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.fellows.items()}
+        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.machines.items()}
         assert modes == dict.fromkeys("abc", "CORDONED") and rig.planner.follower.last == 4
 
     play(test, machines="abc")
@@ -127,10 +127,14 @@
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
-        assert len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.facts.planners == 1024
+        assert (
+            len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.deployment.planners == 1024
+        )
         rig.bulletin.events += [event(2, *(each | {"health": "terminating"} for each in hosts))]
         await trio.sleep(0.1)
-        assert [f.name for f in rig.planner.engine.roster.fellows.values() if f.mode.name == "READY"] == ["a"]
+        assert [f.name for f in rig.planner.engine.roster.machines.values() if f.mode.name == "READY"] == [
+            "a"
+        ]
         rig.bulletin.events += [event(3, *hosts)]
         await trio.sleep(0.1)
         await owner.say(*(set_up(guest) for guest in range(1, 41)))
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -297,10 +297,10 @@
         rig.bulletin.events += [event(2, host("a", born=born))]
         await trio.sleep(0.2)
         assert owner.of(1) == [*PLACED, (END, 41)]
-        started = rig.planner.engine.roster.fellows["a"].started
+        started = rig.planner.engine.roster.machines["a"].started
         rig.bulletin.events += [event(3, host("a", born=born))]
         await trio.sleep(2)
-        assert rig.planner.engine.roster.fellows["a"].started == started
+        assert rig.planner.engine.roster.machines["a"].started == started
 
     play(test, machines="a")
 
--- a/tests/test_platform_owners.py
+++ b/tests/test_platform_owners.py
@@ -17,7 +17,7 @@
         await trio.sleep(0.2)
         await first.say(set_up(1, left="4294967", figures=figures))  # handed over once more
         await trio.sleep(0.2)
-        assert first.heard == [] and rig.planner.engine.stands(f"{1:016x}")
+        assert first.heard == [] and rig.planner.engine.is_placed(f"{1:016x}")
         await first.stream.aclose()
         second = await rig.owner()
         await second.say(BinaryMessage(TEST, "00000000000000aa", {17: b"\0"}))
@@ -49,7 +49,7 @@
             for line in rig.machines["a"].heard
             if line["call"] == f"{1:016x}" and line["op"] != "test"
         ]
-        assert words == ["offer", "end"] and not rig.planner.engine.cases
+        assert words == ["offer", "end"] and not rig.planner.engine.records
         await rig.machines["a"].end(f"{1:016x}", 31)
         await trio.sleep(0.2)
         assert first.of(1) == PLACED and second.of(1) == []
@@ -65,7 +65,7 @@
         await trio.sleep(0.2)
         await owner.stream.aclose()
         await trio.sleep(0.2)
-        assert not rig.planner.engine.cases
+        assert not rig.planner.engine.records
         assert {line["call"] for line in rig.machines["a"].heard if line["op"] == "end"} == {
             f"{1:016x}",
             f"{2:016x}",
@@ -184,7 +184,7 @@
         owner = await rig.owner()
         await owner.say(set_up(1, left="4294967", figures="cores:1;memory:2;service:s;at:a"))
         await trio.sleep(0.1)
-        assert owner.of(1) == [(END, 16)] and not rig.planner.engine.cases
+        assert owner.of(1) == [(END, 16)] and not rig.planner.engine.records
 
     play(test, machines="a")
 
@@ -218,7 +218,7 @@
         await trio.sleep(0.1)
         await bad.say(set_up(1, figures="cores:2;memory:1;service:x"), end(1))  # in one read
         await trio.sleep(0.1)
-        assert bad.closed_at is not None and rig.planner.engine.out(f"{1:016x}")
+        assert bad.closed_at is not None and rig.planner.engine.is_outstanding(f"{1:016x}")
         await rig.machines["a"].accept(rig.machines["a"].streams[-1], f"{1:016x}")
         await trio.sleep(0.1)
         assert usual.of(1) == PLACED and bad.of(1) == [(END, 47)]  # its own refusal, and no more
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -108,7 +108,7 @@
         second = Planner(planner_config(), 2, planner.net, disk=on)
         async with trio.open_nursery() as nursery:
             await nursery.start(second.run)
-            assert list(second.engine.cases) == ["g1/0"] and second.engine.sure
+            assert list(second.engine.records) == ["g1/0"] and second.engine.sure
             nursery.cancel_scope.cancel()
 
     beside(test, on)
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -69,7 +69,7 @@
     if there in ("runs", "ended"):
         assert again.sent(m.Placed) and bool(again.sent(m.GuestEnded)) is (there == "ended")
     elif there == "line":
-        assert again.engine.cases["g/0"].machine == machine and not again.sent(m.Offer)
+        assert again.engine.records["g/0"].machine == machine and not again.sent(m.Offer)
     else:
         assert [o.attempt for o in again.sent(m.Offer, "g")] == [1]  # it never arrived
 
