--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -320,7 +320,7 @@
 
     Without a pace it refuses what goes past the first few in line.
     """
-    line_seconds = PATIENCE / 1_000_000 * admission.SAFE
+    line_seconds = PATIENCE / 1_000_000 * admission.QUEUE_SHARE
     for number in range(ceil((count + 1) / line_seconds * PACE_SECONDS)):
         engine.retry_advisor.placed(0, f"earlier{number}")
 
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -13,54 +13,57 @@
 class AddressReuse(GuestVerification):
     """Moves tasks to the machine that has the address they were sent to."""
 
-    def _inherit(self, now: int, news: RosterChanges) -> set[str]:
+    def _move_to_successors(self, now: int, changes: RosterChanges) -> set[str]:
         """Machines have left the list or come to it. What was sent on a connection younger than the list's
         last confirmation came to whoever had that address by then, and stands there. Returns the machines
         that have got such tasks."""
         inherited = set()
-        for name in news.gone:
+        for name in changes.gone:
             link = self.links.get(name)
-            if link is None or not self._awaits_heir(link):
+            if link is None or not self._awaits_successor(link):
                 continue
-            self.orphans[link.address] = name
-            heir = next((f for f in self.roster.machines.values() if f.address == link.address), None)
-            if heir is not None:
-                self._move_tasks(now, link, heir)
-                inherited.add(heir.name)
-        for name in news.fresh:
-            fellow = self.roster.machines.get(name)
-            if fellow is not None and (orphan := self.links.get(self.orphans.get(fellow.address, ""))):
-                self._move_tasks(now, orphan, fellow)
-                inherited.add(fellow.name)
+            self.orphaned_links[link.address] = name
+            successor = next((f for f in self.roster.machines.values() if f.address == link.address), None)
+            if successor is not None:
+                self._move_guests(now, link, successor)
+                inherited.add(successor.name)
+        for name in changes.added:
+            listed = self.roster.machines.get(name)
+            if listed is not None and (orphan := self.links.get(self.orphaned_links.get(listed.address, ""))):
+                self._move_guests(now, orphan, listed)
+                inherited.add(listed.name)
         return inherited
 
-    def _move_tasks(self, now: int, link: Link, heir: RosterMachine) -> None:
+    def _move_guests(self, now: int, link: Link, successor: RosterMachine) -> None:
         """What was sent to this address before the list confirmed it stands at the machine that has it now;
         what awaits its answer does once it is accepted."""
-        self.orphans.pop(link.address, None)
-        link.heir = heir.name
-        for case in [self.records[name] for name in link.holds]:
-            if case.placed and case.sent_unconfirmed:
-                self._move_task(now, case, heir.name)
-        new = self._dial(now, heir)
+        self.orphaned_links.pop(link.address, None)
+        link.successor = successor.name
+        for record in [self.records[name] for name in link.guests]:
+            if record.placed and record.sent_unconfirmed:
+                self._move_guest(now, record, successor.name)
+        new = self._dial(now, successor)
         new.heard_at = new.heard_at or now
 
-    def _move_task(self, now: int, case: GuestRecord, machine: str) -> None:
+    def _move_guest(self, now: int, record: GuestRecord, machine: str) -> None:
         """A placed task stands at another machine than it was sent to. Where the connection on which it was
         sent has ended since, it may have been to the machine before, which has gone: a machine that goes ends
         its connections. Then the one that has the address now has to speak of the task."""
-        before = case.machine
-        ended = any(each.by_machine and each.ended_at >= case.sent_at for each in self.links[before].past)
-        self._unhold(case)
-        case.machine = machine
-        self._hold(case)
-        self.brain.guest_found(now, machine, self._ask(case, 0))
-        self._task_event("moved", case, f"from {before}, whose address it has")
+        before = record.machine
+        ended = any(
+            each.by_machine and each.ended_at >= record.sent_at
+            for each in self.links[before].past_connections
+        )
+        self._detach(record)
+        record.machine = machine
+        self._attach(record)
+        self.brain.guest_found(now, machine, self._submission(record, 0))
+        self._task_event("moved", record, f"from {before}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
-            self._doubt_reused(now, case)
+            self._verify_address_reuse(now, record)
 
-    def _identify(self, as_of: int) -> None:
+    def _confirm_connections(self, as_of: int) -> None:
         """Connections that were not confirmed are to the machines that the list still shows as ready since.
         One that drains may have gone before the list tells it."""
         for name in list(self.unconfirmed_links):
@@ -68,8 +71,8 @@
             if link is not None and link.opened_at > as_of:
                 continue
             del self.unconfirmed_links[name]
-            fellow = self.roster.machines.get(name)
-            if link is not None and fellow is not None and fellow.mode is Mode.READY:
+            listed = self.roster.machines.get(name)
+            if link is not None and listed is not None and listed.mode is Mode.READY:
                 link.unconfirmed = False
-                for each in link.holds:
+                for each in link.guests:
                     self.records[each].sent_unconfirmed = False
--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -12,12 +12,16 @@
 from random import Random
 
 SECOND = 1_000_000
-BINS, BIN = 10, SECOND // 2
+BIN_COUNT, BIN_WIDTH = 10, SECOND // 2
 KNOWN = 10_000  # advised guests that are remembered, to keep their places and see whether the advice was good
-SHORT = 50  # a line up to this long is no overload, whatever the pace: the first seconds know no pace
-FIRST = 5 * SECOND // 2  # the advised wait while no pace is known: half of the time that a pace is taken over
-LATE = SECOND  # after its time so much longer a place is kept
-SAFE = 0.8  # the part of a patience that the line may fill: of lines filled up to 1 a fiftieth came too late
+SHORT_QUEUE = 50  # a line up to this long is no overload, whatever the pace: the first seconds know no pace
+INITIAL_WAIT = (
+    5 * SECOND // 2
+)  # the advised wait while no pace is known: half of the time that a pace is taken over
+LATE_TOLERANCE = SECOND  # after its time so much longer a place is kept
+QUEUE_SHARE = (
+    0.8  # the part of a patience that the line may fill: of lines filled up to 1 a fiftieth came too late
+)
 
 
 class RetryAdvisor:
@@ -25,7 +29,7 @@
 
     def __init__(self, least: int, most: int, random: Random) -> None:
         self.least, self.most, self.random = least, most, random
-        self.bins = [0] * BINS
+        self.bins = [0] * BIN_COUNT
         self.at = 0
         self.return_times: OrderedDict[str, int] = OrderedDict()  # guest: when it may return; emptied by age
         self.back: OrderedDict[str, None] = OrderedDict()  # returned as advised; emptied by its next answer
@@ -34,16 +38,16 @@
         self.counts: Counter[str] = Counter()
 
     def placed(self, now: int, guest: str) -> None:
-        self._turn(now)
-        self.bins[self.at % BINS] += 1
+        self._advance(now)
+        self.bins[self.at % BIN_COUNT] += 1
         if guest in self.back:
             del self.back[guest]
             self.counts["advised_served"] += 1
 
     def pace(self, now: int) -> float:
         """Guests placed a second, lately."""
-        self._turn(now)
-        return sum(self.bins) / (BINS * BIN / SECOND)
+        self._advance(now)
+        return sum(self.bins) / (BIN_COUNT * BIN_WIDTH / SECOND)
 
     def wait(self, now: int, guest: str, line: int) -> int:
         """The advised wait for a guest that is turned back now, behind so many in line."""
@@ -55,7 +59,7 @@
             self.given_until = max(self.given_until, now + line / pace * SECOND) + SECOND / pace * self.shows
             span = self.given_until - now
         else:
-            span = FIRST * self.random.uniform(0.8, 1.2)
+            span = INITIAL_WAIT * self.random.uniform(0.8, 1.2)
         if span > self.most:  # more are away than places: anywhere in the later half of the time ahead
             self.given_until = min(self.given_until, now + self.most)
             span = self.most * self.random.uniform(0.5, 1.0)
@@ -69,7 +73,7 @@
     def guest_returned(self, now: int, guest: str) -> bool:
         """A guest comes; one that was advised counts if it kept to it, and True says that its place is
         kept."""
-        self._missed(now)
+        self._forget_missed(now)
         due = self.return_times.pop(guest, None)
         if due is None:
             return False
@@ -83,26 +87,26 @@
             self.back.popitem(last=False)
         return True
 
-    def _missed(self, now: int) -> None:
+    def _forget_missed(self, now: int) -> None:
         """Forgets places whose guests have not come in time."""
-        while self.return_times and next(iter(self.return_times.values())) + LATE < now:
+        while self.return_times and next(iter(self.return_times.values())) + LATE_TOLERANCE < now:
             self.return_times.popitem(last=False)
             self.shows += 0.02 * (0.1 - self.shows)
 
     def cannot_be_served(self, now: int, line: int, patience: int, kept: bool = False) -> bool:
         """Whether a guest that joins the line now cannot be answered within its patience at the present pace.
         One whose place was kept is taken unless the line alone is too long for it."""
-        if line <= SHORT:
+        if line <= SHORT_QUEUE:
             return False
         room = self.pace(now) * patience / SECOND  # guests that are placed before it must be
         if kept:
             return line > room
-        return line + min(len(self.return_times) * self.shows, room) > room * SAFE
+        return line + min(len(self.return_times) * self.shows, room) > room * QUEUE_SHARE
 
-    def _turn(self, now: int) -> None:
-        at = now // BIN
-        for each in range(self.at + 1, min(at, self.at + BINS) + 1):
-            self.bins[each % BINS] = 0
+    def _advance(self, now: int) -> None:
+        at = now // BIN_WIDTH
+        for each in range(self.at + 1, min(at, self.at + BIN_COUNT) + 1):
+            self.bins[each % BIN_COUNT] = 0
         self.at = max(self.at, at)
 
 
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -17,80 +17,80 @@
         other input but `keep`."""
         self.claims = claims
         claims.begin(now)
-        self._wanted()
+        self._take_proposals()
 
     def agreed(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> None:
         """How an `Agree` ended: agreed, with the value that stands; refused, or open, with the reason."""
         for verdict in self.claims.proposal_ended(now, no, outcome, value, reason):
             if verdict.what == "looked":
-                self._looked(now, verdict)
+                self._query_answered(now, verdict)
                 continue
-            case = self.records.get(verdict.name)
-            waits = case is not None and bool(case.machine) and not case.sent and not case.placed
+            record = self.records.get(verdict.name)
+            waits = record is not None and bool(record.machine) and not record.sent and not record.placed
             if verdict.what == "theirs":
-                if case is not None and not case.placed and not case.sent:
-                    self._elsewhere(now, case, verdict.claim)
+                if record is not None and not record.placed and not record.sent:
+                    self._claimed_elsewhere(now, record, verdict.claim)
             elif verdict.what == "mine":
-                if case is None:  # answered meanwhile: nothing of it left
+                if record is None:  # answered meanwhile: nothing of it left
                     self._release(now, verdict.name.rpartition("/")[0], verdict.value)
                 else:
-                    case.claim = verdict.value
+                    record.claim = verdict.value
             elif verdict.what == "not_agreed" and waits:
-                self._unclaimed(now, case, verdict.value, verdict.reason)
+                self._claim_not_agreed(now, record, verdict.value, verdict.reason)
             if verdict.what in ("mine", "again") and waits:
-                link = self.links[case.machine]
-                if link.state == "up" and link.rolled:
-                    self._offer(now, case)
-        self._wanted()
+                link = self.links[record.machine]
+                if link.state == "up" and link.inventory_known:
+                    self._offer(now, record)
+        self._take_proposals()
 
-    def _unclaimed(self, now: int, case: GuestRecord, open_: bytes, reason: str) -> None:
+    def _claim_not_agreed(self, now: int, record: GuestRecord, open_: bytes, reason: str) -> None:
         """No claim in time. A guest of which nothing can have run goes back with an advised wait; of another,
         what may be said is the Brain's."""
         self.counts["not_agreed_" + reason[:20]] += 1
-        if case.unsure or self.loose.get(case.guest):
-            self._not_sent(now, case, Ending.NOT_SENT)
+        if record.unsettled_machine or self.abandoned.get(record.guest):
+            self._not_sent(now, record, Ending.NOT_SENT)
             return
-        self._release(now, case.guest, open_ or case.claim)
-        self._drop(now, case)
-        later = self._later(now, case.guest, 1_000_000)
+        self._release(now, record.guest, open_ or record.claim)
+        self._drop_guest(now, record)
+        later = self._retry_after(now, record.guest, 1_000_000)
         self._answer(
             now,
-            case,
-            m.TurnedBack(guest=case.guest, ask=case.ask, reason=reason, again_after=later),
-            case.asks,
+            record,
+            m.TurnedBack(guest=record.guest, ask=record.ask, reason=reason, again_after=later),
+            record.asks,
         )
-        self._forget(case)
+        self._forget(record)
 
-    def _elsewhere(self, now: int, case: GuestRecord, claim: Claimed) -> None:
+    def _claimed_elsewhere(self, now: int, record: GuestRecord, claim: Claimed) -> None:
         """Another planner has the guest, or a life of this one that is not remembered: its claim is what is
         known of it."""
         self.counts["claimed_elsewhere"] += 1
-        self._drop(now, case)
-        guest, ask, owner = case.guest, case.ask, case.owner
+        self._drop_guest(now, record)
+        guest, ask, owner = record.guest, record.ask, record.owner
         who = claim.planner
         if claim.state in ("placed", "over"):
             self._answer(
-                now, case, m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who), case.asks
+                now, record, m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who), record.asks
             )
             if claim.state == "over":
-                self._keep_end(now, guest, claim.how)
+                self._record_end(now, guest, claim.how)
                 self._send_owner(
                     owner, m.GuestEnded(guest=guest, ask=ask, how=claim.how, machine=claim.machine)
                 )
         else:
             said = m.BrokenOff(guest=guest, ask=ask, reason="claimed", planner=who)
-            self._answer(now, case, said, case.asks)
-        self._forget(case)
+            self._answer(now, record, said, record.asks)
+        self._forget(record)
 
-    def _drop(self, now: int, case: GuestRecord) -> None:
+    def _drop_guest(self, now: int, record: GuestRecord) -> None:
         """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
-        self._unhold(case)
-        self.brain.guest_left(now, case.name)
-        if case.machine:
-            self.brain.dispatch_ended(now, case.name, Ending.NOT_SENT, True, Remark.NONE)
-        case.machine = ""
+        self._detach(record)
+        self.brain.guest_left(now, record.name)
+        if record.machine:
+            self.brain.dispatch_ended(now, record.name, Ending.NOT_SENT, True, Remark.NONE)
+        record.machine = ""
 
-    def _looked(self, now: int, verdict: Verdict) -> None:
+    def _query_answered(self, now: int, verdict: Verdict) -> None:
         """Answers an owner's query by the agreed value, unless the guest came into hand meanwhile."""
         owner, guest, ask = verdict.name.split("\0")
         message, claim = m.Query(guest=guest, ask=int(ask)), verdict.claim
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -7,58 +7,67 @@
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
-CROSSED = 1_000_000  # a word written so long before a connection ended may not have been read
+CROSSING_WINDOW = 1_000_000  # a word written so long before a connection ended may not have been read
 
 
 class Dispatches(Tables):
     """A guest's way to a machine and back."""
 
-    def _dispatch(self, now: int, case: GuestRecord, machine: str, span: int) -> None:
-        case.attempt, case.machine, case.sent, case.called_off = case.attempt + 1, machine, False, False
-        case.sent_at = now
-        self._overdue(now + span, case)
-        self._hold(case)
-        fellow = self.roster.machines.get(machine)
-        if fellow is None:
-            self._not_sent(now, case, Ending.NO_CONNECTION)
+    def _dispatch(self, now: int, record: GuestRecord, machine: str, span: int) -> None:
+        record.attempt, record.machine, record.sent, record.withdrawn = (
+            record.attempt + 1,
+            machine,
+            False,
+            False,
+        )
+        record.sent_at = now
+        self._set_dispatch_timeout(now + span, record)
+        self._attach(record)
+        listed = self.roster.machines.get(machine)
+        if listed is None:
+            self._not_sent(now, record, Ending.NO_CONNECTION)
             return
-        link = self._dial(now, fellow)
-        if link.state == "up" and link.rolled:
-            self._offer(now, case)
+        link = self._dial(now, listed)
+        if link.state == "up" and link.inventory_known:
+            self._offer(now, record)
         else:
-            link.queue[case.name] = None
+            link.queue[record.name] = None
 
-    def _offer(self, now: int, case: GuestRecord) -> None:
-        link, submit = self.links[case.machine], case.submit
-        if self._claimed(case) and not self.claims.clear(
-            now, case.name, case.guest, case.ask, case.attempt, case.machine, case.claim
+    def _offer(self, now: int, record: GuestRecord) -> None:
+        link, submit = self.links[record.machine], record.submit
+        if self._needs_claim(record) and not self.claims.may_dispatch(
+            now, record.name, record.guest, record.ask, record.attempt, record.machine, record.claim
         ):
-            link.queue[case.name] = None  # it leaves once its claim is agreed
-            self._wanted()
+            link.queue[record.name] = None  # it leaves once its claim is agreed
+            self._take_proposals()
             return
-        if (loose := self.loose.get(case.guest, {}).get(case.machine)) and loose.case.ask == case.ask:
-            self._settled(case.guest, case.machine)  # the machine takes a new dispatch of it for the old one
-        link.queue.pop(case.name, None)
+        if (
+            abandoned := self.abandoned.get(record.guest, {}).get(record.machine)
+        ) and abandoned.record.ask == record.ask:
+            self._forget_abandoned(
+                record.guest, record.machine
+            )  # the machine takes a new dispatch of it for the old one
+        link.queue.pop(record.name, None)
         link.used_at = now
-        case.sent, case.sent_at, case.incarnation = True, now, link.incarnation
-        case.sent_claim, case.sent_unconfirmed = case.claim, link.unconfirmed
-        self._mark_changed("guest", case.name)
-        host = self.brain.machines.get(case.machine)
+        record.sent, record.sent_at, record.incarnation = True, now, link.incarnation
+        record.sent_claim, record.sent_unconfirmed = record.claim, link.unconfirmed
+        self._mark_changed("guest", record.name)
+        host = self.brain.machines.get(record.machine)
         if host and now - host.cold_at < self.deployment.cold_for:
-            self._mark_changed("cold", case.machine)
+            self._mark_changed("cold", record.machine)
         self.counts["dispatches"] += 1
         self._send_machine(
-            case.machine,
+            record.machine,
             m.Offer(
-                guest=case.guest,
-                ask=case.ask,
-                attempt=case.attempt,
+                guest=record.guest,
+                ask=record.ask,
+                attempt=record.attempt,
                 product=submit.product,
                 service=submit.service,
                 cores=submit.cores,
                 memory=submit.memory,
                 customer=submit.customer,
-                owner=case.owner,
+                owner=record.owner,
                 life=getattr(submit, "life", 0),
                 key=getattr(submit, "key", ""),
                 description=getattr(submit, "description", b""),
@@ -66,185 +75,200 @@
             ),
         )
 
-    def _not_sent(self, now: int, case: GuestRecord, ending: Ending) -> None:
+    def _not_sent(self, now: int, record: GuestRecord, ending: Ending) -> None:
         """An offer that never left: this proves that it did not run."""
-        if link := self.links.get(case.machine):
-            link.queue.pop(case.name, None)
-        self._ended(now, case, ending, Remark.NONE)
+        if link := self.links.get(record.machine):
+            link.queue.pop(record.name, None)
+        self._dispatch_ended(now, record, ending, Remark.NONE)
 
-    def _ended(self, now: int, case: GuestRecord, ending: Ending, remark: Remark) -> None:
+    def _dispatch_ended(self, now: int, record: GuestRecord, ending: Ending, remark: Remark) -> None:
         """The dispatch that was out is over and the guest is held again, or answered by what follows."""
-        self._unhold(case)
-        self.monitor.dispatch_ended(case.name, ending not in NEVER_RAN)
-        self._task_event("ended", case, f"{ending.name.lower()} {remark.name.lower()}")
+        self._detach(record)
+        self.monitor.dispatch_ended(record.name, ending not in NEVER_RAN)
+        self._task_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
         if ending not in NEVER_RAN:
-            case.unsure, case.ran_from = case.machine, case.ran_from or case.sent_at
-        case.machine = ""
-        self._mark_changed("guest", case.name)
-        self.brain.dispatch_ended(now, case.name, ending, False, remark)
-        self._adopt(now, case.guest)
+            record.unsettled_machine, record.may_have_run_since = (
+                record.machine,
+                record.may_have_run_since or record.sent_at,
+            )
+        record.machine = ""
+        self._mark_changed("guest", record.name)
+        self.brain.dispatch_ended(now, record.name, ending, False, remark)
+        self._settle_copies(now, record.guest)
 
-    def _gone(
+    def _guest_gone(
         self,
         now: int,
-        case: GuestRecord,
+        record: GuestRecord,
         how: str,
         ending: Ending = Ending.CUT_OFF,
         remark: Remark = Remark.NONE,
     ) -> None:
         """A placed guest's end, or a dispatch whose machine is lost."""
-        if not case.placed:
-            self._give_up(now, case)
-            self._ended(now, case, Ending.CUT_OFF if case.sent else Ending.NOT_SENT, remark)
+        if not record.placed:
+            self._withdraw_dispatch(now, record)
+            self._dispatch_ended(now, record, Ending.CUT_OFF if record.sent else Ending.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
-        self._task_event("released", case, how)
+        self._task_event("released", record, how)
         if how != "lost":  # one that is out of reach may run on
-            self._fact(now, case, "over", how)
-        self._unhold(case)
-        self.brain.dispatch_ended(now, case.name, ending, True, remark)
-        self._forget(case)
+            self._report_fact(now, record, "over", how)
+        self._detach(record)
+        self.brain.dispatch_ended(now, record.name, ending, True, remark)
+        self._forget(record)
         if self.peers.owners_resubmit:
-            self._keep_end(now, case.guest, how)
+            self._record_end(now, record.guest, how)
         self._send_owner(
-            case.owner, m.GuestEnded(guest=case.guest, ask=case.ask, how=how, machine=case.machine)
+            record.owner, m.GuestEnded(guest=record.guest, ask=record.ask, how=how, machine=record.machine)
         )
 
-    def _give_up(self, now: int, case: GuestRecord) -> None:
+    def _withdraw_dispatch(self, now: int, record: GuestRecord) -> None:
         """Takes back a dispatch that is waited for no longer; until its machine speaks, its fate is open."""
-        if not case.sent:
+        if not record.sent:
             return
-        self._task_event("given_up", case)
-        link = self.links.get(case.machine)
+        self._task_event("given_up", record)
+        link = self.links.get(record.machine)
         if self.peers.reports_inventory:
-            self._loosen(now, case)
+            self._abandon_dispatch(now, record)
         if link and link.state == "up":
-            self._send_machine(case.machine, m.Withdraw(guest=case.guest, ask=case.ask, attempt=case.attempt))
+            self._send_machine(
+                record.machine, m.Withdraw(guest=record.guest, ask=record.ask, attempt=record.attempt)
+            )
 
-    def _loosen(self, now: int, case: GuestRecord) -> None:
-        self.loose.setdefault(case.guest, {})[case.machine] = AbandonedDispatch(
-            case, case.attempt, case.machine, case.sent_at, roll_at=now + 1_000_000
+    def _abandon_dispatch(self, now: int, record: GuestRecord) -> None:
+        self.abandoned.setdefault(record.guest, {})[record.machine] = AbandonedDispatch(
+            record, record.attempt, record.machine, record.sent_at, recheck_at=now + 1_000_000
         )
-        self._mark_changed("loose", case.guest, case.machine)
+        self._mark_changed("loose", record.guest, record.machine)
 
-    def _call_off(self, now: int, name: str, machine: str) -> None:
-        case = self.records.get(name)
+    def _withdraw(self, now: int, name: str, machine: str) -> None:
+        record = self.records.get(name)
         link = self.links.get(machine)
         up = link is not None and link.state == "up"
-        if case and case.machine == machine:
-            if not case.placed and not case.sent:
-                self._not_sent(now, case, Ending.NOT_SENT)
+        if record and record.machine == machine:
+            if not record.placed and not record.sent:
+                self._not_sent(now, record, Ending.NOT_SENT)
             elif up:
-                kind = m.Stop if case.placed else m.Withdraw
-                self._send_machine(machine, kind(guest=case.guest, ask=case.ask, attempt=case.attempt))
-                case.called_off = True
+                kind = m.Stop if record.placed else m.Withdraw
+                self._send_machine(machine, kind(guest=record.guest, ask=record.ask, attempt=record.attempt))
+                record.withdrawn = True
             return
-        guest = case.guest if case else name.rpartition("/")[0]
-        if (loose := self.loose.get(guest, {}).get(machine)) and up:
-            self._send_machine(machine, m.Stop(guest=guest, ask=loose.case.ask, attempt=loose.attempt))
+        guest = record.guest if record else name.rpartition("/")[0]
+        if (abandoned := self.abandoned.get(guest, {}).get(machine)) and up:
+            self._send_machine(
+                machine, m.Stop(guest=guest, ask=abandoned.record.ask, attempt=abandoned.attempt)
+            )
 
-    def _final(self, now: int, case: GuestRecord, message: m.TurnedBack | m.BrokenOff) -> None:
+    def _final_answer(self, now: int, record: GuestRecord, message: m.TurnedBack | m.BrokenOff) -> None:
         """A final answer; a dispatch that is still out becomes a loose one."""
         if (
             self.claims is not None
             and isinstance(message, m.TurnedBack)
-            and not case.unsure
-            and not (case.machine and case.sent)
-            and not self.loose.get(case.guest)
+            and not record.unsettled_machine
+            and not (record.machine and record.sent)
+            and not self.abandoned.get(record.guest)
         ):
-            self._release(now, case.guest, case.claim)
-        if case.machine:
-            self._give_up(now, case)
-            self._unhold(case)
-            self.brain.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
-            self.monitor.dispatch_ended(case.name, may_have_run=case.sent)
-            case.machine = ""
-        self._answer(now, case, message, case.asks)
-        self._forget(case)
+            self._release(now, record.guest, record.claim)
+        if record.machine:
+            self._withdraw_dispatch(now, record)
+            self._detach(record)
+            self.brain.dispatch_ended(now, record.name, Ending.OVERDUE, True, Remark.NONE)
+            self.monitor.dispatch_ended(record.name, may_have_run=record.sent)
+            record.machine = ""
+        self._answer(now, record, message, record.asks)
+        self._forget(record)
 
     def _answer(
-        self, now: int, case: GuestRecord, message: m.Message, asks: list[int] | dict[int, None]
+        self, now: int, record: GuestRecord, message: m.Message, asks: list[int] | dict[int, None]
     ) -> None:
         """Gives each ask that awaits one its answer, and keeps it for an owner that was away."""
         self.counts["answers_" + message.__struct_config__.tag] += 1
         self._task_event(
-            "answered", case, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
+            "answered", record, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
         if not self.peers.owners_resubmit:
             self._violated(
-                self.monitor.answered(case.name, self.deployment.products[case.product].effect), case
+                self.monitor.answered(record.name, self.deployment.products[record.product].effect), record
             )
         keep = now + micros(self.limits.keep_answers_ms)
         for ask in list(asks):
             told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
             if self.peers.owners_resubmit:
-                self.answers[case.guest, ask] = told, keep
-                self.answers.move_to_end((case.guest, ask))
-                self._mark_changed("answer", case.guest, ask)
-            self._send_owner(case.owner, told)
-        case.asks = {}
-        self._mark_changed("guest", case.name)
-
-    def _stands(self, now: int, loose: AbandonedDispatch) -> None:
+                self.answers[record.guest, ask] = told, keep
+                self.answers.move_to_end((record.guest, ask))
+                self._mark_changed("answer", record.guest, ask)
+            self._send_owner(record.owner, told)
+        record.asks = {}
+        self._mark_changed("guest", record.name)
+
+    def _late_acceptance(self, now: int, abandoned: AbandonedDispatch) -> None:
         """A dispatch that was given up was accepted: the Brain says whose it is, or that it goes."""
-        loose.stands = True
-        self._mark_changed("loose", loose.case.guest, loose.machine)
+        abandoned.accepted = True
+        self._mark_changed("loose", abandoned.record.guest, abandoned.machine)
         self.counts["late_copies"] += 1
-        self._adopt(now, loose.case.guest)
+        self._settle_copies(now, abandoned.record.guest)
 
-    def _adopt(self, now: int, guest: str) -> None:
+    def _settle_copies(self, now: int, guest: str) -> None:
         """Tells the Brain of copies of a guest that stand though their dispatch was given up; one that it
         takes for the guest itself is the guest's place from here on, any other is called off by a
         decision."""
-        for loose in list(self.loose.get(guest, {}).values()):
-            if not loose.stands:
+        for abandoned in list(self.abandoned.get(guest, {}).values()):
+            if not abandoned.accepted:
                 continue
             held = self.newest_records.get(guest)
-            case = held or loose.case
-            self.brain.copy_stands(now, loose.machine, self._ask(case, 0))
-            mine = self.brain.guests.get(case.name)
+            record = held or abandoned.record
+            self.brain.copy_stands(now, abandoned.machine, self._submission(record, 0))
+            mine = self.brain.guests.get(record.name)
             if held and held.machine or not (mine and mine.placed):
                 continue
-            self._settled(guest, loose.machine)
-            case.ask, case.machine, case.attempt = loose.case.ask, loose.machine, loose.attempt
-            case.sent, case.placed, case.sent_at = True, True, loose.sent_at
-            self._fact(now, case, "placed")
-            self.records[case.name] = self.newest_records[guest] = case
-            self._hold(case)
-            self._mark_changed("guest", case.name)
-            if case.asks:
-                self._answer(now, case, m.Placed(guest=guest, ask=case.ask, machine=case.machine), case.asks)
-            if case.cancelled:
-                self.brain.guest_cancelled(now, case.name)
-
-    def _tell(self, now: int, machine: str, message: m.Message) -> None:
+            self._forget_abandoned(guest, abandoned.machine)
+            record.ask, record.machine, record.attempt = (
+                abandoned.record.ask,
+                abandoned.machine,
+                abandoned.attempt,
+            )
+            record.sent, record.placed, record.sent_at = True, True, abandoned.sent_at
+            self._report_fact(now, record, "placed")
+            self.records[record.name] = self.newest_records[guest] = record
+            self._attach(record)
+            self._mark_changed("guest", record.name)
+            if record.asks:
+                self._answer(
+                    now, record, m.Placed(guest=guest, ask=record.ask, machine=record.machine), record.asks
+                )
+            if record.cancelled:
+                self.brain.guest_cancelled(now, record.name)
+
+    def _send_about_guest(self, now: int, machine: str, message: m.Message) -> None:
         """Sends a word on what stands at a machine; without a connection, with the next; once more if its
         connection ends so soon that the word may have crossed that."""
         link = self.links.get(machine)
         if link is not None:
-            self._rested(now, link)
+            self._close_if_idle(now, link)
         if link is None or link.state == "up":
             self._send_machine(machine, message)
             if link is not None and not self.peers.reports_inventory:
-                link.told = [each for each in link.told if each[0] > now] + [(now + CROSSED, message)]
-        elif fellow := self.roster.machines.get(machine):
-            link.words.append((now + micros(self.limits.keep_answers_ms), message))
-            self._dial(now, fellow)
+                link.recent_messages = [each for each in link.recent_messages if each[0] > now] + [
+                    (now + CROSSING_WINDOW, message)
+                ]
+        elif listed := self.roster.machines.get(machine):
+            link.pending_messages.append((now + micros(self.limits.keep_answers_ms), message))
+            self._dial(now, listed)
 
     # Probes.
 
     def _probe(self, now: int, machine: str) -> None:
         if link := self.links.get(machine):
-            self._rested(now, link)
+            self._close_if_idle(now, link)
         self.probe_number += 1
         self.counts["probes"] += 1
         self.probes[machine] = OutstandingProbe(self.probe_number, now + micros(self.limits.probe_ms))
-        fellow = self.roster.machines.get(machine)
-        if fellow is None:
+        listed = self.roster.machines.get(machine)
+        if listed is None:
             self._probe_over(now, machine, False)
             return
-        link = self._dial(now, fellow)
-        if link.state == "up" and link.rolled:
+        link = self._dial(now, listed)
+        if link.state == "up" and link.inventory_known:
             link.used_at = now
             self._send_machine(machine, m.Probe(number=self.probe_number))
 
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -43,17 +43,22 @@
     def state_kept(self, now: int, well: bool) -> None:
         """The disk fails, or works again. While it fails no guest is taken or sent whose second run could do
         harm."""
-        self.kept_well = well
+        self.persistence_healthy = well
         self.counts["state_failures"] += not well
         self.brain.state_kept(now, well)
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
         """An offer did not leave, since what it rests on could not be made safe."""
-        case = self.records.get(f"{offer.guest}/{offer.ask}") or self.newest_records.get(offer.guest)
-        if case and case.sent and not case.placed and (case.ask, case.attempt) == (offer.ask, offer.attempt):
+        record = self.records.get(f"{offer.guest}/{offer.ask}") or self.newest_records.get(offer.guest)
+        if (
+            record
+            and record.sent
+            and not record.placed
+            and (record.ask, record.attempt) == (offer.ask, offer.attempt)
+        ):
             if self.deployment.list_lease:
-                self.brain.dispatch_held_back(now, case.name)
-            self._not_sent(now, case, Ending.NOT_SENT)
+                self.brain.dispatch_held_back(now, record.name)
+            self._not_sent(now, record, Ending.NOT_SENT)
 
     # The passing of time.
 
@@ -61,7 +66,7 @@
         """Time-outs that are due, then decisions until there is none or so many are made that peers have
         waited long enough to be read; `next_at` says then to pump again at once."""
         self._time_outs(now)
-        self._tell_lease(now)
+        self._report_lease(now)
         for _ in range(self.decision_batch):
             decision = self.brain.decide(now)
             self.more = decision is not None
@@ -77,43 +82,43 @@
         if self.overdue:
             times.append(self.overdue[0][0])
         times += [probe.due for probe in self.probes.values()]
-        for link in self._restless():
+        for link in self._active_links():
             times += [
                 t
                 for t in (
                     link.dial_at,
                     link.dial_due if link.state == "dialling" else 0,
-                    link.roll_due if link.state == "up" and not link.rolled else 0,
+                    link.inventory_due if link.state == "up" and not link.inventory_known else 0,
                 )
                 if t
             ]
-        times += [l.roll_at for by in self.loose.values() for l in by.values()]
+        times += [l.recheck_at for by in self.abandoned.values() for l in by.values()]
         if not self.peers.reports_inventory and self.links:
-            times.append(self.idle_at)  # silence is looked for though nothing happens
+            times.append(self.idle_check_at)  # silence is looked for though nothing happens
         return min(times, default=None)
 
     def _time_outs(self, now: int) -> None:
-        self._leave_out_stop(now)
+        self._exclude_pause(now)
         while self.overdue and self.overdue[0][0] <= now:
             _, name, attempt = heappop(self.overdue)
-            case = self.records.get(name)
-            if case and case.machine and not case.placed and case.attempt == attempt:
-                if case.sent:
-                    self._give_up(now, case)
-                    self._ended(now, case, Ending.OVERDUE, Remark.NONE)
+            record = self.records.get(name)
+            if record and record.machine and not record.placed and record.attempt == attempt:
+                if record.sent:
+                    self._withdraw_dispatch(now, record)
+                    self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
                 else:  # on a link that is up it waited for its claim
-                    link = self.links.get(case.machine)
-                    waited = link is not None and link.state == "up" and link.rolled
-                    self._not_sent(now, case, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
+                    link = self.links.get(record.machine)
+                    waited = link is not None and link.state == "up" and link.inventory_known
+                    self._not_sent(now, record, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
-                self._unheard(now, machine, probe.due - micros(self.limits.probe_ms))
+                self._probe_unanswered(now, machine, probe.due - micros(self.limits.probe_ms))
                 self._probe_over(now, machine, False)
-        for link in self._restless():
-            if link.settled():
-                self.restless.pop(link.machine, None)
+        for link in self._active_links():
+            if link.is_idle():
+                self.active_links.pop(link.machine, None)
                 continue
-            if link.state == "up" and not link.rolled and link.roll_due <= now:
+            if link.state == "up" and not link.inventory_known and link.inventory_due <= now:
                 self.counts["rolls_unanswered"] += 1  # it is mute: as good as a broken link
                 self.actions.append(HangUp(link.machine))
                 self._link_lost(now, link)
@@ -129,27 +134,29 @@
                 self._forget_machine(now, link)
             if link.state == "down" and link.dial_at and link.dial_at <= now:
                 link.dial_at = 0
-                if fellow := self.roster.machines.get(link.machine):
-                    self._dial(now, fellow)
-        for by in list(self.loose.values()):
-            for loose in list(by.values()):
-                if loose.roll_at <= now:
-                    self._ask_loose(now, loose)
+                if listed := self.roster.machines.get(link.machine):
+                    self._dial(now, listed)
+        for by in list(self.abandoned.values()):
+            for abandoned in list(by.values()):
+                if abandoned.recheck_at <= now:
+                    self._recheck_abandoned(now, abandoned)
         if self.list_due and now >= self.list_due:
             self.list_failed(now)
         for table in (self.answers, self.ends):
             while table and next(iter(table.values()))[1] <= now:
                 table.popitem(last=False)
-        if now < self.idle_at:
+        if now < self.idle_check_at:
             return
         idle = micros(self.limits.idle_close_ms)
-        self.idle_at = now + min(500_000, idle // 8)  # four fifths of the far side's time, and a tenth of it
-        self._settle_doubts(now)
+        self.idle_check_at = now + min(
+            500_000, idle // 8
+        )  # four fifths of the far side's time, and a tenth of it
+        self._decide_verifications(now)
         if not self.peers.reports_inventory:
             for link in list(self.links.values()):
-                self._watch_silence(now, link)
+                self._check_silence(now, link)
         for link in [l for l in self.links.values() if l.state == "up" and now - l.used_at > idle]:
-            if not link.holds and not link.queue and link.machine not in self.probes:
+            if not link.guests and not link.queue and link.machine not in self.probes:
                 self.actions.append(HangUp(link.machine))
                 link.close(now)
 
@@ -158,18 +165,18 @@
         if step is Step.DISPATCH:
             self._dispatch(now, self.records[name], machine, span)
         elif step is Step.TURN_BACK:
-            case = self.records[name]
-            why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
-            later = 0 if case.cancelled else self._later(now, case.guest, span)
-            self._final(
-                now, case, m.TurnedBack(guest=case.guest, ask=case.ask, reason=why, again_after=later)
+            record = self.records[name]
+            why = "cancelled" if record.cancelled else "stopping" if self.stopping else "no_machine"
+            later = 0 if record.cancelled else self._retry_after(now, record.guest, span)
+            self._final_answer(
+                now, record, m.TurnedBack(guest=record.guest, ask=record.ask, reason=why, again_after=later)
             )
         elif step is Step.BREAK_OFF:
-            case = self.records[name]
-            why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
-            self._final(now, case, m.BrokenOff(guest=case.guest, ask=case.ask, reason=why))
+            record = self.records[name]
+            why = "cancelled" if record.cancelled else "may_have_run" if record.attempt >= 0 else "no_machine"
+            self._final_answer(now, record, m.BrokenOff(guest=record.guest, ask=record.ask, reason=why))
         elif step is Step.CALL_OFF:
-            self._call_off(now, name, machine)
+            self._withdraw(now, name, machine)
         elif step is Step.PROBE:
             self._probe(now, machine)
         elif step is Step.FOLLOW_LIST:
@@ -182,17 +189,17 @@
         """Takes nothing more. What is held is answered by the Brain at once; what is out is called off, and
         answered when its machine has said whether it ran. Running guests run on."""
         self.stopping = True
-        for case in list(self.records.values()):
-            if not case.placed:
-                self.brain.guest_cancelled(now, case.name)
+        for record in list(self.records.values()):
+            if not record.placed:
+                self.brain.guest_cancelled(now, record.name)
         self._pump_all(now)
 
     def stop_now(self, now: int) -> None:
         """The time for a stop is over: what is still out goes to the Brain as unknown, and is answered so."""
-        for case in list(self.records.values()):
-            if case.machine and not case.placed:
-                self._give_up(now, case)
-                self._ended(now, case, Ending.OVERDUE, Remark.NONE)
+        for record in list(self.records.values()):
+            if record.machine and not record.placed:
+                self._withdraw_dispatch(now, record)
+                self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
         self._pump_all(now)
 
     def _pump_all(self, now: int) -> None:
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -13,59 +13,59 @@
     def _link_lost(self, now: int, link: Link, by_machine: bool = False) -> None:
         self.counts["links_lost"] += link.state == "up"
         link.close(now, by_machine)
-        self.restless[link.machine] = None
+        self.active_links[link.machine] = None
         self._drop_queue(now, link)
         self._probe_over(now, link.machine, False)
         if not self.peers.reports_inventory:  # a set-up ends with its connection, what stands does not
-            for name in list(link.holds):
-                case = self.records[name]
-                if case.sent and not case.placed:
-                    self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
+            for name in list(link.guests):
+                record = self.records[name]
+                if record.sent and not record.placed:
+                    self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
         if (
             not self.peers.reports_inventory
             and link.machine not in self.roster.machines
-            and not self._awaits_heir(link)
+            and not self._awaits_successor(link)
         ):
             self._forget_machine(now, link)  # it has left the list, and its connection with it
             return
         keep = now + micros(self.limits.keep_answers_ms)
-        link.words += [(keep, message) for until, message in link.told if until > now]
-        link.told.clear()
-        if link.holds or any(link.machine in by for by in self.loose.values()):
+        link.pending_messages += [(keep, message) for until, message in link.recent_messages if until > now]
+        link.recent_messages.clear()
+        if link.guests or any(link.machine in by for by in self.abandoned.values()):
             link.lost_at = link.lost_at or now
             link.dial_at = now
         else:
             link.lost_at = 0
-            link.dial_at = now if link.words else link.dial_at
+            link.dial_at = now if link.pending_messages else link.dial_at
 
     def _forget_machine(self, now: int, link: Link) -> None:
         """The machine did not come back in time: what is unknown goes to the Brain as unknown."""
         link.lost_at = link.dial_at = link.unanswered = link.heard_at = 0
-        link.words.clear()
+        link.pending_messages.clear()
         link.incarnation = link.incarnation if link.state == "up" else 0
-        for name in list(link.holds):
-            case = self.records[name]
+        for name in list(link.guests):
+            record = self.records[name]
             if (
-                case.placed and self.peers.reports_inventory
+                record.placed and self.peers.reports_inventory
             ):  # it may run on, cut off: its machine is asked later
-                self._loosen(now, case)
-            self._gone(now, case, "lost")
+                self._abandon_dispatch(now, record)
+            self._guest_gone(now, record, "lost")
         if link.machine not in self.roster.machines:
-            for guest in [g for g, by in self.loose.items() if link.machine in by]:
-                self._settled(guest, link.machine)
+            for guest in [g for g, by in self.abandoned.items() if link.machine in by]:
+                self._forget_abandoned(guest, link.machine)
             del self.links[link.machine]
-            if self.orphans.get(link.address) == link.machine:
-                del self.orphans[link.address]
+            if self.orphaned_links.get(link.address) == link.machine:
+                del self.orphaned_links[link.address]
 
     def _drop_queue(self, now: int, link: Link) -> None:
         for name in list(link.queue):
             self._not_sent(now, self.records[name], Ending.NO_CONNECTION)
 
-    def _awaits_heir(self, link: Link) -> bool:
+    def _awaits_successor(self, link: Link) -> bool:
         """Whether a task there may stand at another machine, which the list will name with this address."""
-        return any(self.records[name].sent_unconfirmed for name in link.holds)
+        return any(self.records[name].sent_unconfirmed for name in link.guests)
 
-    def _abandon(self, now: int, link: Link) -> None:
+    def _drop_silent_link(self, now: int, link: Link) -> None:
         self.counts["links_silent"] += 1
         self.actions.append(HangUp(link.machine))
         self._link_lost(now, link)
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -1,7 +1,7 @@
 """The connections to machines, and what machines say on them."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.dispatches import CROSSED
+from hazelhold.engine.dispatches import CROSSING_WINDOW
 from hazelhold.engine.list_updates import ListUpdates
 from hazelhold.engine.liveness import LivenessChecks
 from hazelhold.engine.machines import Link
@@ -19,7 +19,7 @@
     "withdrawn": (Ending.TURNED_BACK, Remark.NONE),
     "not_sent": (Ending.NOT_SENT, Remark.NONE),
 }
-STOOD = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
+ENDS_AFTER_ACCEPTANCE = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
 REMARKS = {
     "no_cores": Remark.NO_CORES,
     "no_memory": Remark.NO_MEMORY,
@@ -55,42 +55,42 @@
             )
             self.link_failed(now, machine)
             return
-        link.state, link.rolled = "up", False
-        self.restless[machine] = None
-        link.roll_due = now + micros(self.limits.reconnect_ms)
-        link.before, link.incarnation = link.incarnation, welcome.incarnation
+        link.state, link.inventory_known = "up", False
+        self.active_links[machine] = None
+        link.inventory_due = now + micros(self.limits.reconnect_ms)
+        link.previous_incarnation, link.incarnation = link.incarnation, welcome.incarnation
         link.used_at = now
         self._send_machine(machine, m.Roll())
 
     def _opened(self, now: int, link: Link) -> None:
         """A connection stands to a machine that tells nothing of what it holds."""
-        link.state, link.rolled, link.dial_at = "up", True, 0
+        link.state, link.inventory_known, link.dial_at = "up", True, 0
         link.used_at = link.opened_at = now
         if self.deployment.list_lease:  # until the list shows the machine there at a later moment
             link.unconfirmed = True
             self.unconfirmed_links[link.machine] = None
-        if link.lost_at and self._heard_lately(now, link):
+        if link.lost_at and self._is_recently_heard(now, link):
             link.lost_at = 0
         link.heard_at = link.heard_at or now
         if link.lost_at:  # whether the machine that had those guests is still there, its answer shows
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
-        self.restless[link.machine] = None
-        words, link.words = link.words, []
+        self.active_links[link.machine] = None
+        words, link.pending_messages = link.pending_messages, []
         for until, message in words:
             if until > now:
                 self._send_machine(link.machine, message)
-                link.told.append((now + CROSSED, message))
+                link.recent_messages.append((now + CROSSING_WINDOW, message))
         for name in list(link.queue):
             self._offer(now, self.records[name])
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
-    def _heard_lately(self, now: int, link: Link) -> bool:
+    def _is_recently_heard(self, now: int, link: Link) -> bool:
         """Whether a machine that takes a new connection need not be asked if it is still there: it has said
         something in the time for which it may say nothing on a standing one, and owes no answer since. Each
         probe is paid for, and some machines close a connection after half a second of quiet."""
-        asked = link.unanswered or link.asked_at > link.heard_at
+        asked = link.unanswered or link.probed_at > link.heard_at
         return not asked and now - link.heard_at <= micros(self.limits.silent_ms)
 
     def link_failed(self, now: int, machine: str, refused: bool = False) -> None:
@@ -102,16 +102,16 @@
         if refused and not self.peers.reports_inventory and link.lost_at:
             link.lost_at = now - micros(self.limits.reconnect_ms)
         self.counts["dials_failed"] += 1
-        self.restless[machine] = None
+        self.active_links[machine] = None
         link.state = "down"
         self._drop_queue(now, link)
         if link.lost_at and now - link.lost_at >= micros(self.limits.reconnect_ms):
             self._forget_machine(now, link)
         elif link.lost_at:
             link.dial_at = now + micros(self.limits.reconnect_ms) // 10
-        elif any(until > now for until, _ in link.words):
+        elif any(until > now for until, _ in link.pending_messages):
             link.dial_at = now + micros(self.limits.reconnect_ms) // 10
-        elif machine in self.unheard:
+        elif machine in self.unreported_machines:
             link.dial_at = now + 1_000_000
 
     def link_down(self, now: int, machine: str, reset: bool = False) -> None:
@@ -120,7 +120,7 @@
         if link := self.links.get(machine):
             self._link_lost(now, link, by_machine=True)
             if reset:
-                self._doubt_all_on(now, link)
+                self._verify_all_on(now, link)
 
     # What machines say.
 
@@ -133,12 +133,12 @@
         if not self.peers.reports_inventory:
             link.lost_at = 0
         if isinstance(message, m.Running):
-            self._rolled(now, link, message)
+            self._inventory_received(now, link, message)
             return
         if isinstance(message, m.Report):
             self.brain.machine_reported(now, machine, load(message.load))
             if machine in self.probes and self.probes[machine].number == message.number:
-                self._tested(now, link, message.well)
+                self._probe_answered(now, link, message.well)
                 self._probe_over(now, machine, message.well)
             return
         if isinstance(message, m.Pressed):
@@ -148,167 +148,165 @@
             return
         if (report := getattr(message, "load", None)) is not None:
             self.brain.machine_reported(now, machine, load(report))
-        for case in (
+        for record in (
             self.newest_records.get(message.guest),
             self.records.get(f"{message.guest}/{message.ask}"),
         ):
             if (
-                case
-                and case.machine
-                and case.machine in (machine, link.heir)
-                and case.sent
+                record
+                and record.machine
+                and record.machine in (machine, link.successor)
+                and record.sent
                 and (
                     not self.peers.identifies_dispatches
-                    or (case.ask, case.attempt) == (message.ask, message.attempt)
+                    or (record.ask, record.attempt) == (message.ask, message.attempt)
                 )
             ):
-                self._heard(now, case, message)
+                self._dispatch_message(now, record, message)
                 return
-        self._heard_loose(now, machine, message)
+        self._abandoned_message(now, machine, message)
 
-    def _heard(self, now: int, case: GuestRecord, message: m.Offered) -> None:
+    def _dispatch_message(self, now: int, record: GuestRecord, message: m.Offered) -> None:
         """News of the dispatch that is out, or of the placed guest."""
-        case.spoken_at = now
+        record.confirmed_at = now
         if (
             isinstance(message, m.Taken)
-            and not case.placed
-            and case.called_off
+            and not record.placed
+            and record.withdrawn
             and not self.peers.reports_inventory
         ):
             # The taking back ends what was taken, and no word follows that an owner could be told.
-            self._ended(now, case, Ending.CALLED_OFF, Remark.NONE)
-        elif isinstance(message, m.Taken) and not case.placed:
-            case.placed = True
-            self._mark_changed("guest", case.name)
-            self._fact(now, case, "placed")
-            self.brain.dispatch_taken(now, case.name, now - case.sent_at)
+            self._dispatch_ended(now, record, Ending.CALLED_OFF, Remark.NONE)
+        elif isinstance(message, m.Taken) and not record.placed:
+            record.placed = True
+            self._mark_changed("guest", record.name)
+            self._report_fact(now, record, "placed")
+            self.brain.dispatch_taken(now, record.name, now - record.sent_at)
             if self.peers.advises_retry:
-                self.retry_advisor.placed(now, case.guest)
+                self.retry_advisor.placed(now, record.guest)
             self._answer(
                 now,
-                case,
+                record,
                 m.Placed(
-                    guest=case.guest,
-                    ask=case.ask,
-                    machine=case.machine,
+                    guest=record.guest,
+                    ask=record.ask,
+                    machine=record.machine,
                     description=getattr(message, "description", b""),
                 ),
-                case.asks,
+                record.asks,
             )
-            if case.sent_unconfirmed and (link := self.links.get(case.machine)) and link.heir:
-                self._move_task(now, case, link.heir)
-        elif isinstance(message, m.Refused) and not case.placed:
+            if record.sent_unconfirmed and (link := self.links.get(record.machine)) and link.successor:
+                self._move_guest(now, record, link.successor)
+        elif isinstance(message, m.Refused) and not record.placed:
             self.counts["refused_" + message.remark[:20]] += 1
-            self._ended(now, case, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+            self._dispatch_ended(now, record, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
         elif isinstance(message, m.Started):
-            self.brain.guest_runs(now, case.name)
+            self.brain.guest_runs(now, record.name)
         elif isinstance(message, m.Use):
             if message.cores is not None:
-                self.brain.cores_used(now, case.name, message.cores)
+                self.brain.cores_used(now, record.name, message.cores)
             if message.memory is not None:
-                self.brain.memory_used(now, case.name, message.memory)
+                self.brain.memory_used(now, record.name, message.memory)
         elif isinstance(message, m.Served):
-            self.brain.guest_served(now, case.name, message.share)
+            self.brain.guest_served(now, record.name, message.share)
         elif isinstance(message, m.Ended):
             ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
-            if case.placed:
-                self._gone(now, case, message.how, ending, remark)
+            if record.placed:
+                self._guest_gone(now, record, message.how, ending, remark)
             else:
-                self._ended(now, case, ending, remark)
+                self._dispatch_ended(now, record, ending, remark)
                 if self._had_accepted(message.how):
-                    self._over_before_its_answer(now, case)
+                    self._ended_before_acceptance(now, record)
 
     def _had_accepted(self, how: str) -> bool:
         """Whether only a machine that had accepted a task can end it so. One that accepts a task when it runs
         may push it out before. Where machines roll, their answer always comes first."""
         if self.peers.reports_inventory:
             return False
-        return how == "done" or how in STOOD and not self.deployment.confirms_running
+        return how == "done" or how in ENDS_AFTER_ACCEPTANCE and not self.deployment.confirms_running
 
-    def _over_before_its_answer(self, now: int, case: GuestRecord) -> None:
+    def _ended_before_acceptance(self, now: int, record: GuestRecord) -> None:
         """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
         attempt under the same name would be answered "placed" after the end of what was placed."""
         self.counts["over_before_answer"] += 1
-        case.cancelled = True
-        self._mark_changed("guest", case.name)
-        self.brain.guest_cancelled(now, case.name)
+        record.cancelled = True
+        self._mark_changed("guest", record.name)
+        self.brain.guest_cancelled(now, record.name)
 
-    def _heard_loose(self, now: int, machine: str, message: m.Offered) -> None:
+    def _abandoned_message(self, now: int, machine: str, message: m.Offered) -> None:
         """News of a dispatch that was given up."""
-        loose = self.loose.get(message.guest, {}).get(machine)
-        if loose is None or loose.case.ask != message.ask:
-            if isinstance(message, m.Ended) and (stand := self.waiting_handovers.pop(message.guest, None)):
+        abandoned = self.abandoned.get(message.guest, {}).get(machine)
+        if abandoned is None or abandoned.record.ask != message.ask:
+            if isinstance(message, m.Ended) and (item := self.waiting_handovers.pop(message.guest, None)):
                 self.counts["found_ended"] += 1
-                if not stand.ended:
-                    told = m.GuestEnded(guest=message.guest, how=message.how, machine=stand.machine)
-                    self._send_owner(stand.owner, told)
+                if not item.ended:
+                    told = m.GuestEnded(guest=message.guest, how=message.how, machine=item.machine)
+                    self._send_owner(item.owner, told)
                 return
             self.counts["stray_messages"] += 1
             if self.peers.reports_use and isinstance(message, m.Started | m.Use | m.Served):
-                self._spoke_of_unknown(machine, message.guest)
+                self._unknown_guest_reported(machine, message.guest)
             if isinstance(message, m.Ended) and not self.peers.owners_resubmit:
-                self._keep_end(now, message.guest, message.how)
+                self._record_end(now, message.guest, message.how)
             return
         if isinstance(message, m.Refused | m.Ended):
-            self._settled(message.guest, machine)
-        elif isinstance(message, m.Taken | m.Started | m.Use | m.Served) and not loose.stands:
-            self._stands(now, loose)
+            self._forget_abandoned(message.guest, machine)
+        elif isinstance(message, m.Taken | m.Started | m.Use | m.Served) and not abandoned.accepted:
+            self._late_acceptance(now, abandoned)
 
-    def _rolled(self, now: int, link: Link, running: m.Running) -> None:
+    def _inventory_received(self, now: int, link: Link, running: m.Running) -> None:
         """What a machine has of ours, against what is thought to be there."""
-        self.unheard.discard(link.machine)
-        if link.rolled:  # nobody asked: it cannot tell what is on its way there
+        self.unreported_machines.discard(link.machine)
+        if link.inventory_known:  # nobody asked: it cannot tell what is on its way there
             return
-        link.rolled, link.lost_at, link.dial_at = True, 0, 0
+        link.inventory_known, link.lost_at, link.dial_at = True, 0, 0
         there = {(s.guest, s.ask): s for s in running.guests}
-        same_life = not link.before or link.before == link.incarnation
-        link.before = link.incarnation
-        for name in list(link.holds):
-            case = self.records[name]
-            stand = there.pop((case.guest, case.ask), None)
-            if not case.sent:
+        same_life = not link.previous_incarnation or link.previous_incarnation == link.incarnation
+        link.previous_incarnation = link.incarnation
+        for name in list(link.guests):
+            record = self.records[name]
+            item = there.pop((record.guest, record.ask), None)
+            if not record.sent:
                 continue
-            if stand and stand.state == "line" and case.cancelled:
-                self._call_off(now, name, link.machine)
-            if stand and stand.state == "ended":
-                if not case.placed and stand.how != "withdrawn":  # accepted while nobody listened
-                    self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
-                self._heard(now, case, m.Ended(guest=case.guest, ask=case.ask, how=stand.how))
+            if item and item.state == "line" and record.cancelled:
+                self._withdraw(now, name, link.machine)
+            if item and item.state == "ended":
+                if not record.placed and item.how != "withdrawn":  # accepted while nobody listened
+                    self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.ask))
+                self._dispatch_message(now, record, m.Ended(guest=record.guest, ask=record.ask, how=item.how))
             elif (
-                stand
-                and stand.state != "line"
-                and not case.placed
-                and not (stand.state == "accepted" and self.deployment.confirms_running)
+                item
+                and item.state != "line"
+                and not record.placed
+                and not (item.state == "accepted" and self.deployment.confirms_running)
             ):
-                self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
-            if stand and stand.state == "runs":
+                self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.ask))
+            if item and item.state == "runs":
                 self.brain.guest_runs(now, name)
-            if stand is None and case.placed:
-                self._gone(now, case, "lost")
-            elif stand is None and same_life and running.complete:
-                self._never_arrived(now, case)
-            elif stand is None:
-                self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
-        for guest in [g for g, by in self.loose.items() if link.machine in by]:
-            loose = self.loose[guest][link.machine]
-            stand = there.pop((guest, loose.case.ask), None)
-            if stand is None or stand.state == "ended":
-                self._settled(guest, link.machine)
-            elif stand.state == "line":
-                loose.roll_at = now  # taken back once more
-            elif not loose.stands and (
-                stand.state == "runs" or stand.state == "accepted" and not self.deployment.confirms_running
-            ):
-                self._stands(now, loose)
-        for stand in there.values():
-            if stand.state in ("runs", "accepted"):
-                self._found(now, link, stand)
-            elif (
-                stand.state == "ended" and stand.how != "withdrawn" and stand.guest not in self.newest_records
+            if item is None and record.placed:
+                self._guest_gone(now, record, "lost")
+            elif item is None and same_life and running.complete:
+                self._never_arrived(now, record)
+            elif item is None:
+                self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
+        for guest in [g for g, by in self.abandoned.items() if link.machine in by]:
+            abandoned = self.abandoned[guest][link.machine]
+            item = there.pop((guest, abandoned.record.ask), None)
+            if item is None or item.state == "ended":
+                self._forget_abandoned(guest, link.machine)
+            elif item.state == "line":
+                abandoned.recheck_at = now  # taken back once more
+            elif not abandoned.accepted and (
+                item.state == "runs" or item.state == "accepted" and not self.deployment.confirms_running
             ):
+                self._late_acceptance(now, abandoned)
+        for item in there.values():
+            if item.state in ("runs", "accepted"):
+                self._guest_found(now, link, item)
+            elif item.state == "ended" and item.how != "withdrawn" and item.guest not in self.newest_records:
                 # It ended while no planner listened: its owner will ask, and must not hear that it is
                 # unknown.
-                self._keep_end(now, stand.guest, stand.how)
+                self._record_end(now, item.guest, item.how)
         # What was to go there was decided without the guests that were found: their services are decided
         # anew.
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
@@ -320,42 +318,42 @@
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
-    def _never_arrived(self, now: int, case: GuestRecord) -> None:
+    def _never_arrived(self, now: int, record: GuestRecord) -> None:
         """A complete roll without it, in the life that it was sent to: it never arrived, and cannot any more.
         That rests on what this planner last knew. If an earlier life made its claim, the kept state may be
         older than what that life saw, so the claim is not gone on with."""
-        if case.claim and self.claims is not None and not self.claims.mine(case.claim):
-            case.claim = case.sent_claim = b""
-        self._ended(now, case, Ending.NOT_SENT, Remark.NONE)
+        if record.claim and self.claims is not None and not self.claims.mine(record.claim):
+            record.claim = record.sent_claim = b""
+        self._dispatch_ended(now, record, Ending.NOT_SENT, Remark.NONE)
 
-    def _found(self, now: int, link: Link, stand: m.Stand) -> None:
+    def _guest_found(self, now: int, link: Link, item: m.Stand) -> None:
         """A guest of ours that runs and that this planner does not know: from before its start."""
-        if stand.product not in self.products:
+        if item.product not in self.products:
             self.counts["found_unknown_product"] += 1
             return
-        name = f"{stand.guest}/{stand.ask}"
+        name = f"{item.guest}/{item.ask}"
         self.counts["found"] += 1
-        case = GuestRecord(name, stand.guest, stand.ask, stand.owner, self.products[stand.product], stand)
-        case.attempt, case.sent_at = stand.attempt, now
-        held = self.newest_records.get(stand.guest)
+        record = GuestRecord(name, item.guest, item.ask, item.owner, self.products[item.product], item)
+        record.attempt, record.sent_at = item.attempt, now
+        held = self.newest_records.get(item.guest)
         if held and held.machine or name in self.records:  # out or placed elsewhere: one copy too many
-            loose = AbandonedDispatch(case, stand.attempt, link.machine, now, roll_at=now + 1_000_000)
-            self._mark_changed("loose", stand.guest, link.machine)
-            self.loose.setdefault(stand.guest, {})[link.machine] = loose
-            self._stands(now, loose)
+            abandoned = AbandonedDispatch(record, item.attempt, link.machine, now, recheck_at=now + 1_000_000)
+            self._mark_changed("loose", item.guest, link.machine)
+            self.abandoned.setdefault(item.guest, {})[link.machine] = abandoned
+            self._late_acceptance(now, abandoned)
             return
-        case.machine, case.sent, case.placed = link.machine, True, True
+        record.machine, record.sent, record.placed = link.machine, True, True
         if held:  # asked again while its planner was away: what runs is the answer
             self.brain.guest_left(now, held.name)
             self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
             del self.records[held.name]
             self._mark_changed("guest", held.name)
-        self.records[name] = self.newest_records[stand.guest] = case
-        case.incarnation = link.incarnation
-        self._hold(case)
+        self.records[name] = self.newest_records[item.guest] = record
+        record.incarnation = link.incarnation
+        self._attach(record)
         self._mark_changed("guest", name)
-        self.brain.guest_found(now, link.machine, self._ask(case, 0))
-        self._fact(now, case, "placed")
+        self.brain.guest_found(now, link.machine, self._submission(record, 0))
+        self._report_fact(now, record, "placed")
 
 
 def load(report: m.Load | None) -> Load | None:
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -15,7 +15,7 @@
 class ListUpdates(AddressReuse):
     """The list's side of an engine."""
 
-    _resolve_stands: Callable[..., None]  # of the owners' side
+    _resolve_handovers: Callable[..., None]  # of the owners' side
 
     def list_said(self, now: int, message: m.Message) -> None:
         """A Listing or ListRefused of the list service."""
@@ -25,66 +25,70 @@
             return
         first, self.list_heard = not self.list_heard, True
         self.list_version = message.version
-        news = self.roster.learn(now, message)
+        changes = self.roster.update(now, message)
         if self.persistence is not None:
-            self.persistence.told(message)
+            self.persistence.listing_received(message)
         self.counts["list_entries"] += len(message.entries)
-        self.counts["list_faults"] += len(news.faults)
-        self.brain.machines_listed(now, news.listed, message.whole)
+        self.counts["list_faults"] += len(changes.faults)
+        self.brain.machines_listed(now, changes.listed, message.whole)
         if not first:  # the whole list of a start is one line, at the start
-            self._log_news(now, news)
-        for name in news.closed:  # what has not left may not go there any more
+            self._log_changes(now, changes)
+        for name in changes.draining:  # what has not left may not go there any more
             if link := self.links.get(name):
                 for case_name in list(link.queue):
                     self._not_sent(now, self.records[case_name], Ending.NOT_SENT)
-        for name in news.moved:
+        for name in changes.moved:
             if name in self.links:
                 self.actions.append(HangUp(name))
                 self._link_lost(now, self.links[name])
-        inherited = self._inherit(now, news)
-        for name in news.gone:
-            self.unheard.discard(name)
+        inherited = self._move_to_successors(now, changes)
+        for name in changes.gone:
+            self.unreported_machines.discard(name)
             if (link := self.links.get(name)) and (
                 not link.state == "up"
-                and not self._awaits_heir(link)
+                and not self._awaits_successor(link)
                 or not self.peers.reports_inventory
-                and not link.holds
+                and not link.guests
             ):
                 if link.state == "up":
                     self.actions.append(HangUp(name))
                     link.close(now)
                 self._forget_machine(now, link)
-        self._resolve_stands(now, list_is_whole=False)
+        self._resolve_handovers(now, list_is_whole=False)
         if not self.peers.reports_inventory:
-            for name in news.fresh:
+            for name in changes.added:
                 if (link := self.links.get(name)) and link.machine not in inherited:
-                    self._new_life(now, link, self.roster.machines[name].started)
+                    self._machine_restarted(now, link, self.roster.machines[name].started)
             return
         if first:
-            self.unheard = {f.name for f in self.roster.machines.values()}
-        for name in news.fresh:  # each is asked once what it holds of ours
+            self.unreported_machines = {f.name for f in self.roster.machines.values()}
+        for name in changes.added:  # each is asked once what it holds of ours
             self._dial(now, self.roster.machines[name])
 
-    def _new_life(self, now: int, link: Link, started: int) -> None:
+    def _machine_restarted(self, now: int, link: Link, started: int) -> None:
         """The list tells of a machine's new life: what came to it in the old one is over. Where the clocks
         may differ, a task sent before a connection ended has to be spoken of on a later one."""
         ended_at, reset_at = previous_incarnation_ended(now, link, started)
-        for name in list(link.holds):
-            case = self.records[name]
-            if case.handed_over_at and not case.spoken_at:
-                self._doubt_handed_over(case)
-            if not case.sent or case.sent_at >= max(ended_at, reset_at) or case.spoken_at > reset_at > 0:
+        for name in list(link.guests):
+            record = self.records[name]
+            if record.handed_over_at and not record.confirmed_at:
+                self._verify_handed_over(record)
+            if (
+                not record.sent
+                or record.sent_at >= max(ended_at, reset_at)
+                or record.confirmed_at > reset_at > 0
+            ):
                 continue
-            if case.sent_at < ended_at:
-                self._gone(now, case, "lost")
+            if record.sent_at < ended_at:
+                self._guest_gone(now, record, "lost")
             else:
-                self._doubt_since_reset(reset_at, case, VerificationCause.RESTARTED)
+                self._verify_after_reset(reset_at, record, VerificationCause.RESTARTED)
 
-    def _log_news(self, now: int, news: RosterChanges) -> None:
-        for name in news.fresh:
+    def _log_changes(self, now: int, changes: RosterChanges) -> None:
+        for name in changes.added:
             self._machine_event("listed", name)
-        for name in news.closed:
-            reason = "gone" if name in news.gone else "draining"
+        for name in changes.draining:
+            reason = "gone" if name in changes.gone else "draining"
             link = self.links.get(name)
             if link is not None and link.offered_at:  # beside when it was told: whether that broke the rule
                 reason += f", last offer {(now - link.offered_at) // 1000} ms ago"
@@ -98,9 +102,9 @@
         changes = not self.list_taken or bool(self.waiting_handovers or self.unconfirmed_links)
         self.lease.confirm(as_of)
         if self.lease.holds(now):
-            self._resolve_stands(now, list_is_whole=True)
-            self._identify(as_of)
-        self._tell_lease(now)
+            self._resolve_handovers(now, list_is_whole=True)
+            self._confirm_connections(as_of)
+        self._report_lease(now)
         return changes
 
     def list_unchanged(self, now: int) -> None:
@@ -116,9 +120,9 @@
     def list_address_changed(self, now: int) -> None:
         """The list service has a new address, which has told nothing yet."""
         self.lease.end(Lapse.MOVED)
-        self._tell_lease(now)
+        self._report_lease(now)
 
-    def _tell_lease(self, now: int) -> None:
+    def _report_lease(self, now: int) -> None:
         """Tells the module and the log if the list has become current or stopped to be."""
         holds = self.lease.holds(now)
         if holds is self.list_taken:
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -6,49 +6,49 @@
 from hazelhold.engine.verification import GuestVerification
 from hazelhold.protocol import messages as m
 
-GONE_WITHIN = 1_000_000
+GONE_TIMEOUT = 1_000_000
 """Microseconds after a machine left the list at which what stood there is lost."""
 
-HEIR_WITHIN = 4_000_000
+SUCCESSOR_TIMEOUT = 4_000_000
 """The same where the connection may be to another machine that has its address, which the list still owes."""
 
-PUMPS_APART = 1_000_000
+MAX_PUMP_INTERVAL = 1_000_000
 """Microseconds that lie between two pumps at the most, unless the process did not run."""
 
-HEARD_WITHIN = 1_000_000
+CATCH_UP_TIME = 1_000_000
 """Microseconds in which a process that runs on reads what came meanwhile, and dials again."""
 
 
 class LivenessChecks(GuestVerification):
     """Tests, and machines that say nothing."""
 
-    def _leave_out_stop(self, now: int) -> None:
+    def _exclude_pause(self, now: int) -> None:
         """A process that did not run for a while has heard neither the list nor machines: that time is not
         held against them, and nothing is taken for lost before what came meanwhile is read."""
-        stopped = now - self.pumped_at - PUMPS_APART
+        stopped = now - self.pumped_at - MAX_PUMP_INTERVAL
         self.pumped_at = now
         if stopped <= 0 or self.peers.reports_inventory:
             return
-        self.ran_on_at = now
+        self.resumed_at = now
         self.counts["stops_left_out"] += 1
-        self._put_off_doubts(now, stopped)
+        self._postpone_verifications(now, stopped)
         for link in self.links.values():
-            link.leave_out(now, stopped)
+            link.exclude_pause(now, stopped)
 
     def _send_probe(self, machine: str) -> None:
         """A test that waited for its connection."""
         self._send_machine(machine, m.Probe(number=self.probes[machine].number))
 
-    def _tested(self, now: int, link: Link, well: bool) -> None:
+    def _probe_answered(self, now: int, link: Link, well: bool) -> None:
         """A machine answered a test. One that fails takes no work, whatever the list says; one that passes
         may drain all the same."""
-        if well is not link.passes_tests:
+        if well is not link.passes_probes:
             self._machine_event("test_passed" if well else "test_failed", link.machine)
-        link.passes_tests = well
+        link.passes_probes = well
         if not well and self.deployment.list_lease:
             self.brain.machine_refuses(now, link.machine)
 
-    def _unheard(self, now: int, machine: str, since: int) -> None:
+    def _probe_unanswered(self, now: int, machine: str, since: int) -> None:
         """A probe was not answered. Where no roll call tells of a dead connection, two in a row with not a
         word between them are taken for one: it is closed and opened anew."""
         link = self.links.get(machine)
@@ -56,35 +56,35 @@
             return
         link.unanswered += 1
         if link.unanswered >= 2:
-            self._abandon(now, link)
+            self._drop_silent_link(now, link)
 
-    def _watch_silence(self, now: int, link: Link) -> None:
+    def _check_silence(self, now: int, link: Link) -> None:
         """What stands on a machine outlives its connections, so silence has to be looked into: a machine
         that has said nothing for a while is asked, since the module asks none that takes nothing, first on
         its connection, then on a new one. One that stays silent, or has left the list a second ago, has lost
         what stood there."""
         silent = micros(self.limits.silent_ms)
-        if not link.holds or now - self.ran_on_at < HEARD_WITHIN:
+        if not link.guests or now - self.resumed_at < CATCH_UP_TIME:
             return
         if link.machine not in self.roster.machines:
             link.gone_at = link.gone_at or now
-            if now - link.gone_at < (HEIR_WITHIN if self._awaits_heir(link) else GONE_WITHIN):
+            if now - link.gone_at < (SUCCESSOR_TIMEOUT if self._awaits_successor(link) else GONE_TIMEOUT):
                 return
         elif not link.lost_at or now - link.heard_at < micros(self.limits.lost_ms):
             if link.state == "down" and not link.lost_at and now - link.heard_at > silent:
                 link.lost_at = link.dial_at = now
-                self.restless[link.machine] = None
+                self.active_links[link.machine] = None
             elif (
                 link.state == "up"
                 and now - max(link.heard_at, link.opened_at) > silent
-                and all(self.records[name].placed for name in link.holds)
+                and all(self.records[name].placed for name in link.guests)
             ):
-                if link.asked_at <= link.heard_at:
-                    link.asked_at = now
+                if link.probed_at <= link.heard_at:
+                    link.probed_at = now
                     self.probe_number += 1
                     self._send_machine(link.machine, m.Probe(number=self.probe_number))
-                elif now - link.asked_at > micros(self.limits.probe_ms):
-                    self._abandon(now, link)
+                elif now - link.probed_at > micros(self.limits.probe_ms):
+                    self._drop_silent_link(now, link)
             return
         if link.state != "down":
             self.actions.append(HangUp(link.machine))
@@ -92,25 +92,27 @@
         self._drop_queue(now, link)
         self._forget_machine(now, link)
 
-    def _ask_loose(self, now: int, loose: AbandonedDispatch) -> None:
+    def _recheck_abandoned(self, now: int, abandoned: AbandonedDispatch) -> None:
         """Asks again what became of a dispatch that was given up, ten times in its keeping time, then forgets
         it: its machine is out of reach for good, or has lost its memory."""
         keep = micros(self.limits.keep_answers_ms)
-        if now - loose.sent_at > 10 * keep:
+        if now - abandoned.sent_at > 10 * keep:
             self.counts["loose_forgotten"] += 1
-            self._settled(loose.case.guest, loose.machine)
+            self._forget_abandoned(abandoned.record.guest, abandoned.machine)
             return
-        loose.roll_at = now + max(1_000_000, keep // 10)
-        link = self.links.get(loose.machine)
-        if link and link.state == "up" and link.rolled:
-            if loose.stands:
-                self._adopt(now, loose.case.guest)
+        abandoned.recheck_at = now + max(1_000_000, keep // 10)
+        link = self.links.get(abandoned.machine)
+        if link and link.state == "up" and link.inventory_known:
+            if abandoned.accepted:
+                self._settle_copies(now, abandoned.record.guest)
             else:
                 self._send_machine(
-                    loose.machine,
-                    m.Withdraw(guest=loose.case.guest, ask=loose.case.ask, attempt=loose.attempt),
+                    abandoned.machine,
+                    m.Withdraw(
+                        guest=abandoned.record.guest, ask=abandoned.record.ask, attempt=abandoned.attempt
+                    ),
                 )
-        elif fellow := self.roster.machines.get(loose.machine):
-            self._dial(now, fellow)
+        elif listed := self.roster.machines.get(abandoned.machine):
+            self._dial(now, listed)
         else:
-            self._settled(loose.case.guest, loose.machine)
+            self._forget_abandoned(abandoned.record.guest, abandoned.machine)
--- a/hazelhold/engine/machine_incarnations.py
+++ b/hazelhold/engine/machine_incarnations.py
@@ -10,10 +10,10 @@
 
 from hazelhold.engine.machines import Link
 
-RECENT = 8_000_000
+MAX_LIST_DELAY = 8_000_000
 """Microseconds: how late the list may be with a new life."""
 
-CLOCKS_AGREE = 1_000_000
+CLOCK_TOLERANCE = 1_000_000
 """Microseconds between a connection's end and a birth by the clock within which both mean one event."""
 
 
@@ -31,14 +31,16 @@
 def previous_incarnation_ended(now: int, link: Link, started: int) -> PreviousIncarnation:
     """`started` is the begin of the new life by the list's clock, as this planner reads it; one that is not
     past shows that the clocks differ."""
-    ends = [each for each in link.past if each.by_machine and now - each.ended_at <= RECENT]
+    ends = [
+        each for each in link.past_connections if each.by_machine and now - each.ended_at <= MAX_LIST_DELAY
+    ]
     if not ends:
         return PreviousIncarnation(started if started < now else 0, 0)
     last = ends[-1].ended_at
     if started >= now:
         return PreviousIncarnation(last, last)
     nearest = min(ends, key=lambda each: abs(each.ended_at - started)).ended_at
-    if abs(nearest - started) <= CLOCKS_AGREE:
+    if abs(nearest - started) <= CLOCK_TOLERANCE:
         return PreviousIncarnation(nearest, last)
     outlived = any(each.opened_at <= started < each.ended_at for each in ends)
     speaks_since = link.state == "up" and link.opened_at <= started < link.heard_at
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -6,7 +6,7 @@
 from hazelhold.interface import Listed, Mode
 from hazelhold.protocol.messages import Entry, Listing, Message
 
-PAST_KEPT = 8  # connections of a machine that have ended
+MAX_PAST_CONNECTIONS = 8  # connections of a machine that have ended
 
 MODES = {"ready": Mode.READY, "cordoned": Mode.CORDONED, "gone": Mode.GONE}
 
@@ -38,46 +38,49 @@
 
     machine: str
     state: str = "down"  # down, dialling, up
-    rolled: bool = False  # the machine has told what it holds; nothing is offered before
+    inventory_known: bool = False  # the machine has told what it holds; nothing is offered before
     incarnation: int = 0
-    before: int = 0  # the life it was in when it last spoke
+    previous_incarnation: int = 0  # the life it was in when it last spoke
     queue: dict[str, None] = field(default_factory=dict)  # cases whose offer waits for the link
-    holds: dict[str, None] = field(default_factory=dict)  # cases out or placed there
+    guests: dict[str, None] = field(default_factory=dict)  # cases out or placed there
     lost_at: int = 0  # when it broke with something on it; 0: it did not
     dial_at: int = 0
     dial_due: int = 0
-    roll_due: int = 0
+    inventory_due: int = 0
     used_at: int = 0
     heard_at: int = 0  # its last word, on whatever connection
     opened_at: int = 0
     offered_at: int = 0  # when the bytes of an offer left last; 0: none has
     address: str = ""  # that was dialled last
-    heir: str = ""  # the machine that has its address now, and that speaks on this connection
+    successor: str = ""  # the machine that has its address now, and that speaks on this connection
     unconfirmed: bool = False  # not confirmed by the list since: another machine may have its address
     gone_at: int = 0  # when it was seen to have left the list with guests of ours; 0: it has not
-    passes_tests: bool | None = None  # its last answer to one; None: it has given none
-    asked_at: int = 0  # when it was last asked for its silence
+    passes_probes: bool | None = None  # its last answer to one; None: it has given none
+    probed_at: int = 0  # when it was last asked for its silence
     unanswered: int = 0  # probes in a row with nothing heard since they were sent
     # Words on what stands there, with when they are let go: for the next connection, and written to this one
     # so lately that it may have broken over them.
-    words: list[tuple[int, Message]] = field(default_factory=list)
-    told: list[tuple[int, Message]] = field(default_factory=list)
-    past: list[PastConnection] = field(default_factory=list)  # the last few
+    pending_messages: list[tuple[int, Message]] = field(default_factory=list)
+    recent_messages: list[tuple[int, Message]] = field(default_factory=list)
+    past_connections: list[PastConnection] = field(default_factory=list)  # the last few
 
     def close(self, now: int, by_machine: bool = False) -> None:
         """The connection has ended, or its dial has."""
         if self.state == "up":
-            self.past = [*self.past[1 - PAST_KEPT :], PastConnection(self.opened_at, now, by_machine)]
-        self.state, self.rolled = "down", False
+            self.past_connections = [
+                *self.past_connections[1 - MAX_PAST_CONNECTIONS :],
+                PastConnection(self.opened_at, now, by_machine),
+            ]
+        self.state, self.inventory_known = "down", False
 
-    def leave_out(self, now: int, span: int) -> None:
+    def exclude_pause(self, now: int, span: int) -> None:
         """So much of the time since it was lost, or left the list, does not count."""
         self.lost_at = min(now, self.lost_at + span) if self.lost_at else 0
         self.gone_at = min(now, self.gone_at + span) if self.gone_at else 0
 
-    def settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing about this connection is waited for."""
-        still = self.state == "down" or self.state == "up" and self.rolled
+        still = self.state == "down" or self.state == "up" and self.inventory_known
         return still and not (self.dial_at or self.lost_at)
 
 
@@ -86,9 +89,9 @@
     """What a listing changed."""
 
     listed: list[Listed] = field(default_factory=list)
-    fresh: list[str] = field(default_factory=list)  # machines not known before, or in a new life
+    added: list[str] = field(default_factory=list)  # machines not known before, or in a new life
     moved: list[str] = field(default_factory=list)  # with another address
-    closed: list[str] = field(default_factory=list)  # that take nothing new any more
+    draining: list[str] = field(default_factory=list)  # that take nothing new any more
     gone: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # entries that cannot be used, and why
 
@@ -100,22 +103,22 @@
         self.kinds = kinds
         self.machines: dict[str, RosterMachine] = {}
 
-    def learn(self, now: int, listing: Listing) -> RosterChanges:
-        news = RosterChanges()
+    def update(self, now: int, listing: Listing) -> RosterChanges:
+        changes = RosterChanges()
         for entry in listing.entries:
             if entry.kind not in self.kinds and entry.machine not in self.machines:
-                news.faults.append(f"{entry.machine}: no kind is called {entry.kind!r}")
+                changes.faults.append(f"{entry.machine}: no kind is called {entry.kind!r}")
                 continue
-            self._entry(now, entry, news)
+            self._entry(now, entry, changes)
         if listing.whole:
             named = {entry.machine for entry in listing.entries}
             for name in [n for n in self.machines if n not in named]:
-                news.closed.append(name)
-                news.gone.append(name)
+                changes.draining.append(name)
+                changes.gone.append(name)
                 del self.machines[name]
-        return news
+        return changes
 
-    def _entry(self, now: int, entry: Entry, news: RosterChanges) -> None:
+    def _entry(self, now: int, entry: Entry, changes: RosterChanges) -> None:
         old = self.machines.get(entry.machine)
         mode = MODES[entry.mode]
         started = 0
@@ -124,7 +127,7 @@
         elif entry.up_for is not None:
             started = max(1, now - entry.up_for)
         kind = self.kinds.get(entry.kind, old.kind if old else 0)  # a drain counts whatever kind it names
-        news.listed.append(
+        changes.listed.append(
             Listed(
                 entry.machine,
                 mode,
@@ -137,15 +140,15 @@
             )
         )
         if mode is not Mode.READY and (not old or old.mode is Mode.READY):
-            news.closed.append(entry.machine)
+            changes.draining.append(entry.machine)
         if mode is Mode.GONE:
-            news.gone.append(entry.machine)
+            changes.gone.append(entry.machine)
             self.machines.pop(entry.machine, None)
             return
         if not old or old.incarnation != entry.incarnation:
-            news.fresh.append(entry.machine)
+            changes.added.append(entry.machine)
         elif old.address != entry.address:
-            news.moved.append(entry.machine)
+            changes.moved.append(entry.machine)
         self.machines[entry.machine] = RosterMachine(
             entry.machine, entry.address, mode, entry.incarnation, started, kind
         )
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -9,7 +9,12 @@
 from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
 from hazelhold.protocol import messages as m
 
-LATER = ("full", "overloaded", "stopping", "not_kept")  # rejections after which coming back makes sense
+RETRYABLE_REJECTIONS = (
+    "full",
+    "overloaded",
+    "stopping",
+    "not_kept",
+)  # rejections after which coming back makes sense
 
 
 class Owners(GuestVerification):
@@ -26,23 +31,23 @@
 
     def _submitted(self, now: int, owner: str, submit: m.Submit) -> None:
         guest, ask = submit.guest, submit.ask
-        old = case = self.newest_records.get(guest)
-        in_hand = case is not None and not self.peers.owners_resubmit
+        old = record = self.newest_records.get(guest)
+        in_hand = record is not None and not self.peers.owners_resubmit
         if start_denied(self.stopping, in_hand) is Denial.IN_HAND:
             self.counts["rejected_open_already"] += 1
             self._send_owner(
                 owner, m.Rejected(guest=guest, ask=ask, code="open_already", text="this name is in hand")
             )
             return
-        if case and not case.cancelled:
+        if record and not record.cancelled:
             # it joins what is in hand: one guest, one dispatch, one answer for each
             self.counts["repeats"] += 1
-            case.owner = owner
-            self._mark_changed("guest", case.name)
-            if case.placed:
-                self._answer(now, case, m.Placed(guest=guest, ask=ask, machine=case.machine), [ask])
+            record.owner = owner
+            self._mark_changed("guest", record.name)
+            if record.placed:
+                self._answer(now, record, m.Placed(guest=guest, ask=ask, machine=record.machine), [ask])
             else:
-                case.asks[ask] = None
+                record.asks[ask] = None
                 self._send_owner(owner, m.Held(guest=guest, ask=ask))
             return
         if past := self.answers.get((guest, ask)):
@@ -50,40 +55,40 @@
             self._send_owner(owner, past[0])
             return
         kept = self.peers.advises_retry and self.retry_advisor.guest_returned(now, guest)
-        if fault := self._fault(now, submit, kept):
+        if fault := self._rejection(now, submit, kept):
             self.counts["rejected_" + fault[0]] += 1
-            later = self._later(now, guest) if fault[0] in LATER else 0
+            later = self._retry_after(now, guest) if fault[0] in RETRYABLE_REJECTIONS else 0
             self._send_owner(
                 owner, m.Rejected(guest=guest, ask=ask, code=fault[0], text=fault[1], again_after=later)
             )
             return
-        case = GuestRecord(
+        record = GuestRecord(
             f"{guest}/{ask}", guest, ask, owner, self.products[submit.product], submit, {ask: None}
         )
-        if case.name in self.records:  # cancelled, with its call-off under way
+        if record.name in self.records:  # cancelled, with its call-off under way
             self._send_owner(owner, m.Rejected(guest=guest, ask=ask, code="ending", text="its cancel is on"))
             return
-        self.records[case.name] = self.newest_records[guest] = case
+        self.records[record.name] = self.newest_records[guest] = record
         self.counts["taken"] += 1
-        self._mark_changed("guest", case.name)
+        self._mark_changed("guest", record.name)
         if self.peers.acknowledges_submission:
             self._send_owner(owner, m.Held(guest=guest, ask=ask))
-        earlier = self._earlier(now, submit, old)
-        case.unsure = earlier.machine if earlier else ""
-        self.brain.guest_arrived(now, self._ask(case, submit.patience, earlier))
-        self._adopt(now, guest)
+        earlier = self._earlier_dispatch(now, submit, old)
+        record.unsettled_machine = earlier.machine if earlier else ""
+        self.brain.guest_arrived(now, self._submission(record, submit.patience, earlier))
+        self._settle_copies(now, guest)
 
-    def _earlier(self, now: int, submit: m.Submit, old: GuestRecord | None) -> Earlier | None:
+    def _earlier_dispatch(self, now: int, submit: m.Submit, old: GuestRecord | None) -> Earlier | None:
         """An earlier dispatch of this guest that may have run or may still: given up, being called off, or
         made before this planner started by a machine that has not spoken yet."""
-        unsettled = [Earlier(l.machine, l.sent_at) for l in self.loose.get(submit.guest, {}).values()]
+        unsettled = [Earlier(l.machine, l.sent_at) for l in self.abandoned.get(submit.guest, {}).values()]
         if old and old.sent:
             unsettled.append(Earlier(old.machine, old.sent_at))
-        if (submit.ask or submit.reason) and self._blind():
+        if (submit.ask or submit.reason) and self._may_have_unknown_guests():
             unsettled.append(Earlier("", now))
         return min(unsettled, key=lambda e: e.sent_at, default=None)
 
-    def _fault(self, now: int, submit: m.Submit, kept: bool) -> tuple[str, str] | None:
+    def _rejection(self, now: int, submit: m.Submit, kept: bool) -> tuple[str, str] | None:
         if start_denied(self.stopping, in_hand=False) is Denial.STOPPING:
             return "stopping", "this planner takes nothing more"
         if submit.product not in self.products:
@@ -92,9 +97,9 @@
             return "unknown_customer", f"no customer is called {submit.customer!r}"
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
-        if not self.kept_well and self.deployment.products[self.products[submit.product]].effect is not (
-            Effect.RERUNNABLE
-        ):
+        if not self.persistence_healthy and self.deployment.products[
+            self.products[submit.product]
+        ].effect is not (Effect.RERUNNABLE):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.records) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
@@ -111,51 +116,53 @@
         asked = self.claims is not None and not (
             known is not None and self.deployment.products[known].effect is Effect.RERUNNABLE
         )
-        if asked and not (guest in self.newest_records or self.loose.get(guest) or guest in self.ends):
+        if asked and not (guest in self.newest_records or self.abandoned.get(guest) or guest in self.ends):
             self.claims.query(now, guest, f"{owner}\0{guest}\0{message.ask}")
-            self._wanted()
+            self._take_proposals()
         else:
             self._send_owner(owner, self._state(message))
 
     def _cancelled(self, now: int, owner: str, message: m.Cancel) -> None:
-        case = self.newest_records.get(message.guest)
-        if case is None:
+        record = self.newest_records.get(message.guest)
+        if record is None:
             self._send_owner(owner, self._state(message))
             return
         self.counts["cancels"] += 1
-        case.owner, case.cancelled = owner, True
-        self._mark_changed("guest", case.name)
-        self.brain.guest_cancelled(now, case.name)
+        record.owner, record.cancelled = owner, True
+        self._mark_changed("guest", record.name)
+        self.brain.guest_cancelled(now, record.name)
 
     def owner_left(self, now: int, guest: str) -> bool:
         """Its owner waits no longer, or ends what stands: no answer and no word of an end is owed. What is
         out or runs is taken back from its machine. False if the guest is not in hand."""
-        case = self.newest_records.get(guest)
-        if case is None and guest in self.waiting_handovers:
+        record = self.newest_records.get(guest)
+        if record is None and guest in self.waiting_handovers:
             self.waiting_handovers[guest] = self.waiting_handovers[guest]._replace(ended=True)
             return True
-        if case is None:
+        if record is None:
             self.counts["left_unknown"] += 1
             return False
-        self.counts["left_placed" if case.placed else "left_open"] += 1
-        if case.placed:
-            self._tell(now, case.machine, m.Stop(guest=guest, ask=case.ask, attempt=case.attempt))
-        elif case.machine:
-            self._give_up(now, case)
-        self.brain.guest_left(now, case.name)
-        if case.machine:
-            self._unhold(case)
-            self.brain.dispatch_ended(now, case.name, Ending.CALLED_OFF, True, Remark.NONE)
-        self._forget(case)
+        self.counts["left_placed" if record.placed else "left_open"] += 1
+        if record.placed:
+            self._send_about_guest(
+                now, record.machine, m.Stop(guest=guest, ask=record.ask, attempt=record.attempt)
+            )
+        elif record.machine:
+            self._withdraw_dispatch(now, record)
+        self.brain.guest_left(now, record.name)
+        if record.machine:
+            self._detach(record)
+            self.brain.dispatch_ended(now, record.name, Ending.CALLED_OFF, True, Remark.NONE)
+        self._forget(record)
         return True
 
     def withdraw_guest(self, now: int, guest: str) -> None:
         """Nothing more is begun for a guest that awaits its answer; that is given as to a cancel."""
-        case = self.newest_records.get(guest)
-        if case and not case.placed and not case.cancelled:
+        record = self.newest_records.get(guest)
+        if record and not record.placed and not record.cancelled:
             self.counts["given_up"] += 1
-            case.cancelled = True
-            self.brain.guest_cancelled(now, case.name)
+            record.cancelled = True
+            self.brain.guest_cancelled(now, record.name)
 
     def adopt_guest(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
         """An owner hands over a guest that runs on a machine already; returns what is wrong, or nothing. One
@@ -170,20 +177,20 @@
             return ""
         if submit.product not in self.products:
             return "unknown_product"
-        fellow = self.roster.machines.get(machine)
-        if fellow is None and not self.lease.holds(now):
+        listed = self.roster.machines.get(machine)
+        if listed is None and not self.lease.holds(now):
             self.counts["found_before_list"] += 1
             self.events.append(
                 TaskEvent("handed_over", submit.guest, 0, machine, "its machine is not listed yet")
             )
             self.waiting_handovers[submit.guest] = WaitingHandover(owner, machine, submit)
             return ""
-        if fellow is None:
+        if listed is None:
             return "unknown_machine"
         if len(self.records) >= self.limits.open_guests:
             return "full"
         self.counts["found"] += 1
-        case = GuestRecord(
+        record = GuestRecord(
             f"{submit.guest}/{submit.ask}",
             submit.guest,
             submit.ask,
@@ -196,67 +203,67 @@
             sent_at=now,
             placed=True,
             handed_over_at=now,
-            spoken_at=now if self.spoken_of.pop(submit.guest, "") == machine else 0,
+            confirmed_at=now if self.recently_reported.pop(submit.guest, "") == machine else 0,
         )
-        self.records[case.name] = self.newest_records[case.guest] = case
-        self._doubt_handed_over(case)
-        self._hold(case)
-        self._task_event("handed_over", case)
-        self.brain.guest_found(now, machine, self._ask(case, submit.patience))
-        link = self._dial(now, fellow)
+        self.records[record.name] = self.newest_records[record.guest] = record
+        self._verify_handed_over(record)
+        self._attach(record)
+        self._task_event("handed_over", record)
+        self.brain.guest_found(now, machine, self._submission(record, submit.patience))
+        link = self._dial(now, listed)
         link.heard_at = link.heard_at or now
         return ""
 
-    def _resolve_stands(self, now: int, list_is_whole: bool) -> None:
+    def _resolve_handovers(self, now: int, list_is_whole: bool) -> None:
         """Takes tasks that were handed over before the list knew their machines; `list_is_whole` if a machine
         that it still lacks is gone."""
-        for guest, stand in list(self.waiting_handovers.items()):
-            known = stand.machine in self.roster.machines
+        for guest, item in list(self.waiting_handovers.items()):
+            known = item.machine in self.roster.machines
             if not known and not list_is_whole:
                 continue
             del self.waiting_handovers[guest]
-            if known and not (wrong := self.adopt_guest(now, stand.owner, stand.machine, stand.submit)):
-                if stand.ended:
+            if known and not (wrong := self.adopt_guest(now, item.owner, item.machine, item.submit)):
+                if item.ended:
                     self.owner_left(now, guest)
                 continue
             self.counts["found_" + ("unknown_machine" if not known else wrong)] += 1
-            if not stand.ended:
-                ended = m.GuestEnded(guest=guest, how="lost", machine=stand.machine)
-                self._send_owner(stand.owner, ended)
+            if not item.ended:
+                ended = m.GuestEnded(guest=guest, how="lost", machine=item.machine)
+                self._send_owner(item.owner, ended)
 
     def is_placed(self, guest: str) -> bool:
-        case = self.newest_records.get(guest)
-        return case is not None and case.placed
+        record = self.newest_records.get(guest)
+        return record is not None and record.placed
 
     def is_outstanding(self, guest: str) -> bool:
         """Whether the guest is in hand and awaits its answer."""
-        case = self.newest_records.get(guest)
-        return case is not None and not case.placed
+        record = self.newest_records.get(guest)
+        return record is not None and not record.placed
 
     def time_left(self, now: int, offer: m.Offer) -> int:
         """How long the answer to an offer whose bytes have not left yet is waited for; 0 if it is not wanted
         any more, or its machine takes nothing any more."""
-        case = self.newest_records.get(offer.guest)
-        if case is None or case.ask != offer.ask:
+        record = self.newest_records.get(offer.guest)
+        if record is None or record.ask != offer.ask:
             self.denials[Denial.OVER] += 1
             return 0
-        product, fellow = self.deployment.products[case.product], self.roster.machines.get(case.machine)
+        product, listed = self.deployment.products[record.product], self.roster.machines.get(record.machine)
         most, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
-        if denial := offer_denied(now, case, offer.attempt, product, most, fellow, list_holds):
+        if denial := offer_denied(now, record, offer.attempt, product, most, listed, list_holds):
             self.denials[denial] += 1
-            self._task_event("held_back", case, denial.value)
+            self._task_event("held_back", record, denial.value)
             return 0
-        return case.due_at - now
+        return record.due_at - now
 
     def offer_sent(self, now: int, guest: str) -> None:
         """The bytes of an offer that `time_left` allowed are about to be written."""
-        case = self.newest_records[guest]
-        case.offers += 1
-        self.links[case.machine].offered_at = now
-        effect, list_holds = self.deployment.products[case.product].effect, self.lease.holds(now)
-        self._violated(self.monitor.dispatch_sent(case.name, case.machine, effect, list_holds), case)
+        record = self.newest_records[guest]
+        record.offers += 1
+        self.links[record.machine].offered_at = now
+        effect, list_holds = self.deployment.products[record.product].effect, self.lease.holds(now)
+        self._violated(self.monitor.dispatch_sent(record.name, record.machine, effect, list_holds), record)
         as_of = self.lease.confirmed_as_of
-        self._task_event("sent", case, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
+        self._task_event("sent", record, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
 
     def ready(self) -> bool:
         """Whether guests can be placed: some machine of the list takes them."""
@@ -264,21 +271,21 @@
 
     def _state(self, message: m.Named) -> m.State:
         guest, ask = message.guest, message.ask
-        case = self.newest_records.get(guest)
-        if case and case.placed:
-            state, machine = "running", case.machine
-        elif case:
-            state, machine = "out" if case.machine else "held", case.machine
+        record = self.newest_records.get(guest)
+        if record and record.placed:
+            state, machine = "running", record.machine
+        elif record:
+            state, machine = "out" if record.machine else "held", record.machine
         else:
-            state, machine = self._past(guest, ask), ""
+            state, machine = self._past_state(guest, ask), ""
         return m.State(guest=guest, ask=ask, state=state, machine=machine)
 
-    def _past(self, guest: str, ask: int) -> str:
+    def _past_state(self, guest: str, ask: int) -> str:
         """What is known of a guest that is not in hand."""
-        if self.loose.get(guest):
+        if self.abandoned.get(guest):
             return "unsettled"
         if past := self.ends.get(guest):
             return past[0]
         answer = self.answers.get((guest, ask))
         tag = answer[0].__struct_config__.tag if answer else "unknown"
-        return "unsettled" if tag in ("unknown", "broken_off") and self._blind() else tag
+        return "unsettled" if tag in ("unknown", "broken_off") and self._may_have_unknown_guests() else tag
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -32,47 +32,47 @@
 
 def offer_denied(
     now: int,
-    case: GuestRecord | None,
+    record: GuestRecord | None,
     attempt: int,
     product: Product,
     most: int,
-    fellow: RosterMachine | None,
+    listed: RosterMachine | None,
     list_holds: bool,
 ) -> Denial | None:
     """Whether the bytes of an offer may leave. `case` is the task in hand under its name, `attempt` the
     number that the offer carries, `most` how many attempts are allowed, `list_holds` whether the list
     may be sent work by at this moment."""
-    if case is None or case.placed:
+    if record is None or record.placed:
         return Denial.OVER
-    if not case.sent or case.attempt != attempt:
+    if not record.sent or record.attempt != attempt:
         return Denial.OTHER_ATTEMPT
-    if case.cancelled:
+    if record.cancelled:
         return Denial.CANCELLED
-    if denial := repeat_denied(now, case, product, most):
+    if denial := repeat_denied(now, record, product, most):
         return denial
-    if case.due_at <= now:
+    if record.due_at <= now:
         return Denial.OUT_OF_TIME
-    return machine_denied(fellow, list_holds)
+    return machine_denied(listed, list_holds)
 
 
-def repeat_denied(now: int, case: GuestRecord, product: Product, most: int) -> Denial | None:
+def repeat_denied(now: int, record: GuestRecord, product: Product, most: int) -> Denial | None:
     """Whether an attempt may follow those that were made, of which there may be `most`."""
-    if case.offers >= most:
+    if record.offers >= most:
         return Denial.TOO_MANY
-    if not case.ran_from:
+    if not record.may_have_run_since:
         return None
     if product.effect is Effect.EXCLUSIVE:
         return Denial.MAY_HAVE_RUN
-    if product.effect is Effect.TICKETED and now - case.ran_from >= product.window:
+    if product.effect is Effect.TICKETED and now - record.may_have_run_since >= product.window:
         return Denial.WINDOW_CLOSED
     return None
 
 
-def machine_denied(fellow: RosterMachine | None, list_holds: bool) -> Denial | None:
+def machine_denied(listed: RosterMachine | None, list_holds: bool) -> Denial | None:
     """Whether a machine may be sent new work."""
-    if fellow is None or fellow.mode is Mode.GONE:
+    if listed is None or listed.mode is Mode.GONE:
         return Denial.MACHINE_GONE
-    if fellow.mode is not Mode.READY:
+    if listed.mode is not Mode.READY:
         return Denial.MACHINE_DRAINING
     return None if list_holds else Denial.LIST_NOT_CURRENT
 
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -43,7 +43,7 @@
     def wall(self, at: int) -> int:
         return at + self.epoch if at else 0
 
-    def told(self, listing: m.Listing) -> None:
+    def listing_received(self, listing: m.Listing) -> None:
         if listing.whole:
             self.entries.clear()
         for entry in listing.entries:
@@ -64,47 +64,49 @@
         return changes
 
     def _guest(self, engine: Tables, now: int, name: str) -> Change:
-        case = engine.records.get(name)
-        return put("guest", name, self.image(engine, case)) if case else drop("guest", name)
+        record = engine.records.get(name)
+        return put("guest", name, self.image(engine, record)) if record else drop("guest", name)
 
-    def image(self, engine: Tables, case: GuestRecord) -> GuestImage:
-        s, known = case.submit, engine.brain.guests.get(case.name)
-        unsure = known.window_ends - known.product.window if known and known.may_run else 0
-        sent = case.machine if case.sent else ""  # an offer that waits for its link has not left
+    def image(self, engine: Tables, record: GuestRecord) -> GuestImage:
+        s, known = record.submit, engine.brain.guests.get(record.name)
+        unsettled_at = known.window_ends - known.product.window if known and known.may_run else 0
+        sent = record.machine if record.sent else ""  # an offer that waits for its link has not left
         return GuestImage(
-            case.name,
-            case.guest,
-            case.ask,
-            case.owner,
+            record.name,
+            record.guest,
+            record.ask,
+            record.owner,
             s.product,
             s.service,
             s.cores,
             s.memory,
-            self.wall(known.patience_at) if known and not case.placed else 0,
-            tuple(case.asks),
+            self.wall(known.patience_at) if known and not record.placed else 0,
+            tuple(record.asks),
             s.customer,
             getattr(s, "life", 0),
-            case.attempt,
+            record.attempt,
             known.dispatches if known else 0,
             sent,
-            case.incarnation,
-            self.wall(case.sent_at) if sent else 0,
-            self.wall(case.due_at) if sent else 0,
-            case.placed,
-            case.cancelled,
-            self.wall(unsure),
-            case.unsure if unsure else "",
-            case.sent_claim,
+            record.incarnation,
+            self.wall(record.sent_at) if sent else 0,
+            self.wall(record.due_at) if sent else 0,
+            record.placed,
+            record.cancelled,
+            self.wall(unsettled_at),
+            record.unsettled_machine if unsettled_at else "",
+            record.sent_claim,
         )
 
     def _loose(self, engine: Tables, now: int, key: str) -> Change:
         guest, _, machine = key.partition("\0")
-        loose = engine.loose.get(guest, {}).get(machine)
-        if loose is None:
+        abandoned = engine.abandoned.get(guest, {}).get(machine)
+        if abandoned is None:
             return drop("loose", key)
-        image = replace(self.image(engine, loose.case), placed=False)
+        image = replace(self.image(engine, abandoned.record), placed=False)
         return put(
-            "loose", key, LooseImage(image, machine, loose.attempt, self.wall(loose.sent_at), loose.stands)
+            "loose",
+            key,
+            LooseImage(image, machine, abandoned.attempt, self.wall(abandoned.sent_at), abandoned.accepted),
         )
 
     def _answer(self, engine: Tables, now: int, key: str) -> Change | None:
@@ -133,8 +135,8 @@
         self.list_image = alike
         entries = []
         for entry in self.entries.values():
-            fellow = engine.roster.machines.get(entry.machine)
-            up = max(0, now - fellow.started) if fellow and fellow.started else None
+            listed = engine.roster.machines.get(entry.machine)
+            up = max(0, now - listed.started) if listed and listed.started else None
             entries.append(replace(entry, up_for=up))
         return put("list", "", ListImage(engine.list_version, self.wall(now), entries))
 
@@ -148,17 +150,17 @@
     Patience goes on while nobody is there. What had left for a machine is out until that machine speaks. If
     something may be missing, every held guest whose second run could do harm counts as one that may run.
     """
-    keeping, counts = engine.persistence, ledger.sizes()
-    epoch = keeping.epoch
-    engine.sure = complete
+    persistence, counts = engine.persistence, ledger.sizes()
+    epoch = persistence.epoch
+    engine.recovery_complete = complete
     for image in ledger.images("list"):
         heard = min(now, image.heard_at - epoch)
         listing = m.Listing(version=0, whole=True, entries=image.entries)
-        keeping.told(listing)
+        persistence.listing_received(listing)
         # What the list said last may never have become safe: nothing goes anywhere before it speaks again.
-        listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.learn(heard, listing).listed]
+        listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.update(heard, listing).listed]
         engine.brain.machines_listed(heard, listed, True)
-        engine.unheard = {f.name for f in engine.roster.machines.values()}
+        engine.unreported_machines = {f.name for f in engine.roster.machines.values()}
     past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in ledger.images("learned"):
         past = moved(image.data, image.epoch - epoch)
@@ -169,15 +171,15 @@
     cases = [image for image in ledger.images("guest") if image.product in engine.products]
     counts["of_unknown_products"] = ledger.sizes()["guest"] - len(cases)
     for image in sorted(cases, key=lambda i: (i.placed, i.ask, i.name)):
-        _recover_case(engine, now, image, epoch, complete)
+        _recover_record(engine, now, image, epoch, complete)
     for image in ledger.images("loose"):
         if image.case.product in engine.products:
             # Whoever is no longer in hand has its answer; the image may be older than that.
-            case = engine.records.get(image.case.name) or case_of(engine, replace(image.case, asks=()))
-            loose = AbandonedDispatch(
-                case, image.attempt, image.machine, image.sent_at - epoch, image.stands, roll_at=now
+            record = engine.records.get(image.case.name) or record_of(engine, replace(image.case, asks=()))
+            abandoned = AbandonedDispatch(
+                record, image.attempt, image.machine, image.sent_at - epoch, image.stands, recheck_at=now
             )
-            engine.loose.setdefault(case.guest, {})[image.machine] = loose
+            engine.abandoned.setdefault(record.guest, {})[image.machine] = abandoned
     for image in ledger.images("answer"):
         until = ledger.tables["answer"][f"{image.guest}\0{image.ask}"].until - epoch
         engine.answers[image.guest, image.ask] = ANSWERS.decode(image.body), until
@@ -186,8 +188,8 @@
     for table in (engine.answers, engine.ends):
         for key in sorted(table, key=lambda k, t=table: t[k][1]):
             table.move_to_end(key)
-    for fellow in list(engine.roster.machines.values()):
-        engine._dial(now, fellow)
+    for listed in list(engine.roster.machines.values()):
+        engine._dial(now, listed)
     return counts
 
 
@@ -206,7 +208,7 @@
     )
 
 
-def case_of(engine: Tables, image: GuestImage) -> GuestRecord:
+def record_of(engine: Tables, image: GuestImage) -> GuestRecord:
     submit = m.Submit(
         guest=image.guest,
         ask=image.ask,
@@ -229,39 +231,39 @@
         image.attempt,
         cancelled=image.cancelled,
         incarnation=image.incarnation,
-        unsure=image.unsure_machine,
+        unsettled_machine=image.unsure_machine,
         claim=image.claim,
         sent_claim=image.claim,
     )
 
 
-def _recover_case(engine: Tables, now: int, image: GuestImage, epoch: int, complete: bool) -> None:
-    case = case_of(engine, image)
-    engine.records[case.name] = engine.newest_records[case.guest] = case
+def _recover_record(engine: Tables, now: int, image: GuestImage, epoch: int, complete: bool) -> None:
+    record = record_of(engine, image)
+    engine.records[record.name] = engine.newest_records[record.guest] = record
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.deployment.products[case.product].effect is not Effect.RERUNNABLE
+    harmful = engine.deployment.products[record.product].effect is not Effect.RERUNNABLE
     earlier = None
     if image.unsure_at:
         earlier = Earlier(image.unsure_machine, image.unsure_at - epoch)
     elif not complete and harmful and not image.placed and not image.machine:
         earlier = Earlier("", now)
         engine.counts["held_unsure"] += 1
-    ask = engine._ask(case, patience, earlier)._replace(spent=image.spent)
+    ask = engine._submission(record, patience, earlier)._replace(spent=image.spent)
     if not image.machine:
         engine.brain.guest_arrived(now, ask)
     else:
-        case.machine, case.sent, case.placed = image.machine, True, image.placed
-        case.sent_at = image.sent_at - epoch
-        engine._hold(case)
-        link = engine.links[case.machine]
+        record.machine, record.sent, record.placed = image.machine, True, image.placed
+        record.sent_at = image.sent_at - epoch
+        engine._attach(record)
+        link = engine.links[record.machine]
         link.incarnation, link.lost_at = image.incarnation, now
-        engine.restless[case.machine] = None
+        engine.active_links[record.machine] = None
         if image.placed:
-            engine.brain.guest_found(now, case.machine, ask)
+            engine.brain.guest_found(now, record.machine, ask)
         else:
             engine.brain.guest_arrived(now, ask)
-            engine.brain.dispatch_stands(now, case.machine, case.name, case.sent_at)
+            engine.brain.dispatch_stands(now, record.machine, record.name, record.sent_at)
             due = max(image.due_at - epoch, now + micros(engine.limits.reconnect_ms))
-            engine._overdue(due, case)
-    if case.cancelled:
-        engine.brain.guest_cancelled(now, case.name)
+            engine._set_dispatch_timeout(due, record)
+    if record.cancelled:
+        engine.brain.guest_cancelled(now, record.name)
--- a/hazelhold/engine/records.py
+++ b/hazelhold/engine/records.py
@@ -20,7 +20,7 @@
 
     machine: str
     address: str
-    span: int
+    timeout: int
 
 
 class HangUp(NamedTuple):
@@ -79,11 +79,11 @@
     cancelled: bool = False
     incarnation: int = 0  # of the machine, when the offer left
     due_at: int = 0  # when the dispatch that is out is given up
-    ran_from: int = 0  # when the first dispatch that may have run was sent; 0: none may have
-    called_off: bool = False  # the dispatch that is out was taken back, and its machine has not spoken yet
+    may_have_run_since: int = 0  # when the first dispatch that may have run was sent; 0: none may have
+    withdrawn: bool = False  # the dispatch that is out was taken back, and its machine has not spoken yet
     handed_over_at: int = 0  # by its owner, who says that it stands; 0: it was placed here
-    spoken_at: int = 0  # when its machine spoke of it last
-    unsure: str = ""  # the machine of the last dispatch that may have run
+    confirmed_at: int = 0  # when its machine spoke of it last
+    unsettled_machine: str = ""  # the machine of the last dispatch that may have run
     claim: bytes = b""  # the last agreed claim on it
     sent_claim: bytes = b""  # the last under which an offer left
 
@@ -92,12 +92,12 @@
 class AbandonedDispatch:
     """A dispatch that was given up and may stand on its machine all the same."""
 
-    case: GuestRecord
+    record: GuestRecord
     attempt: int
     machine: str
     sent_at: int
-    stands: bool = False  # the machine has said that it accepted it
-    roll_at: int = 0  # when its machine is asked again
+    accepted: bool = False  # the machine has said that it accepted it
+    recheck_at: int = 0  # when its machine is asked again
 
 
 class VerificationCause(Enum):
@@ -148,7 +148,7 @@
 
     def begin(self, now: int) -> None: ...
 
-    def clear(
+    def may_dispatch(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool: ...
 
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -80,29 +80,31 @@
         self.answers: OrderedDict[tuple[str, int], tuple[m.Message, int]] = OrderedDict()
         self.ends: OrderedDict[str, tuple[str, int]] = OrderedDict()  # how guests ended; emptied by age
         # By guest, then machine; emptied by the machine's word, its new life or its leaving the list.
-        self.loose: dict[str, dict[str, AbandonedDispatch]] = {}
+        self.abandoned: dict[str, dict[str, AbandonedDispatch]] = {}
         self.links: dict[str, Link] = {}  # emptied as machines go
         # Links with something to wait for; settled ones are passed over, so that a pump does not look at all.
-        self.restless: dict[str, None] = {}  # emptied as they settle
+        self.active_links: dict[str, None] = {}  # emptied as they settle
         self.pumped_at = now  # when time-outs were looked at last
-        self.ran_on_at = 0  # when the process ran on after it had not for a while; 0: it always did
-        self.idle_at = 0  # when links that nobody uses are looked for next
+        self.resumed_at = 0  # when the process ran on after it had not for a while; 0: it always did
+        self.idle_check_at = 0  # when links that nobody uses are looked for next
         self.overdue: list[tuple[int, str, int]] = []  # a heap of time-outs: moment, case, attempt
         self.list_version = 0
         self.list_due = 0  # by when the list service must have answered; 0: nothing is asked
         self.probes: dict[str, OutstandingProbe] = {}  # by machine; emptied by its answer or time-out
         self.probe_number = 0
-        self.unheard: set[str] = set()  # machines listed at the start that have not told what they hold
+        self.unreported_machines: set[str] = (
+            set()
+        )  # machines listed at the start that have not told what they hold
         self.list_heard = self.stopping = False
         self.persistence: ChangeTracker | None = None  # set if what changes here is to outlive the process
         self.claims: Claims | None = None  # set if offers that must not leave twice are agreed among planners
-        self.sure = False  # all that this planner took in earlier lives is known
-        self.kept_well = True  # what is sent is sure to be known after a crash
+        self.recovery_complete = False  # all that this planner took in earlier lives is known
+        self.persistence_healthy = True  # what is sent is sure to be known after a crash
         self.lease = ListLease(self.deployment.list_lease)
         # Tasks that stand, as far as is known, and whose machine has to speak of them; by the Brain's name.
-        self.doubted: dict[str, Verification] = {}  # emptied by that and by time
+        self.verifications: dict[str, Verification] = {}  # emptied by that and by time
         # Machines that spoke of a task that is not in hand, by task; emptied by its hand-over and by number.
-        self.spoken_of: OrderedDict[str, str] = OrderedDict()
+        self.recently_reported: OrderedDict[str, str] = OrderedDict()
         self.list_taken = True  # what the module was last told of the list: whether it is current
         self.monitor = RuleMonitor(self.deployment.max_dispatches)
         # Tasks handed over on machines that the list lacks while it is not confirmed, by name; see handover.
@@ -111,7 +113,7 @@
         ] = {}  # emptied by the list, the owner and the task's end
         # Links with tasks to machines that have left the list, by address, where another may have taken their
         # place before the connection was opened; emptied as links are forgotten.
-        self.orphans: dict[str, str] = {}
+        self.orphaned_links: dict[str, str] = {}
         self.unconfirmed_links: dict[
             str, None
         ] = {}  # opened since the list was confirmed last; emptied by that
@@ -141,36 +143,36 @@
 
     # Claims.
 
-    def _claimed(self, case: GuestRecord) -> bool:
+    def _needs_claim(self, record: GuestRecord) -> bool:
         """Whether offers of this guest need a claim."""
         return self.claims is not None and (
-            self.deployment.products[case.product].effect is not Effect.RERUNNABLE
+            self.deployment.products[record.product].effect is not Effect.RERUNNABLE
         )
 
-    def _wanted(self) -> None:
+    def _take_proposals(self) -> None:
         wanted, self.claims.wanted = self.claims.wanted, []
         self.actions += [ProposeChange(*each) for each in wanted]
 
-    def _fact(self, now: int, case: GuestRecord, state: str, how: str = "") -> None:
+    def _report_fact(self, now: int, record: GuestRecord, state: str, how: str = "") -> None:
         """Lets the other planners know what became of a claimed guest."""
-        if self._claimed(case):
-            self.claims.report_fact(now, case.guest, case.ask, state, case.machine, how)
-            self._wanted()
+        if self._needs_claim(record):
+            self.claims.report_fact(now, record.guest, record.ask, state, record.machine, how)
+            self._take_proposals()
 
     def _release(self, now: int, guest: str, claim: bytes) -> None:
         if claim:
             self.claims.release(now, guest, claim)
-            self._wanted()
+            self._take_proposals()
 
-    def _overdue(self, due: int, case: GuestRecord) -> None:
-        case.due_at = due
-        heappush(self.overdue, (due, case.name, case.attempt))
+    def _set_dispatch_timeout(self, due: int, record: GuestRecord) -> None:
+        record.due_at = due
+        heappush(self.overdue, (due, record.name, record.attempt))
 
-    def _ask(self, case: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
-        s = case.submit
+    def _submission(self, record: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
+        s = record.submit
         return Ask(
-            case.name,
-            case.product,
+            record.name,
+            record.product,
             self.customers.get(s.customer, 0),
             s.service,
             s.cores,
@@ -179,60 +181,60 @@
             earlier,
         )
 
-    def _hold(self, case: GuestRecord) -> None:
-        if case.machine not in self.links:
-            self.links[case.machine] = Link(case.machine)
-        self.links[case.machine].holds[case.name] = None
+    def _attach(self, record: GuestRecord) -> None:
+        if record.machine not in self.links:
+            self.links[record.machine] = Link(record.machine)
+        self.links[record.machine].guests[record.name] = None
 
-    def _unhold(self, case: GuestRecord) -> None:
-        if link := self.links.get(case.machine):
-            link.holds.pop(case.name, None)
-            link.queue.pop(case.name, None)
+    def _detach(self, record: GuestRecord) -> None:
+        if link := self.links.get(record.machine):
+            link.guests.pop(record.name, None)
+            link.queue.pop(record.name, None)
 
     # What is told to the log, and what is checked at run time.
 
-    def _task_event(self, change: str, case: GuestRecord, reason: str = "") -> None:
-        self.events.append(TaskEvent(change, case.guest, case.attempt, case.machine, reason))
+    def _task_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
+        self.events.append(TaskEvent(change, record.guest, record.attempt, record.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
         self.events.append(MachineEvent(change, machine, reason))
 
-    def _violated(self, found: list[Violation], case: GuestRecord) -> None:
+    def _violated(self, found: list[Violation], record: GuestRecord) -> None:
         for each in found:
             self.counts["rule_violations"] += 1
-            self.events.append(RuleEvent(each.value, case.guest, case.machine))
+            self.events.append(RuleEvent(each.value, record.guest, record.machine))
 
-    def _forget(self, case: GuestRecord) -> None:
-        self.records.pop(case.name, None)
-        self.monitor.forget(case.name)
-        self._mark_changed("guest", case.name)
-        if self.newest_records.get(case.guest) is case:
-            del self.newest_records[case.guest]
+    def _forget(self, record: GuestRecord) -> None:
+        self.records.pop(record.name, None)
+        self.monitor.forget(record.name)
+        self._mark_changed("guest", record.name)
+        if self.newest_records.get(record.guest) is record:
+            del self.newest_records[record.guest]
 
-    def _later(self, now: int, guest: str, span: int = 0) -> int:
+    def _retry_after(self, now: int, guest: str, span: int = 0) -> int:
         """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
         return (
             self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advises_retry else span
         )
 
-    def _blind(self) -> bool:
+    def _may_have_unknown_guests(self) -> bool:
         """Whether guests may run that this planner has not heard of: it has just started, and has no list
         yet or waits for machines on it. What it does not know it must not call unknown."""
-        return not self.sure and (not self.list_heard or bool(self.unheard))
+        return not self.recovery_complete and (not self.list_heard or bool(self.unreported_machines))
 
-    def _keep_end(self, now: int, guest: str, how: str) -> None:
+    def _record_end(self, now: int, guest: str, how: str) -> None:
         if len(self.ends) >= self.limits.open_guests:
             self.ends.popitem(last=False)
         self.ends[guest] = how, now + micros(self.limits.keep_answers_ms)
         self.ends.move_to_end(guest)
         self._mark_changed("end", guest)
 
-    def _settled(self, guest: str, machine: str) -> None:
-        if by := self.loose.get(guest):
+    def _forget_abandoned(self, guest: str, machine: str) -> None:
+        if by := self.abandoned.get(guest):
             by.pop(machine, None)
             self._mark_changed("loose", guest, machine)
             if not by:
-                del self.loose[guest]
+                del self.abandoned[guest]
 
     def _send_owner(self, owner: str, message: m.Message) -> None:
         self.actions.append(Send("owner", owner, message))
@@ -240,26 +242,26 @@
     def _send_machine(self, machine: str, message: m.Message) -> None:
         self.actions.append(Send("machine", machine, message))
 
-    def _restless(self) -> list[Link]:
-        for name in [n for n in self.restless if n not in self.links]:
-            del self.restless[name]
-        return [self.links[name] for name in self.restless]
+    def _active_links(self) -> list[Link]:
+        for name in [n for n in self.active_links if n not in self.links]:
+            del self.active_links[name]
+        return [self.links[name] for name in self.active_links]
 
-    def _dial(self, now: int, fellow: RosterMachine) -> Link:
-        link = self.links.get(fellow.name)
+    def _dial(self, now: int, listed: RosterMachine) -> Link:
+        link = self.links.get(listed.name)
         if link is None:
-            link = self.links[fellow.name] = Link(fellow.name)
-        self._rested(now, link)
-        self.restless[fellow.name] = None
-        if link.state == "down" and not self._room_for_link(now):
+            link = self.links[listed.name] = Link(listed.name)
+        self._close_if_idle(now, link)
+        self.active_links[listed.name] = None
+        if link.state == "down" and not self._ensure_link_slot(now):
             link.dial_at = now + 100_000  # what waits for it stays here, and is tried again or ends unsent
         elif link.state == "down":
-            link.state, link.dial_at, link.address = "dialling", 0, fellow.address
+            link.state, link.dial_at, link.address = "dialling", 0, listed.address
             link.dial_due = now + micros(self.limits.connect_ms)
-            self.actions.append(Dial(fellow.name, fellow.address, micros(self.limits.connect_ms)))
+            self.actions.append(Dial(listed.name, listed.address, micros(self.limits.connect_ms)))
         return link
 
-    def _rested(self, now: int, link: Link) -> None:
+    def _close_if_idle(self, now: int, link: Link) -> None:
         """Leaves a connection that has been quiet for so long that its machine may be closing it: what would
         be written now could cross that, and nobody could tell whether it ran."""
         if (
@@ -273,13 +275,13 @@
             )
         ):
             return
-        if all(self.records[name].placed or not self.records[name].sent for name in link.holds):
+        if all(self.records[name].placed or not self.records[name].sent for name in link.guests):
             self.counts["links_rested"] += 1
             self.actions.append(HangUp(link.machine))
             link.close(now)
             link.lost_at = 0
 
-    def _room_for_link(self, now: int) -> bool:
+    def _ensure_link_slot(self, now: int) -> bool:
         """Keeps connections within their bound: the one that was used longest ago is closed, those without
         guests first. What stands outlives it and its machine is asked again before it counts as silent; one
         with an open set-up stays. False if there is none to close."""
@@ -288,12 +290,12 @@
         opened = [l for l in self.links.values() if l.state != "down"]
         if len(opened) < self.limits.links:
             return True
-        for link in sorted(opened, key=lambda l: (bool(l.holds), max(l.used_at, l.heard_at, l.opened_at))):
+        for link in sorted(opened, key=lambda l: (bool(l.guests), max(l.used_at, l.heard_at, l.opened_at))):
             if (
                 link.state == "up"
                 and not link.queue
                 and link.machine not in self.probes
-                and all(self.records[name].placed for name in link.holds)
+                and all(self.records[name].placed for name in link.guests)
             ):
                 self.counts["links_closed_for_others"] += 1
                 self.actions.append(HangUp(link.machine))
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -13,101 +13,105 @@
 from hazelhold.engine.records import GuestRecord, Verification, VerificationCause
 from hazelhold.protocol import messages as m
 
-VOUCHED_WITHIN = 2_500_000
+CONFIRMATION_TIMEOUT = 2_500_000
 """Microseconds in which its machine's word on a task that was handed over is awaited: a planner that dies
 meanwhile leaves the next one as much, of the 8 s in which an end is to be told."""
 
-ASKED_BEFORE = 1_000_000
+PROBE_LEAD = 1_000_000
 """Microseconds before a decision at which a machine that has said nothing at all is asked."""
 
-RESTARTED_WITHIN = 8_000_000
+RECENT_RESTART = 8_000_000
 """Microseconds before a hand-over: what ended earlier could not be told in time any more."""
 
-LISTED_WITHIN = 1_000_000
+LIST_DELAY = 1_000_000
 """Microseconds within which a list that is current tells that a machine's process has died."""
 
-SPOKEN_OF = 4096  # tasks that machines spoke of and that are not in hand
+MAX_RECENTLY_REPORTED = 4096  # tasks that machines spoke of and that are not in hand
 
 
 class GuestVerification(LinkLoss):
     """Ends what does not stand."""
 
-    def _doubt_handed_over(self, case: GuestRecord) -> None:
+    def _verify_handed_over(self, record: GuestRecord) -> None:
         """Its owner says that it stands, and may not know better."""
-        at = case.handed_over_at
-        self.doubted[case.name] = Verification(VerificationCause.HANDED_OVER, at, at + VOUCHED_WITHIN, at)
+        at = record.handed_over_at
+        self.verifications[record.name] = Verification(
+            VerificationCause.HANDED_OVER, at, at + CONFIRMATION_TIMEOUT, at
+        )
 
-    def _doubt_reused(self, now: int, case: GuestRecord) -> None:
+    def _verify_address_reuse(self, now: int, record: GuestRecord) -> None:
         """It is held to be on the machine that has the address now, and its connection has ended."""
         if self.peers.reports_use:
-            self.doubted[case.name] = Verification(
-                VerificationCause.ADDRESS_REUSED, now, now + VOUCHED_WITHIN, now
+            self.verifications[record.name] = Verification(
+                VerificationCause.ADDRESS_REUSED, now, now + CONFIRMATION_TIMEOUT, now
             )
 
-    def _doubt_since_reset(self, reset_at: int, case: GuestRecord, cause: VerificationCause) -> None:
+    def _verify_after_reset(self, reset_at: int, record: GuestRecord, cause: VerificationCause) -> None:
         """Its machine ended a connection after it was sent, as a process does that dies. Machines speak of a
         task every few seconds, so they are given as long as one that is silent."""
         if self.peers.reports_use:
             decided_at = reset_at + micros(self.limits.lost_ms)
-            self.doubted[case.name] = Verification(cause, reset_at, decided_at, reset_at + LISTED_WITHIN)
+            self.verifications[record.name] = Verification(cause, reset_at, decided_at, reset_at + LIST_DELAY)
 
-    def _doubt_all_on(self, now: int, link: Link) -> None:
+    def _verify_all_on(self, now: int, link: Link) -> None:
         """A connection was reset: a process that dies resets its connections and cuts its tasks, and one that
         lives may have lost that connection only. The list tells which it was, unless it is silent."""
         if not self.deployment.list_lease:
             return
-        for name in link.holds:
-            if self.records[name].placed and name not in self.doubted:
-                self._doubt_since_reset(now + 1, self.records[name], VerificationCause.RESET)
+        for name in link.guests:
+            if self.records[name].placed and name not in self.verifications:
+                self._verify_after_reset(now + 1, self.records[name], VerificationCause.RESET)
 
-    def _spoke_of_unknown(self, machine: str, task: str) -> None:
+    def _unknown_guest_reported(self, machine: str, task: str) -> None:
         """A machine has spoken of a task that is not in hand, and may be handed over next."""
-        self.spoken_of[task] = machine
-        self.spoken_of.move_to_end(task)
-        if len(self.spoken_of) > SPOKEN_OF:
-            self.spoken_of.popitem(last=False)
+        self.recently_reported[task] = machine
+        self.recently_reported.move_to_end(task)
+        if len(self.recently_reported) > MAX_RECENTLY_REPORTED:
+            self.recently_reported.popitem(last=False)
 
-    def _settle_doubts(self, now: int) -> None:
+    def _decide_verifications(self, now: int) -> None:
         """Ends tasks of which their machine says nothing, at the machine too: were one of them there all the
         same, it must not go on without an owner."""
-        for name, doubt in list(self.doubted.items()):
-            case = self.records.get(name)
-            link = self.links.get(case.machine) if case else None
-            if link is None or case.spoken_at >= doubt.since:
-                del self.doubted[name]
+        for name, doubt in list(self.verifications.items()):
+            record = self.records.get(name)
+            link = self.links.get(record.machine) if record else None
+            if link is None or record.confirmed_at >= doubt.since:
+                del self.verifications[name]
                 continue
-            if now < doubt.decided_at - ASKED_BEFORE:
+            if now < doubt.decided_at - PROBE_LEAD:
                 continue
-            may_be_over = self._may_be_over(link, case, doubt)
+            may_be_over = self._may_be_over(link, record, doubt)
             if may_be_over and link.heard_at <= doubt.since:
-                self._ask_whether_there(now, link, doubt.since)
+                self._probe_for_report(now, link, doubt.since)
             elif now >= doubt.decided_at:
-                del self.doubted[name]
+                del self.verifications[name]
                 if may_be_over:
-                    self._end_task(now, case)
+                    self._end_guest(now, record)
 
-    def _put_off_doubts(self, now: int, span: int) -> None:
+    def _postpone_verifications(self, now: int, span: int) -> None:
         """Has the doubts that there are decided on so much later."""
-        for name, doubt in self.doubted.items():
+        for name, doubt in self.verifications.items():
             put_off = min(span, now - doubt.since)
-            self.doubted[name] = doubt._replace(decided_at=doubt.decided_at + put_off)
+            self.verifications[name] = doubt._replace(decided_at=doubt.decided_at + put_off)
 
-    def _ask_whether_there(self, now: int, link: Link, since: int) -> None:
+    def _probe_for_report(self, now: int, link: Link, since: int) -> None:
         """Has a machine say something: without that, its silence about a task shows nothing."""
-        if link.state == "up" and link.asked_at <= since:
-            link.asked_at = now
+        if link.state == "up" and link.probed_at <= since:
+            link.probed_at = now
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
-        elif link.state == "down" and (fellow := self.roster.machines.get(link.machine)):
-            self._dial(now, fellow)
+        elif link.state == "down" and (listed := self.roster.machines.get(link.machine)):
+            self._dial(now, listed)
 
-    def _end_task(self, now: int, case: GuestRecord) -> None:
+    def _end_guest(self, now: int, record: GuestRecord) -> None:
         self.counts["found_unvouched"] += 1
-        self._task_event("unvouched", case)
-        self._tell(now, case.machine, m.Stop(guest=case.guest, ask=case.ask, attempt=case.attempt))
-        self._gone(now, case, "lost")
+        self._task_event("unvouched", record)
+        self._send_about_guest(
+            now, record.machine, m.Stop(guest=record.guest, ask=record.ask, attempt=record.attempt)
+        )
+        self._guest_gone(now, record, "lost")
 
-    def _may_be_over(self, link: Link, case: GuestRecord, doubt: Verification) -> bool:
+    def _may_be_over(self, link: Link, record: GuestRecord, doubt: Verification) -> bool:
         """Whether the process that answers for a machine may be another than the task came to: one that has
         the address of a machine that went, or the same machine's after a restart.
 
@@ -117,10 +121,10 @@
         """
         if doubt.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
             return True
-        fellow = self.roster.machines.get(link.machine)
-        restarted = fellow is not None and fellow.incarnation > 0
+        listed = self.roster.machines.get(link.machine)
+        restarted = listed is not None and listed.incarnation > 0
         if not self.peers.reports_use:
-            return restarted and case.handed_over_at - fellow.started < RESTARTED_WITHIN
+            return restarted and record.handed_over_at - listed.started < RECENT_RESTART
         as_of = self.lease.confirmed_as_of
         unconfirmed = bool(self.deployment.list_lease) and (as_of is None or as_of < doubt.listed_at)
         return unconfirmed or restarted and doubt.cause is VerificationCause.HANDED_OVER
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -100,7 +100,7 @@
         name, peer, refused = dial.machine, None, False
         with scope:
             try:
-                with trio.fail_after(dial.span / 1e6):
+                with trio.fail_after(dial.timeout / 1e6):
                     stream = await self.net.dial(dial.address)
                 if not self._is_current(name, scope):  # hung up just as it came up
                     await trio.aclose_forcefully(stream)
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -65,7 +65,7 @@
             self.life_asked = True
             self._want(now, Asking("life", "", c.NextLife()), LIFE + self.planner, self.span)
 
-    def clear(
+    def may_dispatch(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool:
         """Whether this dispatch of the case's may leave now. If not, its claim is on its way, and `told` says
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -59,7 +59,7 @@
         name, up = dial.machine, False
         with scope:
             try:
-                with trio.fail_after(dial.span / 1e6):
+                with trio.fail_after(dial.timeout / 1e6):
                     stream = await self.driver.net.dial(dial.address)
                 wire = self.wires.wire(stream, MACHINES, name)
                 self.wires.begin_capture("machine", name, wire, True)
@@ -68,7 +68,7 @@
                     with wire.scope:
                         try:
                             wire.send(m.Hello(role="planner", name=self.name))
-                            welcome = await wire.first(m.Welcome, dial.span / 1e6)
+                            welcome = await wire.first(m.Welcome, dial.timeout / 1e6)
                             up = True
                             self.machines[name] = scope, wire
                             wire.note("open", None)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -379,7 +379,7 @@
 class LetsAllPass(Gate):
     """Takes it that nobody else is there."""
 
-    def clear(self, *given_: object) -> bool:
+    def may_dispatch(self, *given_: object) -> bool:
         return True
 
 
@@ -395,10 +395,10 @@
     def mine(self, value: bytes) -> bool:
         return bool(value)
 
-    def clear(
+    def may_dispatch(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool:
-        return bool(known) or super().clear(now, name, guest, ask, attempt, machine, known)
+        return bool(known) or super().may_dispatch(now, name, guest, ask, attempt, machine, known)
 
 
 @pytest.mark.parametrize("gate", [LetsAllPass, Overtakes])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -154,7 +154,7 @@
         await rig.machines[first].end(name(1), 47)  # it may have run there
         await until(lambda: any(isinstance(each, m.Offer) for each in peer.messages))
         case = engine.newest_records[name(1)]
-        await until(lambda: rig.net.now() - case.ran_from >= 200_000)
+        await until(lambda: rig.net.now() - case.may_have_run_since >= 200_000)
         tap.stopped = False
         tap.open.set()
         await until(lambda: owner.of(1))
@@ -226,7 +226,7 @@
         if way == "ending":
             await rig.machines[first].streams[-1].aclose()
         else:
-            engine._abandon(rig.net.now(), engine.links[first])
+            engine._drop_silent_link(rig.net.now(), engine.links[first])
             rig.planner._carry_out()
             rig.planner.ticker.stir()
         await until(lambda: "offered" in order and "closed" in order)
--- a/tests/test_crossings_connections.py
+++ b/tests/test_crossings_connections.py
@@ -116,7 +116,9 @@
         link = rig.planner.engine.links["a"]
         rig.bulletin.events += [event(2, host("a", "terminated"))]
         await until(lambda: not rig.planner.engine.roster.machines)
-        rig.planner.engine.idle_at = rig.net.now() + 60_000_000  # no look closes it before the end is read
+        rig.planner.engine.idle_check_at = (
+            rig.net.now() + 60_000_000
+        )  # no look closes it before the end is read
         link.used_at = link.heard_at = link.opened_at = rig.net.now() - 300_000
         await owner.say(end(1))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -268,7 +268,7 @@
     """At second 20, with these connections in the past: opened, ended, whether by the machine."""
     link = Link("a", state="up" if opened else "down", opened_at=round(opened * SECOND))
     link.heard_at = round(heard * SECOND)
-    link.past = [PastConnection(round(a * SECOND), round(b * SECOND), by) for a, b, by in past]
+    link.past_connections = [PastConnection(round(a * SECOND), round(b * SECOND), by) for a, b, by in past]
     found = previous_incarnation_ended(20 * SECOND, link, round(started * SECOND))
     return PreviousIncarnation(found.ended_at / SECOND, found.reset_at / SECOND)
 
@@ -407,7 +407,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(GuestVerification, "_doubt_reused", lambda engine, now, case: None)
+    monkeypatch.setattr(GuestVerification, "_verify_address_reuse", lambda engine, now, case: None)
     assert heard_after_an_address_is_reused(ended=True) == []
 
 
@@ -448,7 +448,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(GuestVerification, "_settle_doubts", lambda engine, now: None)
+    monkeypatch.setattr(GuestVerification, "_decide_verifications", lambda engine, now: None)
     assert heard_of_a_hand_over(LONG_AGO, spoken_first=False) == []
 
 
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -300,5 +300,5 @@
     reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(LivenessChecks, "_leave_out_stop", lambda engine, now: None)
+    monkeypatch.setattr(LivenessChecks, "_exclude_pause", lambda engine, now: None)
     assert heard_after_a_stop(7.0, reset=reset) == [(end(1).type, 41)]
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -34,7 +34,7 @@
     return made
 
 
-def fellow(mode: Mode = Mode.READY) -> RosterMachine:
+def listed(mode: Mode = Mode.READY) -> RosterMachine:
     return RosterMachine("a", "a:1", mode, 0, 0, 0)
 
 
@@ -45,21 +45,21 @@
 @pytest.mark.parametrize(
     "in_hand,attempt,of,where,list_holds,denial",
     [
-        (case(), 0, EXCLUSIVE, fellow(), True, None),
-        (None, 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(placed=True), 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(sent=False), 0, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(attempt=2), 1, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(cancelled=True), 0, EXCLUSIVE, fellow(), True, Denial.CANCELLED),
-        (case(ran_from=1), 0, EXCLUSIVE, fellow(), True, Denial.MAY_HAVE_RUN),
-        (case(ran_from=1, due_at=9000), 0, TICKETED, fellow(), True, None),
-        (case(ran_from=1), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=3), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=4), 0, RERUNNABLE, fellow(), True, Denial.TOO_MANY),
-        (case(due_at=50), 0, RERUNNABLE, fellow(), True, Denial.OUT_OF_TIME),
+        (case(), 0, EXCLUSIVE, listed(), True, None),
+        (None, 0, EXCLUSIVE, listed(), True, Denial.OVER),
+        (case(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
+        (case(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (case(attempt=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (case(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
+        (case(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
+        (case(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
+        (case(may_have_run_since=1), 0, RERUNNABLE, listed(), True, None),
+        (case(offers=3), 0, RERUNNABLE, listed(), True, None),
+        (case(offers=4), 0, RERUNNABLE, listed(), True, Denial.TOO_MANY),
+        (case(due_at=50), 0, RERUNNABLE, listed(), True, Denial.OUT_OF_TIME),
         (case(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (case(), 0, RERUNNABLE, fellow(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
-        (case(), 0, RERUNNABLE, fellow(), False, Denial.LIST_NOT_CURRENT),
+        (case(), 0, RERUNNABLE, listed(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (case(), 0, RERUNNABLE, listed(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
 def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
@@ -74,9 +74,9 @@
 
 
 def test_a_repeat_within_its_group_ends_with_its_window() -> None:
-    late = case(ran_from=1, due_at=9000)
-    assert offer_denied(1000, late, 0, TICKETED, 4, fellow(), True) is None
-    assert offer_denied(1001, late, 0, TICKETED, 4, fellow(), True) is Denial.WINDOW_CLOSED
+    late = case(may_have_run_since=1, due_at=9000)
+    assert offer_denied(1000, late, 0, TICKETED, 4, listed(), True) is None
+    assert offer_denied(1001, late, 0, TICKETED, 4, listed(), True) is Denial.WINDOW_CLOSED
 
 
 def test_requests_and_connections() -> None:
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -72,14 +72,14 @@
             on.room = 20
         else:
             on.fails[fault] = code
-        assert await ask("g2", "plain") == "held:" and not planner.engine.kept_well
+        assert await ask("g2", "plain") == "held:" and not planner.engine.persistence_healthy
         assert await ask("g3", "once") == "rejected:not_kept"
         await trio.sleep(3)  # g1 gets its answer in time though it cannot be kept
         assert [a.guest for a in said if isinstance(a, m.TurnedBack)] == ["g1", "g2"]
         on.fails.clear()
         on.room = None
         await trio.sleep(2)
-        assert planner.engine.kept_well and await ask("g4", "once") == "held:"
+        assert planner.engine.persistence_healthy and await ask("g4", "once") == "held:"
         on.crash()
         assert [i.name for i in store.read(on, "p0").ledger.images("guest")] == ["g4/0"]
 
@@ -108,7 +108,7 @@
         second = Planner(planner_config(), 2, planner.net, disk=on)
         async with trio.open_nursery() as nursery:
             await nursery.start(second.run)
-            assert list(second.engine.records) == ["g1/0"] and second.engine.sure
+            assert list(second.engine.records) == ["g1/0"] and second.engine.recovery_complete
             nursery.cancel_scope.cancel()
 
     beside(test, on)
@@ -194,7 +194,7 @@
                 await take("g1")
                 on.hang = 0.5
                 await take("g2")
-                assert planner.keeper.failed and not engine.kept_well
+                assert planner.keeper.failed and not engine.persistence_healthy
                 await take("g3")  # nothing waits for the disk any more
                 on.hang = 0.0
                 while planner.keeper.failed:
--- a/tests/test_throughput_bench.py
+++ b/tests/test_throughput_bench.py
@@ -5,7 +5,7 @@
 from bench.throughput import memory, sockets
 from hazelhold.engine import admission
 
-PAST_THE_LINE = 2 * admission.SHORT + 1  # more than admission control takes without a pace
+PAST_THE_LINE = 2 * admission.SHORT_QUEUE + 1  # more than admission control takes without a pace
 WINDOW = 32
 SECONDS = 60
 
