--- a/hazelhold/engine/__init__.py
+++ b/hazelhold/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The planner engine: events in, actions out, one Brain inside; no input, output or clock."""
+"""The planner engine: turns events into actions around one scheduler, without I/O or a clock of its own."""
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -1,7 +1,7 @@
-"""Tasks that were sent to an address which another machine had by then.
+"""Guests that were sent to an address which another machine had by then.
 
-A machine that has gone may leave its address to a new one. What is sent on a connection that is younger than
-the list's last confirmation may have come to that one; the list tells later.
+The address of a machine that has gone may pass to a new one. What is sent on a connection that was opened
+after the list's last confirmation may reach the new machine; the list shows that later.
 """
 
 from hazelhold.engine.machines import Link, RosterChanges, RosterMachine
@@ -11,12 +11,14 @@
 
 
 class AddressReuse(GuestVerification):
-    """Moves tasks to the machine that has the address they were sent to."""
+    """Moves guests to the machine that has the address they were sent to."""
 
     def _move_to_successors(self, now: int, changes: RosterChanges) -> set[str]:
-        """Machines have left the list or come to it. What was sent on a connection younger than the list's
-        last confirmation came to whoever had that address by then, and stands there. Returns the machines
-        that have got such tasks."""
+        """Handles machines that left the list or were added to it; returns those that got guests this way.
+
+        What was sent on a connection opened after the list's last confirmation reached the machine that had
+        the address by then, and is placed there.
+        """
         inherited = set()
         for name in changes.gone:
             link = self.links.get(name)
@@ -35,8 +37,10 @@
         return inherited
 
     def _move_guests(self, now: int, link: Link, successor: RosterMachine) -> None:
-        """What was sent to this address before the list confirmed it stands at the machine that has it now;
-        what awaits its answer does once it is accepted."""
+        """Guests sent to this address before the list confirmed it are placed on the machine that has it now.
+
+        Outstanding dispatches follow once they are accepted.
+        """
         self.orphaned_links.pop(link.address, None)
         link.successor = successor.name
         for record in [self.records[name] for name in link.guests]:
@@ -46,9 +50,12 @@
         new.heard_at = new.heard_at or now
 
     def _move_guest(self, now: int, record: GuestRecord, machine: str) -> None:
-        """A placed task stands at another machine than it was sent to. Where the connection on which it was
-        sent has ended since, it may have been to the machine before, which has gone: a machine that goes ends
-        its connections. Then the one that has the address now has to speak of the task."""
+        """A placed guest is on another machine than it was sent to.
+
+        Where the connection on which it was sent has ended since, it may have been to the previous machine,
+        which has gone: a machine that goes ends its connections. Then the machine that has the address now
+        has to confirm the guest.
+        """
         before = record.machine
         ended = any(
             each.by_machine and each.ended_at >= record.sent_at
@@ -64,8 +71,10 @@
             self._verify_address_reuse(now, record)
 
     def _confirm_connections(self, as_of: int) -> None:
-        """Connections that were not confirmed are to the machines that the list still shows as ready since.
-        One that drains may have gone before the list tells it."""
+        """Confirms connections whose machine the list still shows as ready after they were opened.
+
+        A draining machine may have gone before the list shows it.
+        """
         for name in list(self.unconfirmed_links):
             link = self.links.get(name)
             if link is not None and link.opened_at > as_of:
--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -1,11 +1,10 @@
-"""What a planner tells those that it cannot serve now: when to come back, and whether waiting is of use at
-all.
-
-Decisions free of I/O and clock. Pace is what was placed in the last five seconds; the line is what is held
-without a machine. Who is turned back gets a place in the time ahead, one place for each guest that the pace
-will place, behind the line and behind all places that were given before: those turned back together do not
-return together, and who returns at its time finds its place kept. Fresh asks are taken while the line and the
-places that will be claimed before their patience ends leave them time.
+"""Admission control: when refused guests and connections may return, whether a guest can be placed in time.
+
+No I/O and no clock. The placement rate is what was placed in the last five seconds; the queue is the guests
+held without a machine. A refused guest gets a slot in the time ahead, one slot for each guest that the
+placement rate allows, after the queue and after all slots given before. So guests refused together do not
+return together, and a guest that returns on time finds its slot reserved. New submissions are accepted while
+the queue and the slots that will be claimed before their deadline leave them time.
 """
 
 from collections import Counter, OrderedDict
@@ -13,57 +12,61 @@
 
 SECOND = 1_000_000
 BIN_COUNT, BIN_WIDTH = 10, SECOND // 2
-KNOWN = 10_000  # advised guests that are remembered, to keep their places and see whether the advice was good
-SHORT_QUEUE = 50  # a line up to this long is no overload, whatever the pace: the first seconds know no pace
-INITIAL_WAIT = (
-    5 * SECOND // 2
-)  # the advised wait while no pace is known: half of the time that a pace is taken over
-LATE_TOLERANCE = SECOND  # after its time so much longer a place is kept
-QUEUE_SHARE = (
-    0.8  # the part of a patience that the line may fill: of lines filled up to 1 a fiftieth came too late
-)
+# Guests whose return time is remembered, to reserve their slots and to count how well advice works.
+KNOWN = 10_000
+# A queue up to this length is no overload at any rate: in the first seconds no rate is known.
+SHORT_QUEUE = 50
+# The advised wait while no rate is known: half of the time over which the rate is measured.
+INITIAL_WAIT = 5 * SECOND // 2
+LATE_TOLERANCE = SECOND  # for so long after the return time a slot stays reserved
+QUEUE_SHARE = 0.8  # the part of the time left that the queue may fill: with 1, a fiftieth was placed too late
 
 
 class RetryAdvisor:
-    """The line at one planner's door. `least` and `most` bound advised waits, in microseconds."""
+    """Advises refused guests when to return. `least` and `most` bound the waits, in microseconds."""
 
     def __init__(self, least: int, most: int, random: Random) -> None:
         self.least, self.most, self.random = least, most, random
         self.bins = [0] * BIN_COUNT
         self.at = 0
-        self.return_times: OrderedDict[str, int] = OrderedDict()  # guest: when it may return; emptied by age
-        self.back: OrderedDict[str, None] = OrderedDict()  # returned as advised; emptied by its next answer
-        self.given_until = 0.0  # up to when places are given away
-        self.shows = 1.0  # the fading share of places that are claimed
+        # By guest: when it may return; emptied by age.
+        self.return_times: OrderedDict[str, int] = OrderedDict()
+        # Guests that returned as advised; emptied by their next answer.
+        self.returned: OrderedDict[str, None] = OrderedDict()
+        self.assigned_until = 0.0  # up to when slots are given away
+        self.claimed_share = 1.0  # moving average of the share of slots that are claimed
         self.counts: Counter[str] = Counter()
 
     def placed(self, now: int, guest: str) -> None:
         self._advance(now)
         self.bins[self.at % BIN_COUNT] += 1
-        if guest in self.back:
-            del self.back[guest]
+        if guest in self.returned:
+            del self.returned[guest]
             self.counts["advised_served"] += 1
 
-    def pace(self, now: int) -> float:
-        """Guests placed a second, lately."""
+    def placement_rate(self, now: int) -> float:
+        """Guests placed per second over the last five seconds."""
         self._advance(now)
         return sum(self.bins) / (BIN_COUNT * BIN_WIDTH / SECOND)
 
-    def wait(self, now: int, guest: str, line: int) -> int:
-        """The advised wait for a guest that is turned back now, behind so many in line."""
-        pace = self.pace(now)
-        if self.back.pop(guest, self) is not self:
+    def wait(self, now: int, guest: str, queue_length: int) -> int:
+        """The advised wait in microseconds for a guest that is refused while `queue_length` guests wait."""
+        rate = self.placement_rate(now)
+        if self.returned.pop(guest, self) is not self:
             self.counts["advised_turned_back"] += 1
-        if pace:
-            # Places that nobody will claim are given twice.
-            self.given_until = max(self.given_until, now + line / pace * SECOND) + SECOND / pace * self.shows
-            span = self.given_until - now
+        if rate:
+            # Slots that will not be claimed are given twice.
+            self.assigned_until = (
+                max(self.assigned_until, now + queue_length / rate * SECOND)
+                + SECOND / rate * self.claimed_share
+            )
+            delay = self.assigned_until - now
         else:
-            span = INITIAL_WAIT * self.random.uniform(0.8, 1.2)
-        if span > self.most:  # more are away than places: anywhere in the later half of the time ahead
-            self.given_until = min(self.given_until, now + self.most)
-            span = self.most * self.random.uniform(0.5, 1.0)
-        wait = int(max(self.least * self.random.uniform(1.0, 1.2), span))
+            delay = INITIAL_WAIT * self.random.uniform(0.8, 1.2)
+        if delay > self.most:  # more guests than slots: a random time in the later half
+            self.assigned_until = min(self.assigned_until, now + self.most)
+            delay = self.most * self.random.uniform(0.5, 1.0)
+        wait = int(max(self.least * self.random.uniform(1.0, 1.2), delay))
         self.return_times[guest] = now + wait
         self.return_times.move_to_end(guest)
         if len(self.return_times) > KNOWN:
@@ -71,8 +74,8 @@
         return wait
 
     def guest_returned(self, now: int, guest: str) -> bool:
-        """A guest comes; one that was advised counts if it kept to it, and True says that its place is
-        kept."""
+        """Records that a guest was submitted; True if it returned at its advised time, so that its slot is
+        reserved."""
         self._forget_missed(now)
         due = self.return_times.pop(guest, None)
         if due is None:
@@ -81,27 +84,32 @@
             self.counts["advised_came_early"] += 1
             return False
         self.counts["advised_came"] += 1
-        self.shows += 0.02 * (1 - self.shows)
-        self.back[guest] = None
-        if len(self.back) > KNOWN:
-            self.back.popitem(last=False)
+        self.claimed_share += 0.02 * (1 - self.claimed_share)
+        self.returned[guest] = None
+        if len(self.returned) > KNOWN:
+            self.returned.popitem(last=False)
         return True
 
     def _forget_missed(self, now: int) -> None:
-        """Forgets places whose guests have not come in time."""
+        """Drops slots whose guests did not return in time."""
         while self.return_times and next(iter(self.return_times.values())) + LATE_TOLERANCE < now:
             self.return_times.popitem(last=False)
-            self.shows += 0.02 * (0.1 - self.shows)
+            self.claimed_share += 0.02 * (0.1 - self.claimed_share)
+
+    def cannot_be_served(self, now: int, queue_length: int, patience: int, kept: bool = False) -> bool:
+        """Whether a guest that joins the queue now cannot be placed within `patience` at the present rate.
 
-    def cannot_be_served(self, now: int, line: int, patience: int, kept: bool = False) -> bool:
-        """Whether a guest that joins the line now cannot be answered within its patience at the present pace.
-        One whose place was kept is taken unless the line alone is too long for it."""
-        if line <= SHORT_QUEUE:
+        One whose slot is reserved (`kept`) is accepted unless the queue alone is too long for it.
+        """
+        if queue_length <= SHORT_QUEUE:
             return False
-        room = self.pace(now) * patience / SECOND  # guests that are placed before it must be
+        # Guests that can be placed before its deadline.
+        capacity = self.placement_rate(now) * patience / SECOND
         if kept:
-            return line > room
-        return line + min(len(self.return_times) * self.shows, room) > room * QUEUE_SHARE
+            return queue_length > capacity
+        return (
+            queue_length + min(len(self.return_times) * self.claimed_share, capacity) > capacity * QUEUE_SHARE
+        )
 
     def _advance(self, now: int) -> None:
         at = now // BIN_WIDTH
@@ -111,29 +119,35 @@
 
 
 class ConnectionAdmission:
-    """Admits connections at a bounded rate, and tells the rest when to come back: each gets a place of its
-    own in the time ahead, so that those sent away together return at the rate that the door takes."""
+    """Admits connections at a bounded rate and assigns each refused one its own return time.
+
+    Connections refused together so return at the rate at which they can be admitted.
+    """
 
     def __init__(self, rate: float, burst: int, at_once: int, most: int, random: Random) -> None:
         self.gap = SECOND / rate
         self.burst, self.at_once, self.most, self.random = burst, at_once, most, random
-        self.full_at = 0.0  # when all that was admitted will have been paid for
-        self.given_until = 0.0  # up to when places ahead are given away
+        self.full_at = 0.0  # when the rate budget of all admitted connections is used up
+        self.assigned_until = 0.0  # up to when return times are assigned
 
     def window(self, least: int, owners: int) -> int:
-        """Over how long so many owners should spread their return, so that the door can take them as they
-        come: twice what the rate needs, since some find the planner only at their second try."""
+        """Microseconds over which so many owners should spread their return to be admitted as they come.
+
+        Twice what the rate needs, since some reach the planner only at their second try.
+        """
         return max(least, int(2 * owners * self.gap))
 
     def admits(self, now: int, greeting: int = 0) -> int:
-        """0 if the connection may go on, else in how many microseconds to come back; `greeting` is how many
-        others have not said Hello yet."""
+        """0 if the connection is admitted, else the microseconds after which to return.
+
+        `greeting` is how many other connections have not sent Hello yet.
+        """
         start = max(self.full_at, now)
         if greeting < self.at_once and start - now <= (self.burst - 1) * self.gap:
             self.full_at = start + self.gap
             return 0
-        self.given_until = max(self.given_until, now + self.gap * self.burst) + self.gap
-        if self.given_until - now > self.most:  # more are away than places: anywhere in the time ahead
-            self.given_until = now + self.most
+        self.assigned_until = max(self.assigned_until, now + self.gap * self.burst) + self.gap
+        if self.assigned_until - now > self.most:  # more connections than return times: a random time
+            self.assigned_until = now + self.most
             return max(1, int(self.random.uniform(self.gap, self.most)))
-        return max(1, int(self.given_until - now))
+        return max(1, int(self.assigned_until - now))
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -1,6 +1,6 @@
-"""What an engine does with claims that are agreed among the planners, and with those that are not.
+"""How an engine acts on claims that the planners agreed on, and on those that they did not.
 
-Claims are decided in `hazelhold.replica`; nothing of that is loaded unless a host hands one in by `claim_by`.
+Claims are decided in `hazelhold.replica`, which is loaded only if a host passes it to `use_claims`.
 """
 
 from hazelhold.engine.dispatches import Dispatches
@@ -10,17 +10,19 @@
 
 
 class Claiming(Dispatches):
-    """The side of an engine that the other planners answer."""
+    """The part of an engine that depends on agreement with the other planners."""
 
     def use_claims(self, now: int, claims: Claims) -> None:
-        """From now on no offer of an exclusive or ticketed guest leaves without an agreed claim. Before any
-        other input but `keep`."""
+        """Sends no offer of an at-most-once or deduplicated guest without an agreed claim from now on.
+
+        To be called before any other input but `keep`.
+        """
         self.claims = claims
         claims.begin(now)
         self._take_proposals()
 
     def agreed(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> None:
-        """How an `Agree` ended: agreed, with the value that stands; refused, or open, with the reason."""
+        """A `ProposeChange` ended: agreed, with the agreed value; refused or open, with the reason."""
         for verdict in self.claims.proposal_ended(now, no, outcome, value, reason):
             if verdict.what == "looked":
                 self._query_answered(now, verdict)
@@ -31,7 +33,7 @@
                 if record is not None and not record.placed and not record.sent:
                     self._claimed_elsewhere(now, record, verdict.claim)
             elif verdict.what == "mine":
-                if record is None:  # answered meanwhile: nothing of it left
+                if record is None:  # answered meanwhile: no offer of it was sent
                     self._release(now, verdict.name.rpartition("/")[0], verdict.value)
                 else:
                     record.claim = verdict.value
@@ -44,8 +46,10 @@
         self._take_proposals()
 
     def _claim_not_agreed(self, now: int, record: GuestRecord, open_: bytes, reason: str) -> None:
-        """No claim in time. A guest of which nothing can have run goes back with an advised wait; of another,
-        what may be said is the Brain's."""
+        """The claim was not agreed in time.
+
+        A guest that cannot have run is refused with an advised wait; for any other the scheduler decides.
+        """
         self.counts["not_agreed_" + reason[:20]] += 1
         if record.unsettled_machine or self.abandoned.get(record.guest):
             self._not_sent(now, record, Ending.NOT_SENT)
@@ -62,8 +66,10 @@
         self._forget(record)
 
     def _claimed_elsewhere(self, now: int, record: GuestRecord, claim: Claimed) -> None:
-        """Another planner has the guest, or a life of this one that is not remembered: its claim is what is
-        known of it."""
+        """Another planner has the guest, or an earlier run of this one that is not remembered.
+
+        All that is known of the guest is that claim.
+        """
         self.counts["claimed_elsewhere"] += 1
         self._drop_guest(now, record)
         guest, ask, owner = record.guest, record.ask, record.owner
@@ -83,7 +89,7 @@
         self._forget(record)
 
     def _drop_guest(self, now: int, record: GuestRecord) -> None:
-        """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
+        """Takes the guest from the scheduler: the claim, or the lack of one, is its answer."""
         self._detach(record)
         self.brain.guest_left(now, record.name)
         if record.machine:
@@ -91,7 +97,7 @@
         record.machine = ""
 
     def _query_answered(self, now: int, verdict: Verdict) -> None:
-        """Answers an owner's query by the agreed value, unless the guest came into hand meanwhile."""
+        """Answers an owner's query by the agreed value, unless the guest was submitted meanwhile."""
         owner, guest, ask = verdict.name.split("\0")
         message, claim = m.Query(guest=guest, ask=int(ask)), verdict.claim
         if verdict.reason:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,4 +1,4 @@
-"""Dispatches of guests, from the decision to their end: offers, time-outs, what was given up, answers."""
+"""Dispatches of guests, from the decision to their end: offers, timeouts, abandoned dispatches, answers."""
 
 from hazelhold.brain import NEVER_RAN
 from hazelhold.config.planner import micros
@@ -7,11 +7,12 @@
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
-CROSSING_WINDOW = 1_000_000  # a word written so long before a connection ended may not have been read
+# Microseconds: a message written so shortly before a connection ended may not have been read.
+CROSSING_WINDOW = 1_000_000
 
 
 class Dispatches(Tables):
-    """A guest's way to a machine and back."""
+    """Sends guests to machines and handles the ends of their dispatches."""
 
     def _dispatch(self, now: int, record: GuestRecord, machine: str, span: int) -> None:
         record.attempt, record.machine, record.sent, record.withdrawn = (
@@ -38,15 +39,14 @@
         if self._needs_claim(record) and not self.claims.may_dispatch(
             now, record.name, record.guest, record.ask, record.attempt, record.machine, record.claim
         ):
-            link.queue[record.name] = None  # it leaves once its claim is agreed
+            link.queue[record.name] = None  # it is sent once its claim is agreed
             self._take_proposals()
             return
         if (
             abandoned := self.abandoned.get(record.guest, {}).get(record.machine)
         ) and abandoned.record.ask == record.ask:
-            self._forget_abandoned(
-                record.guest, record.machine
-            )  # the machine takes a new dispatch of it for the old one
+            # The machine treats a new dispatch of it as the old one.
+            self._forget_abandoned(record.guest, record.machine)
         link.queue.pop(record.name, None)
         link.used_at = now
         record.sent, record.sent_at, record.incarnation = True, now, link.incarnation
@@ -76,13 +76,13 @@
         )
 
     def _not_sent(self, now: int, record: GuestRecord, ending: Ending) -> None:
-        """An offer that never left: this proves that it did not run."""
+        """An offer was never sent, which proves that it did not run."""
         if link := self.links.get(record.machine):
             link.queue.pop(record.name, None)
         self._dispatch_ended(now, record, ending, Remark.NONE)
 
     def _dispatch_ended(self, now: int, record: GuestRecord, ending: Ending, remark: Remark) -> None:
-        """The dispatch that was out is over and the guest is held again, or answered by what follows."""
+        """The outstanding dispatch is over; the guest is held again, or answered by what follows."""
         self._detach(record)
         self.monitor.dispatch_ended(record.name, ending not in NEVER_RAN)
         self._task_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
@@ -104,14 +104,14 @@
         ending: Ending = Ending.CUT_OFF,
         remark: Remark = Remark.NONE,
     ) -> None:
-        """A placed guest's end, or a dispatch whose machine is lost."""
+        """A placed guest has ended, or the machine of an outstanding dispatch is lost."""
         if not record.placed:
             self._withdraw_dispatch(now, record)
             self._dispatch_ended(now, record, Ending.CUT_OFF if record.sent else Ending.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
         self._task_event("released", record, how)
-        if how != "lost":  # one that is out of reach may run on
+        if how != "lost":  # one that cannot be reached may run on
             self._report_fact(now, record, "over", how)
         self._detach(record)
         self.brain.dispatch_ended(now, record.name, ending, True, remark)
@@ -123,7 +123,7 @@
         )
 
     def _withdraw_dispatch(self, now: int, record: GuestRecord) -> None:
-        """Takes back a dispatch that is waited for no longer; until its machine speaks, its fate is open."""
+        """Withdraws a dispatch that is no longer awaited; its outcome is open until its machine reports."""
         if not record.sent:
             return
         self._task_event("given_up", record)
@@ -160,7 +160,7 @@
             )
 
     def _final_answer(self, now: int, record: GuestRecord, message: m.TurnedBack | m.BrokenOff) -> None:
-        """A final answer; a dispatch that is still out becomes a loose one."""
+        """Gives the final answer; a dispatch that is still outstanding is abandoned."""
         if (
             self.claims is not None
             and isinstance(message, m.TurnedBack)
@@ -181,7 +181,7 @@
     def _answer(
         self, now: int, record: GuestRecord, message: m.Message, asks: list[int] | dict[int, None]
     ) -> None:
-        """Gives each ask that awaits one its answer, and keeps it for an owner that was away."""
+        """Answers each waiting submission, and keeps the answer for an owner that was disconnected."""
         self.counts["answers_" + message.__struct_config__.tag] += 1
         self._task_event(
             "answered", record, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
@@ -202,16 +202,18 @@
         self._mark_changed("guest", record.name)
 
     def _late_acceptance(self, now: int, abandoned: AbandonedDispatch) -> None:
-        """A dispatch that was given up was accepted: the Brain says whose it is, or that it goes."""
+        """A machine accepted an abandoned dispatch: the scheduler decides whether it is kept or ended."""
         abandoned.accepted = True
         self._mark_changed("loose", abandoned.record.guest, abandoned.machine)
         self.counts["late_copies"] += 1
         self._settle_copies(now, abandoned.record.guest)
 
     def _settle_copies(self, now: int, guest: str) -> None:
-        """Tells the Brain of copies of a guest that stand though their dispatch was given up; one that it
-        takes for the guest itself is the guest's place from here on, any other is called off by a
-        decision."""
+        """Reports accepted copies of a guest, whose dispatch was abandoned, to the scheduler.
+
+        A copy that it takes for the guest itself becomes the guest's placement; any other is withdrawn by a
+        decision.
+        """
         for abandoned in list(self.abandoned.get(guest, {}).values()):
             if not abandoned.accepted:
                 continue
@@ -240,8 +242,10 @@
                 self.brain.guest_cancelled(now, record.name)
 
     def _send_about_guest(self, now: int, machine: str, message: m.Message) -> None:
-        """Sends a word on what stands at a machine; without a connection, with the next; once more if its
-        connection ends so soon that the word may have crossed that."""
+        """Sends a message about a placed guest, on the next connection if none is open.
+
+        It is sent once more if the connection ends so soon that the message may have crossed that end.
+        """
         link = self.links.get(machine)
         if link is not None:
             self._close_if_idle(now, link)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -1,13 +1,13 @@
-"""One planner without its sockets: what peers say goes in, what to do comes out, one Brain decides.
+"""One planner without its sockets: messages of peers go in, actions come out, one scheduler decides.
 
-How it is called: the host reports what happened through the input methods, each with the moment in whole
-microseconds, then calls `pump(now)`, which lets the Brain decide until it has nothing more, and carries out
-`actions` in their order. `next_at(now)` says when to pump again if nothing happens. The same calls with the
-same seed give the same actions.
+The host reports what happened through the input methods, each with the time in whole microseconds, then calls
+`pump(now)`, which lets the scheduler decide until it has no more decisions, and carries out `actions` in
+order. `next_at(now)` returns when to pump again if nothing happens. The same calls with the same seed give
+the same actions.
 
-What the engine itself keeps is bookkeeping that no ranking may touch: attempt numbers, time-outs of
-dispatches, one dispatch out at a time, which offers were surely never sent, and what a machine may still
-hold of dispatches that were given up. Every choice, time-out and final answer is the Brain's.
+The engine itself does the bookkeeping that no ranking may influence: dispatch numbers, timeouts of
+dispatches, at most one outstanding dispatch of a guest, which offers were certainly never sent, and what a
+machine may still hold of abandoned dispatches. Every choice, timeout and final answer is the scheduler's.
 """
 
 from heapq import heappop
@@ -25,30 +25,34 @@
 
 
 class Engine(Owners, Links, Claiming):
-    """All that one planner does."""
+    """The complete engine of one planner."""
 
-    # What outlives the process.
+    # Persistence.
 
     def keep(self, now: int, epoch: int, ledger: Ledger, complete: bool) -> dict[str, int]:
-        """From now on `flush` tells what is to be kept; begins where the images in the ledger left off.
-        Before any other input. Returns counts of what was recovered; ValueError if an image cannot be
-        read."""
+        """Restores the state in `ledger` and persists changes from now on through `flush`.
+
+        To be called before any other input. Returns counts of what was recovered; ValueError if an image
+        cannot be read.
+        """
         self.persistence = StatePersistence(epoch)
         return recover(self, now, ledger, complete)
 
     def flush(self, now: int) -> list[Change]:
-        """What must be safe before the actions of this moment are carried out."""
+        """The changes that must be stored before the current actions are carried out."""
         return self.persistence.flush(self, now)
 
     def state_kept(self, now: int, well: bool) -> None:
-        """The disk fails, or works again. While it fails no guest is taken or sent whose second run could do
-        harm."""
+        """The disk has failed, or works again (`well`).
+
+        While it fails, no guest is accepted or sent whose second run could do harm.
+        """
         self.persistence_healthy = well
         self.counts["state_failures"] += not well
         self.brain.state_kept(now, well)
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
-        """An offer did not leave, since what it rests on could not be made safe."""
+        """An offer was not sent, since the state that it depends on could not be stored."""
         record = self.records.get(f"{offer.guest}/{offer.ask}") or self.newest_records.get(offer.guest)
         if (
             record
@@ -60,11 +64,14 @@
                 self.brain.dispatch_held_back(now, record.name)
             self._not_sent(now, record, Ending.NOT_SENT)
 
-    # The passing of time.
+    # Time.
 
     def pump(self, now: int) -> None:
-        """Time-outs that are due, then decisions until there is none or so many are made that peers have
-        waited long enough to be read; `next_at` says then to pump again at once."""
+        """Handles timeouts that are due, then makes decisions until none is left.
+
+        After `decision_batch` decisions it returns, so that peers do not wait too long to be read; `next_at`
+        then requests another pump at once.
+        """
         self._time_outs(now)
         self._report_lease(now)
         for _ in range(self.decision_batch):
@@ -94,7 +101,7 @@
             ]
         times += [l.recheck_at for by in self.abandoned.values() for l in by.values()]
         if not self.peers.reports_inventory and self.links:
-            times.append(self.idle_check_at)  # silence is looked for though nothing happens
+            times.append(self.idle_check_at)  # silence is checked for although nothing happens
         return min(times, default=None)
 
     def _time_outs(self, now: int) -> None:
@@ -106,7 +113,7 @@
                 if record.sent:
                     self._withdraw_dispatch(now, record)
                     self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
-                else:  # on a link that is up it waited for its claim
+                else:  # on a link that is up, it was waiting for its claim
                     link = self.links.get(record.machine)
                     waited = link is not None and link.state == "up" and link.inventory_known
                     self._not_sent(now, record, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
@@ -119,7 +126,7 @@
                 self.active_links.pop(link.machine, None)
                 continue
             if link.state == "up" and not link.inventory_known and link.inventory_due <= now:
-                self.counts["rolls_unanswered"] += 1  # it is mute: as good as a broken link
+                self.counts["rolls_unanswered"] += 1  # no inventory came: the same as a broken link
                 self.actions.append(HangUp(link.machine))
                 self._link_lost(now, link)
                 link.dial_at = now + micros(self.limits.reconnect_ms) // 10
@@ -148,9 +155,8 @@
         if now < self.idle_check_at:
             return
         idle = micros(self.limits.idle_close_ms)
-        self.idle_check_at = now + min(
-            500_000, idle // 8
-        )  # four fifths of the far side's time, and a tenth of it
+        # `idle` is four fifths of the far side's limit, so this is a tenth of that.
+        self.idle_check_at = now + min(500_000, idle // 8)
         self._decide_verifications(now)
         if not self.peers.reports_inventory:
             for link in list(self.links.values()):
@@ -186,8 +192,11 @@
     # Stopping.
 
     def stop(self, now: int) -> None:
-        """Takes nothing more. What is held is answered by the Brain at once; what is out is called off, and
-        answered when its machine has said whether it ran. Running guests run on."""
+        """Accepts no more guests.
+
+        Held guests are answered by the scheduler at once; outstanding dispatches are withdrawn, and answered
+        when their machine has reported whether they ran. Placed guests run on.
+        """
         self.stopping = True
         for record in list(self.records.values()):
             if not record.placed:
@@ -195,7 +204,7 @@
         self._pump_all(now)
 
     def stop_now(self, now: int) -> None:
-        """The time for a stop is over: what is still out goes to the Brain as unknown, and is answered so."""
+        """The time for a stop is over: outstanding dispatches are answered as possibly run."""
         for record in list(self.records.values()):
             if record.machine and not record.placed:
                 self._withdraw_dispatch(now, record)
@@ -208,5 +217,5 @@
             self.pump(now)
 
     def unanswered(self) -> int:
-        """Guests taken and not yet answered."""
+        """The number of guests accepted and not yet answered."""
         return sum(not c.placed for c in self.records.values())
--- a/hazelhold/engine/events.py
+++ b/hazelhold/engine/events.py
@@ -1,20 +1,20 @@
-"""What an engine tells its host's log: changes of state, with the reason of each. Nothing rests on them."""
+"""Events for the host's log: state changes and their reasons. No behaviour depends on them."""
 
 from typing import NamedTuple
 
 
-class TaskEvent(NamedTuple):
-    """Something became of a task."""
+class GuestEvent(NamedTuple):
+    """The state of a guest changed."""
 
     change: str  # sent, held_back, ended, answered, released, given_up, handed_over
-    task: str
-    attempt: int
+    guest: str
+    dispatch_number: int
     machine: str
     reason: str
 
 
 class MachineEvent(NamedTuple):
-    """What is known of a machine has changed."""
+    """What the engine knows of a machine changed."""
 
     change: str  # listed, closed, gone, new_life, test_passed, test_failed, lost, silent
     machine: str
@@ -22,19 +22,19 @@
 
 
 class ListEvent(NamedTuple):
-    """Whether the list is taken for the present has changed."""
+    """The list has become current, or stopped being so."""
 
     current: bool
     reason: str
-    age: int  # microseconds since the call that confirmed it last; -1: none has
+    age: int  # microseconds since the last call that confirmed it; -1: none
 
 
 class RuleEvent(NamedTuple):
-    """A rule was seen broken."""
+    """A violated rule was detected."""
 
     rule: str
-    task: str
+    guest: str
     machine: str
 
 
-Event = TaskEvent | MachineEvent | ListEvent | RuleEvent
+Event = GuestEvent | MachineEvent | ListEvent | RuleEvent
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -1,4 +1,4 @@
-"""What the loss of a connection to a machine, and of the machine itself, means for what is there."""
+"""Consequences of losing a connection to a machine, or the machine itself, for the guests there."""
 
 from hazelhold.config.planner import micros
 from hazelhold.engine.dispatches import Dispatches
@@ -8,7 +8,7 @@
 
 
 class LinkLoss(Dispatches):
-    """The steps that follow from a connection or a machine that is gone."""
+    """Handles lost connections and lost machines."""
 
     def _link_lost(self, now: int, link: Link, by_machine: bool = False) -> None:
         self.counts["links_lost"] += link.state == "up"
@@ -16,7 +16,8 @@
         self.active_links[link.machine] = None
         self._drop_queue(now, link)
         self._probe_over(now, link.machine, False)
-        if not self.peers.reports_inventory:  # a set-up ends with its connection, what stands does not
+        # An outstanding dispatch ends with its connection, a placed guest does not.
+        if not self.peers.reports_inventory:
             for name in list(link.guests):
                 record = self.records[name]
                 if record.sent and not record.placed:
@@ -26,7 +27,7 @@
             and link.machine not in self.roster.machines
             and not self._awaits_successor(link)
         ):
-            self._forget_machine(now, link)  # it has left the list, and its connection with it
+            self._forget_machine(now, link)  # it has left the list, and now its connection has ended
             return
         keep = now + micros(self.limits.keep_answers_ms)
         link.pending_messages += [(keep, message) for until, message in link.recent_messages if until > now]
@@ -39,15 +40,14 @@
             link.dial_at = now if link.pending_messages else link.dial_at
 
     def _forget_machine(self, now: int, link: Link) -> None:
-        """The machine did not come back in time: what is unknown goes to the Brain as unknown."""
+        """The machine did not return in time: its dispatches go to the scheduler as possibly run."""
         link.lost_at = link.dial_at = link.unanswered = link.heard_at = 0
         link.pending_messages.clear()
         link.incarnation = link.incarnation if link.state == "up" else 0
         for name in list(link.guests):
             record = self.records[name]
-            if (
-                record.placed and self.peers.reports_inventory
-            ):  # it may run on, cut off: its machine is asked later
+            # It may run on behind a partition: its machine is queried later.
+            if record.placed and self.peers.reports_inventory:
                 self._abandon_dispatch(now, record)
             self._guest_gone(now, record, "lost")
         if link.machine not in self.roster.machines:
@@ -62,7 +62,7 @@
             self._not_sent(now, self.records[name], Ending.NO_CONNECTION)
 
     def _awaits_successor(self, link: Link) -> bool:
-        """Whether a task there may stand at another machine, which the list will name with this address."""
+        """Whether a guest there may be on another machine, which the list will show with this address."""
         return any(self.records[name].sent_unconfirmed for name in link.guests)
 
     def _drop_silent_link(self, now: int, link: Link) -> None:
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -1,4 +1,4 @@
-"""The connections to machines, and what machines say on them."""
+"""Connections to machines, and the messages that machines send on them."""
 
 from hazelhold.config.planner import micros
 from hazelhold.engine.dispatches import CROSSING_WINDOW
@@ -19,7 +19,7 @@
     "withdrawn": (Ending.TURNED_BACK, Remark.NONE),
     "not_sent": (Ending.NOT_SENT, Remark.NONE),
 }
-ENDS_AFTER_ACCEPTANCE = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
+ENDS_AFTER_ACCEPTANCE = ("evicted", "pushed_out", "sent_away")  # ends of guests that were accepted
 REMARKS = {
     "no_cores": Remark.NO_CORES,
     "no_memory": Remark.NO_MEMORY,
@@ -29,13 +29,16 @@
 
 
 class Links(ListUpdates, LivenessChecks):
-    """The machines' side of an engine."""
+    """The part of an engine that deals with machines."""
 
     # Connections.
 
     def link_up(self, now: int, machine: str, welcome: m.Welcome | None = None) -> None:
-        """A dialled machine has answered. What it holds is asked before anything is offered, where machines
-        tell that; else what waits for the connection leaves at once."""
+        """A dialled machine has answered.
+
+        Where machines report their guests, that inventory is requested before anything is offered; elsewhere
+        what waits for the connection is sent at once.
+        """
         link = self.links.get(machine)
         if link is None or link.state != "dialling":
             self.actions.append(HangUp(machine))
@@ -63,16 +66,16 @@
         self._send_machine(machine, m.Roll())
 
     def _opened(self, now: int, link: Link) -> None:
-        """A connection stands to a machine that tells nothing of what it holds."""
+        """A connection to a machine that does not report its guests is open."""
         link.state, link.inventory_known, link.dial_at = "up", True, 0
         link.used_at = link.opened_at = now
-        if self.deployment.list_lease:  # until the list shows the machine there at a later moment
+        if self.deployment.list_lease:  # until the list shows the machine at a later time
             link.unconfirmed = True
             self.unconfirmed_links[link.machine] = None
         if link.lost_at and self._is_recently_heard(now, link):
             link.lost_at = 0
         link.heard_at = link.heard_at or now
-        if link.lost_at:  # whether the machine that had those guests is still there, its answer shows
+        if link.lost_at:  # the answer shows whether the machine that had those guests is still there
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
         self.active_links[link.machine] = None
@@ -87,15 +90,19 @@
             self._send_probe(link.machine)
 
     def _is_recently_heard(self, now: int, link: Link) -> bool:
-        """Whether a machine that takes a new connection need not be asked if it is still there: it has said
-        something in the time for which it may say nothing on a standing one, and owes no answer since. Each
-        probe is paid for, and some machines close a connection after half a second of quiet."""
+        """Whether a machine that accepts a new connection need not be probed first.
+
+        It has sent something within the time for which an open connection may be silent, and owes no answer
+        since. Each probe has a cost, and some machines close a connection after half a second of silence.
+        """
         asked = link.unanswered or link.probed_at > link.heard_at
         return not asked and now - link.heard_at <= micros(self.limits.silent_ms)
 
     def link_failed(self, now: int, machine: str, refused: bool = False) -> None:
-        """A dial failed or took too long: offers that waited for it surely never ran. `refused`: nobody
-        listens there, so the machine's process is gone."""
+        """A dial failed or timed out: offers that waited for it certainly never ran.
+
+        `refused`: nothing listens there, so the machine's process is gone.
+        """
         link = self.links.get(machine)
         if link is None:
             return
@@ -115,17 +122,19 @@
             link.dial_at = now + 1_000_000
 
     def link_down(self, now: int, machine: str, reset: bool = False) -> None:
-        """A connection that stood broke. What it carried is not lost yet: the machine is asked first.
-        `reset`: it was not closed in order, so its machine's process may have died."""
+        """An open connection broke. Its guests are not lost yet: the machine is queried first.
+
+        `reset`: it was not closed in order, so the machine's process may have died.
+        """
         if link := self.links.get(machine):
             self._link_lost(now, link, by_machine=True)
             if reset:
                 self._verify_all_on(now, link)
 
-    # What machines say.
+    # Messages of machines.
 
     def machine_said(self, now: int, machine: str, message: m.Message) -> None:
-        """Any message of a machine but its Welcome."""
+        """Handles any message of a machine but its Welcome."""
         link = self.links.get(machine)
         if link is None or link.state != "up":
             return
@@ -167,7 +176,7 @@
         self._abandoned_message(now, machine, message)
 
     def _dispatch_message(self, now: int, record: GuestRecord, message: m.Offered) -> None:
-        """News of the dispatch that is out, or of the placed guest."""
+        """A message about the outstanding dispatch or the placed guest."""
         record.confirmed_at = now
         if (
             isinstance(message, m.Taken)
@@ -175,7 +184,7 @@
             and record.withdrawn
             and not self.peers.reports_inventory
         ):
-            # The taking back ends what was taken, and no word follows that an owner could be told.
+            # The withdrawal ends what was accepted, and no message follows that could be passed to the owner.
             self._dispatch_ended(now, record, Ending.CALLED_OFF, Remark.NONE)
         elif isinstance(message, m.Taken) and not record.placed:
             record.placed = True
@@ -219,22 +228,28 @@
                     self._ended_before_acceptance(now, record)
 
     def _had_accepted(self, how: str) -> bool:
-        """Whether only a machine that had accepted a task can end it so. One that accepts a task when it runs
-        may push it out before. Where machines roll, their answer always comes first."""
+        """Whether only a machine that had accepted a guest can end it with `how`.
+
+        A machine that accepts a guest when it starts to run may preempt it before. Where machines report
+        their inventory, their answer always comes first.
+        """
         if self.peers.reports_inventory:
             return False
         return how == "done" or how in ENDS_AFTER_ACCEPTANCE and not self.deployment.confirms_running
 
     def _ended_before_acceptance(self, now: int, record: GuestRecord) -> None:
-        """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
-        attempt under the same name would be answered "placed" after the end of what was placed."""
+        """The machine's answer is late, and the guest that it accepted is over.
+
+        The owner is told now: another dispatch under the same name would be answered "placed" after the end
+        of what was placed.
+        """
         self.counts["over_before_answer"] += 1
         record.cancelled = True
         self._mark_changed("guest", record.name)
         self.brain.guest_cancelled(now, record.name)
 
     def _abandoned_message(self, now: int, machine: str, message: m.Offered) -> None:
-        """News of a dispatch that was given up."""
+        """A message about a dispatch that was abandoned, or about an unknown guest."""
         abandoned = self.abandoned.get(message.guest, {}).get(machine)
         if abandoned is None or abandoned.record.ask != message.ask:
             if isinstance(message, m.Ended) and (item := self.waiting_handovers.pop(message.guest, None)):
@@ -255,9 +270,9 @@
             self._late_acceptance(now, abandoned)
 
     def _inventory_received(self, now: int, link: Link, running: m.Running) -> None:
-        """What a machine has of ours, against what is thought to be there."""
+        """Compares the inventory that a machine reported with what this planner has recorded there."""
         self.unreported_machines.discard(link.machine)
-        if link.inventory_known:  # nobody asked: it cannot tell what is on its way there
+        if link.inventory_known:  # not requested: it cannot cover what is on its way there
             return
         link.inventory_known, link.lost_at, link.dial_at = True, 0, 0
         there = {(s.guest, s.ask): s for s in running.guests}
@@ -271,7 +286,7 @@
             if item and item.state == "line" and record.cancelled:
                 self._withdraw(now, name, link.machine)
             if item and item.state == "ended":
-                if not record.placed and item.how != "withdrawn":  # accepted while nobody listened
+                if not record.placed and item.how != "withdrawn":  # accepted while no planner was connected
                     self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.ask))
                 self._dispatch_message(now, record, m.Ended(guest=record.guest, ask=record.ask, how=item.how))
             elif (
@@ -295,7 +310,7 @@
             if item is None or item.state == "ended":
                 self._forget_abandoned(guest, link.machine)
             elif item.state == "line":
-                abandoned.recheck_at = now  # taken back once more
+                abandoned.recheck_at = now  # withdrawn once more
             elif not abandoned.accepted and (
                 item.state == "runs" or item.state == "accepted" and not self.deployment.confirms_running
             ):
@@ -304,11 +319,11 @@
             if item.state in ("runs", "accepted"):
                 self._guest_found(now, link, item)
             elif item.state == "ended" and item.how != "withdrawn" and item.guest not in self.newest_records:
-                # It ended while no planner listened: its owner will ask, and must not hear that it is
-                # unknown.
+                # It ended while no planner was connected: its owner will query it, and must not be told that
+                # it is unknown.
                 self._record_end(now, item.guest, item.how)
-        # What was to go there was decided without the guests that were found: their services are decided
-        # anew.
+        # What was to be sent there was decided without the guests that were found: guests of their services
+        # are decided again.
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
         for name in list(link.queue):
             if self.records[name].submit.service in found:
@@ -319,15 +334,17 @@
             self._send_probe(link.machine)
 
     def _never_arrived(self, now: int, record: GuestRecord) -> None:
-        """A complete roll without it, in the life that it was sent to: it never arrived, and cannot any more.
-        That rests on what this planner last knew. If an earlier life made its claim, the kept state may be
-        older than what that life saw, so the claim is not gone on with."""
+        """A complete inventory of the incarnation it was sent to lacks the guest: it cannot arrive any more.
+
+        That holds for what this planner last knew. If an earlier run of it made the claim, the persisted
+        state may be older than what that run saw, so the claim is not reused.
+        """
         if record.claim and self.claims is not None and not self.claims.mine(record.claim):
             record.claim = record.sent_claim = b""
         self._dispatch_ended(now, record, Ending.NOT_SENT, Remark.NONE)
 
     def _guest_found(self, now: int, link: Link, item: m.Stand) -> None:
-        """A guest of ours that runs and that this planner does not know: from before its start."""
+        """A guest of this planner runs that it does not know: it is from before its start."""
         if item.product not in self.products:
             self.counts["found_unknown_product"] += 1
             return
@@ -336,14 +353,15 @@
         record = GuestRecord(name, item.guest, item.ask, item.owner, self.products[item.product], item)
         record.attempt, record.sent_at = item.attempt, now
         held = self.newest_records.get(item.guest)
-        if held and held.machine or name in self.records:  # out or placed elsewhere: one copy too many
+        # Outstanding or placed elsewhere: one copy too many.
+        if held and held.machine or name in self.records:
             abandoned = AbandonedDispatch(record, item.attempt, link.machine, now, recheck_at=now + 1_000_000)
             self._mark_changed("loose", item.guest, link.machine)
             self.abandoned.setdefault(item.guest, {})[link.machine] = abandoned
             self._late_acceptance(now, abandoned)
             return
         record.machine, record.sent, record.placed = link.machine, True, True
-        if held:  # asked again while its planner was away: what runs is the answer
+        if held:  # submitted again while its planner was away: the running guest is the answer
             self.brain.guest_left(now, held.name)
             self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
             del self.records[held.name]
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -1,4 +1,4 @@
-"""What the list of machines tells: who is there, who takes work, whether it may be taken for the present."""
+"""Updates of the machine list: which machines exist, which accept guests, whether the list is current."""
 
 from collections.abc import Callable
 
@@ -13,12 +13,12 @@
 
 
 class ListUpdates(AddressReuse):
-    """The list's side of an engine."""
+    """The part of an engine that deals with the list service."""
 
-    _resolve_handovers: Callable[..., None]  # of the owners' side
+    _resolve_handovers: Callable[..., None]  # defined by Owners
 
     def list_said(self, now: int, message: m.Message) -> None:
-        """A Listing or ListRefused of the list service."""
+        """Handles a Listing or ListRefused of the list service."""
         self.list_due = 0
         if not isinstance(message, m.Listing):
             self.list_failed(now)
@@ -31,9 +31,9 @@
         self.counts["list_entries"] += len(message.entries)
         self.counts["list_faults"] += len(changes.faults)
         self.brain.machines_listed(now, changes.listed, message.whole)
-        if not first:  # the whole list of a start is one line, at the start
+        if not first:  # the whole list at a start is one log line, written there
             self._log_changes(now, changes)
-        for name in changes.draining:  # what has not left may not go there any more
+        for name in changes.draining:  # what was not sent yet must not go there any more
             if link := self.links.get(name):
                 for case_name in list(link.queue):
                     self._not_sent(now, self.records[case_name], Ending.NOT_SENT)
@@ -62,12 +62,14 @@
             return
         if first:
             self.unreported_machines = {f.name for f in self.roster.machines.values()}
-        for name in changes.added:  # each is asked once what it holds of ours
+        for name in changes.added:  # each is queried once for its guests of this planner
             self._dial(now, self.roster.machines[name])
 
     def _machine_restarted(self, now: int, link: Link, started: int) -> None:
-        """The list tells of a machine's new life: what came to it in the old one is over. Where the clocks
-        may differ, a task sent before a connection ended has to be spoken of on a later one."""
+        """The list shows a new incarnation of a machine: guests sent to the previous one are over.
+
+        Where the clocks may differ, a guest sent before a connection ended has to be reported on a later one.
+        """
         ended_at, reset_at = previous_incarnation_ended(now, link, started)
         for name in list(link.guests):
             record = self.records[name]
@@ -90,15 +92,18 @@
         for name in changes.draining:
             reason = "gone" if name in changes.gone else "draining"
             link = self.links.get(name)
-            if link is not None and link.offered_at:  # beside when it was told: whether that broke the rule
+            # Beside when that was reported, this shows whether it broke the rule.
+            if link is not None and link.offered_at:
                 reason += f", last offer {(now - link.offered_at) // 1000} ms ago"
             self._machine_event("closed", name, reason)
 
-    # Whether it may be taken for the present.
+    # Whether the list is current.
 
     def list_confirmed(self, now: int, as_of: int) -> bool:
-        """The list was current at that moment: the service answered a call made then. True if that changes
-        anything but the lease's end."""
+        """The list was current at `as_of`, since the service answered a call made then.
+
+        True if that changes anything but the end of the lease.
+        """
         changes = not self.list_taken or bool(self.waiting_handovers or self.unconfirmed_links)
         self.lease.confirm(as_of)
         if self.lease.holds(now):
@@ -108,22 +113,22 @@
         return changes
 
     def list_unchanged(self, now: int) -> None:
-        """The list service answered that it has no news."""
+        """The list service answered that nothing changed."""
         self.list_due = 0
         self.brain.list_heard(now)
 
     def list_call_failed(self, now: int) -> None:
-        """A call brought nothing: the lease is not renewed by it."""
+        """A call to the list service failed, so it does not renew the lease."""
         self.lease.note(Lapse.FAILED)
         self.list_failed(now)
 
     def list_address_changed(self, now: int) -> None:
-        """The list service has a new address, which has told nothing yet."""
+        """The list service has a new address, from which nothing was received yet."""
         self.lease.end(Lapse.MOVED)
         self._report_lease(now)
 
     def _report_lease(self, now: int) -> None:
-        """Tells the module and the log if the list has become current or stopped to be."""
+        """Reports to the scheduler and the log if the list has become current or stopped being so."""
         holds = self.lease.holds(now)
         if holds is self.list_taken:
             return
@@ -136,7 +141,7 @@
         self.counts["list_lapses"] += not holds
 
     def list_failed(self, now: int) -> None:
-        """The list service refused, was silent for too long, or its connection broke."""
+        """The list service refused, did not answer in time, or its connection broke."""
         self.list_due = 0
         self.counts["list_failures"] += 1
         self.brain.list_failed(now)
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -1,4 +1,4 @@
-"""What the silence of machines means: those that say nothing are asked, and then taken for lost."""
+"""Liveness checks: machines that are silent are probed, and then taken for lost."""
 
 from hazelhold.config.planner import micros
 from hazelhold.engine.machines import Link
@@ -7,24 +7,27 @@
 from hazelhold.protocol import messages as m
 
 GONE_TIMEOUT = 1_000_000
-"""Microseconds after a machine left the list at which what stood there is lost."""
+"""Microseconds after a machine left the list at which its guests are lost."""
 
 SUCCESSOR_TIMEOUT = 4_000_000
-"""The same where the connection may be to another machine that has its address, which the list still owes."""
+"""The same where the connection may be to a machine with the same address that the list does not show yet."""
 
 MAX_PUMP_INTERVAL = 1_000_000
-"""Microseconds that lie between two pumps at the most, unless the process did not run."""
+"""Microseconds between two pumps at most, unless the process was paused."""
 
 CATCH_UP_TIME = 1_000_000
-"""Microseconds in which a process that runs on reads what came meanwhile, and dials again."""
+"""Microseconds in which a process that resumes reads what arrived meanwhile, and dials again."""
 
 
 class LivenessChecks(GuestVerification):
-    """Tests, and machines that say nothing."""
+    """Probes, and machines that are silent."""
 
     def _exclude_pause(self, now: int) -> None:
-        """A process that did not run for a while has heard neither the list nor machines: that time is not
-        held against them, and nothing is taken for lost before what came meanwhile is read."""
+        """Excludes the time for which this process was paused from all waiting times.
+
+        It read neither the list nor machines then, and nothing is taken for lost before what arrived
+        meanwhile is read.
+        """
         stopped = now - self.pumped_at - MAX_PUMP_INTERVAL
         self.pumped_at = now
         if stopped <= 0 or self.peers.reports_inventory:
@@ -36,12 +39,14 @@
             link.exclude_pause(now, stopped)
 
     def _send_probe(self, machine: str) -> None:
-        """A test that waited for its connection."""
+        """Sends a probe that waited for its connection."""
         self._send_machine(machine, m.Probe(number=self.probes[machine].number))
 
     def _probe_answered(self, now: int, link: Link, well: bool) -> None:
-        """A machine answered a test. One that fails takes no work, whatever the list says; one that passes
-        may drain all the same."""
+        """A machine answered a probe.
+
+        One that fails it accepts no guests, whatever the list shows; one that passes may still be draining.
+        """
         if well is not link.passes_probes:
             self._machine_event("test_passed" if well else "test_failed", link.machine)
         link.passes_probes = well
@@ -49,8 +54,11 @@
             self.brain.machine_refuses(now, link.machine)
 
     def _probe_unanswered(self, now: int, machine: str, since: int) -> None:
-        """A probe was not answered. Where no roll call tells of a dead connection, two in a row with not a
-        word between them are taken for one: it is closed and opened anew."""
+        """A probe was not answered.
+
+        Where no inventory request reveals a dead connection, two in a row with no message between them count
+        as one: the connection is closed and opened again.
+        """
         link = self.links.get(machine)
         if self.peers.reports_inventory or link is None or link.state != "up" or link.heard_at >= since:
             return
@@ -59,10 +67,12 @@
             self._drop_silent_link(now, link)
 
     def _check_silence(self, now: int, link: Link) -> None:
-        """What stands on a machine outlives its connections, so silence has to be looked into: a machine
-        that has said nothing for a while is asked, since the module asks none that takes nothing, first on
-        its connection, then on a new one. One that stays silent, or has left the list a second ago, has lost
-        what stood there."""
+        """Probes a machine that has been silent for a while, first on its connection, then on a new one.
+
+        Placed guests outlive connections, so silence has to be checked, and the scheduler probes no machine
+        that accepts no guests. A machine that stays silent, or left the list a second ago, has lost its
+        guests.
+        """
         silent = micros(self.limits.silent_ms)
         if not link.guests or now - self.resumed_at < CATCH_UP_TIME:
             return
@@ -93,8 +103,10 @@
         self._forget_machine(now, link)
 
     def _recheck_abandoned(self, now: int, abandoned: AbandonedDispatch) -> None:
-        """Asks again what became of a dispatch that was given up, ten times in its keeping time, then forgets
-        it: its machine is out of reach for good, or has lost its memory."""
+        """Queries again what became of an abandoned dispatch, ten times in each keeping time.
+
+        After ten keeping times it is forgotten: its machine is out of reach for good, or has lost its state.
+        """
         keep = micros(self.limits.keep_answers_ms)
         if now - abandoned.sent_at > 10 * keep:
             self.counts["loose_forgotten"] += 1
--- a/hazelhold/engine/machine_incarnations.py
+++ b/hazelhold/engine/machine_incarnations.py
@@ -1,9 +1,9 @@
-"""When the old life of a machine ended that the list tells to have begun a new one under its name.
+"""Determines when the previous incarnation of a restarted machine ended.
 
-Tasks that came to the old life are over, those of the new one stand. The list dates the new life by its own
-wall clock, and the clock of this machine may have been stepped against it. A process that dies has its
-connections reset, so each of them ends at the death or was opened after it: that needs no clock but this
-planner's own.
+Guests sent to the previous incarnation are over, those sent to the new one are placed. The list dates the
+start of the new incarnation by its own wall clock, and this machine's clock may have been stepped against it.
+A process that dies has its connections reset, so each connection ends at the death or was opened after it:
+that needs no clock but this planner's own.
 """
 
 from typing import NamedTuple
@@ -11,17 +11,17 @@
 from hazelhold.engine.machines import Link
 
 MAX_LIST_DELAY = 8_000_000
-"""Microseconds: how late the list may be with a new life."""
+"""Microseconds: how late the list may show a new incarnation."""
 
 CLOCK_TOLERANCE = 1_000_000
-"""Microseconds between a connection's end and a birth by the clock within which both mean one event."""
+"""Microseconds between a connection's end and a start by the list's clock within which both are one event."""
 
 
 class PreviousIncarnation(NamedTuple):
-    """When the old life ended, in microseconds of this planner's clock.
+    """When the previous incarnation ended, in microseconds of this planner's clock.
 
-    `ended_at`: what was sent before is over; 0 if nothing shows that any is. `reset_at`: when the machine
-    ended a connection last; 0 if it did not lately.
+    `ended_at`: guests sent before this are over; 0 if nothing shows that any is. `reset_at`: when the machine
+    last ended a connection; 0 if it did not lately.
     """
 
     ended_at: int
@@ -29,8 +29,11 @@
 
 
 def previous_incarnation_ended(now: int, link: Link, started: int) -> PreviousIncarnation:
-    """`started` is the begin of the new life by the list's clock, as this planner reads it; one that is not
-    past shows that the clocks differ."""
+    """When the incarnation before the one that started at `started` ended.
+
+    `started` comes from the list's clock, converted to this planner's; a time that is not in the past shows
+    that the clocks differ.
+    """
     ends = [
         each for each in link.past_connections if each.by_machine and now - each.ended_at <= MAX_LIST_DELAY
     ]
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -1,4 +1,4 @@
-"""What the engine keeps of machines: the list as it was told, and the state of each connection."""
+"""What the engine records of machines: the list as received, and the state of each connection."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -6,15 +6,18 @@
 from hazelhold.interface import Listed, Mode
 from hazelhold.protocol.messages import Entry, Listing, Message
 
-MAX_PAST_CONNECTIONS = 8  # connections of a machine that have ended
+MAX_PAST_CONNECTIONS = 8  # ended connections that are remembered for a machine
 
 MODES = {"ready": Mode.READY, "cordoned": Mode.CORDONED, "gone": Mode.GONE}
 
 
 @dataclass
 class RosterMachine:
-    """One machine of the list. `started` is on the planner's clock, fixed once for each life of the machine,
-    so that neither a machine's clock nor a late list makes a life look new."""
+    """One machine of the list.
+
+    `started` is in microseconds of the planner's clock, fixed once for each incarnation of the machine, so
+    that neither a machine's clock nor a late list makes an incarnation look new.
+    """
 
     name: str
     address: str
@@ -25,7 +28,7 @@
 
 
 class PastConnection(NamedTuple):
-    """A connection that has ended. Moments in microseconds; `by_machine`: its far side ended it."""
+    """A connection that has ended. Times in microseconds; `by_machine`: the machine ended it."""
 
     opened_at: int
     ended_at: int
@@ -34,38 +37,39 @@
 
 @dataclass
 class Link:
-    """The connection to one machine."""
+    """The connection to one machine. Times in microseconds; 0 means never."""
 
     machine: str
     state: str = "down"  # down, dialling, up
-    inventory_known: bool = False  # the machine has told what it holds; nothing is offered before
+    inventory_known: bool = False  # the machine has reported its guests; nothing is offered before
     incarnation: int = 0
-    previous_incarnation: int = 0  # the life it was in when it last spoke
-    queue: dict[str, None] = field(default_factory=dict)  # cases whose offer waits for the link
-    guests: dict[str, None] = field(default_factory=dict)  # cases out or placed there
-    lost_at: int = 0  # when it broke with something on it; 0: it did not
+    previous_incarnation: int = 0  # the incarnation in which it last reported
+    queue: dict[str, None] = field(default_factory=dict)  # records whose offer waits for the link
+    guests: dict[str, None] = field(default_factory=dict)  # records outstanding or placed there
+    lost_at: int = 0  # when it broke with guests on it; 0: it did not
     dial_at: int = 0
     dial_due: int = 0
     inventory_due: int = 0
     used_at: int = 0
-    heard_at: int = 0  # its last word, on whatever connection
+    heard_at: int = 0  # its last message, on any connection
     opened_at: int = 0
-    offered_at: int = 0  # when the bytes of an offer left last; 0: none has
-    address: str = ""  # that was dialled last
-    successor: str = ""  # the machine that has its address now, and that speaks on this connection
-    unconfirmed: bool = False  # not confirmed by the list since: another machine may have its address
-    gone_at: int = 0  # when it was seen to have left the list with guests of ours; 0: it has not
-    passes_probes: bool | None = None  # its last answer to one; None: it has given none
-    probed_at: int = 0  # when it was last asked for its silence
-    unanswered: int = 0  # probes in a row with nothing heard since they were sent
-    # Words on what stands there, with when they are let go: for the next connection, and written to this one
-    # so lately that it may have broken over them.
+    offered_at: int = 0  # when the bytes of an offer were last written; 0: never
+    address: str = ""  # the last one dialled
+    successor: str = ""  # the machine that has its address now and that answers on this connection
+    # Not confirmed by the list since it was opened: another machine may have the address.
+    unconfirmed: bool = False
+    gone_at: int = 0  # when it was seen to have left the list with guests of this planner; 0: it has not
+    passes_probes: bool | None = None  # its last answer to a probe; None: none yet
+    probed_at: int = 0  # when it was last probed because it was silent
+    unanswered: int = 0  # probes in a row after which nothing was received
+    # Messages about guests there, with when they expire: for the next connection, and written to this one so
+    # lately that they may have been lost with it.
     pending_messages: list[tuple[int, Message]] = field(default_factory=list)
     recent_messages: list[tuple[int, Message]] = field(default_factory=list)
     past_connections: list[PastConnection] = field(default_factory=list)  # the last few
 
     def close(self, now: int, by_machine: bool = False) -> None:
-        """The connection has ended, or its dial has."""
+        """Records that the connection, or its dial, has ended."""
         if self.state == "up":
             self.past_connections = [
                 *self.past_connections[1 - MAX_PAST_CONNECTIONS :],
@@ -74,30 +78,30 @@
         self.state, self.inventory_known = "down", False
 
     def exclude_pause(self, now: int, span: int) -> None:
-        """So much of the time since it was lost, or left the list, does not count."""
+        """Excludes so many microseconds from the time since it was lost or left the list."""
         self.lost_at = min(now, self.lost_at + span) if self.lost_at else 0
         self.gone_at = min(now, self.gone_at + span) if self.gone_at else 0
 
     def is_idle(self) -> bool:
-        """Nothing about this connection is waited for."""
+        """Whether nothing is awaited on this connection."""
         still = self.state == "down" or self.state == "up" and self.inventory_known
         return still and not (self.dial_at or self.lost_at)
 
 
 @dataclass
 class RosterChanges:
-    """What a listing changed."""
+    """What a listing changed in the roster."""
 
     listed: list[Listed] = field(default_factory=list)
-    added: list[str] = field(default_factory=list)  # machines not known before, or in a new life
-    moved: list[str] = field(default_factory=list)  # with another address
-    draining: list[str] = field(default_factory=list)  # that take nothing new any more
+    added: list[str] = field(default_factory=list)  # machines not known before, or in a new incarnation
+    moved: list[str] = field(default_factory=list)  # machines with another address
+    draining: list[str] = field(default_factory=list)  # machines that accept no new guests any more
     gone: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # entries that cannot be used, and why
 
 
 class Roster:
-    """The machines as the list has them; emptied as machines leave it."""
+    """The machines as the list shows them; emptied as machines leave it."""
 
     def __init__(self, kinds: dict[str, int]) -> None:
         self.kinds = kinds
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -1,7 +1,7 @@
-"""Checks at run time that the rules on attempts and answers hold, apart from what decides on them.
+"""Run-time checks that the rules on dispatches and answers hold, independent of the code that applies them.
 
-It keeps its own account of each task from what leaves and what ends. What it finds is counted and logged with
-the task's name; nothing is decided by it.
+The monitor tracks each guest by what is sent and what ends. Violations are counted and logged with the
+guest's name; no decision depends on them.
 """
 
 from dataclasses import dataclass
@@ -11,64 +11,64 @@
 
 
 class Violation(Enum):
-    """A rule that was seen broken."""
+    """A rule whose violation was detected."""
 
-    TWO_OUT = "two attempts out"
-    REPEATED = "an attempt after one that may have run"
-    AFTER_ANSWER = "an attempt after the answer"
-    TOO_MANY = "more attempts than allowed"
+    TWO_OUT = "two outstanding dispatches"
+    REPEATED = "a dispatch after one that may have run"
+    AFTER_ANSWER = "a dispatch after the answer"
+    TOO_MANY = "more dispatches than allowed"
     SECOND_ANSWER = "a second answer"
-    LIST_NOT_CURRENT = "an attempt by a list that is not known to be current"
+    LIST_NOT_CURRENT = "a dispatch by a list that is not known to be current"
 
 
 @dataclass
 class GuestAccount:
-    """What is known of one task in hand."""
+    """What the monitor has seen of one held guest."""
 
     effect: Effect
-    attempts: int = 0
-    out_at: str = ""  # the machine of the attempt that is out
+    dispatches: int = 0
+    outstanding_at: str = ""  # the machine of the outstanding dispatch
     may_have_run: bool = False
     answered: bool = False
 
 
 class RuleMonitor:
-    """The accounts of all tasks in hand."""
+    """Accounts of all held guests."""
 
-    def __init__(self, most_attempts: int) -> None:
-        self.most_attempts = most_attempts
-        self.accounts: dict[str, GuestAccount] = {}  # by task; emptied as tasks are forgotten
+    def __init__(self, max_dispatches: int) -> None:
+        self.max_dispatches = max_dispatches
+        self.accounts: dict[str, GuestAccount] = {}  # by guest; emptied as guests are forgotten
 
-    def dispatch_sent(self, task: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
-        """The bytes of an offer are about to leave."""
-        account = self.accounts.setdefault(task, GuestAccount(effect))
-        account.attempts += 1
+    def dispatch_sent(self, guest: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
+        """Records that the bytes of an offer are about to be written; returns the rules that it violates."""
+        account = self.accounts.setdefault(guest, GuestAccount(effect))
+        account.dispatches += 1
         found = []
-        if account.out_at:
+        if account.outstanding_at:
             found.append(Violation.TWO_OUT)
         if account.may_have_run and effect is Effect.EXCLUSIVE:
             found.append(Violation.REPEATED)
         if account.answered:
             found.append(Violation.AFTER_ANSWER)
-        if account.attempts > self.most_attempts:
+        if account.dispatches > self.max_dispatches:
             found.append(Violation.TOO_MANY)
         if not list_holds:
             found.append(Violation.LIST_NOT_CURRENT)
-        account.out_at = machine
+        account.outstanding_at = machine
         return found
 
-    def dispatch_ended(self, task: str, may_have_run: bool) -> None:
-        if account := self.accounts.get(task):
+    def dispatch_ended(self, guest: str, may_have_run: bool) -> None:
+        if account := self.accounts.get(guest):
             account.may_have_run = account.may_have_run or may_have_run
-            account.out_at = ""
+            account.outstanding_at = ""
 
-    def answered(self, task: str, effect: Effect) -> list[Violation]:
-        """The final answer is about to leave."""
-        account = self.accounts.setdefault(task, GuestAccount(effect))
+    def answered(self, guest: str, effect: Effect) -> list[Violation]:
+        """Records that the final answer is about to be sent; returns the rules that this violates."""
+        account = self.accounts.setdefault(guest, GuestAccount(effect))
         if account.answered:
             return [Violation.SECOND_ANSWER]
         account.answered = True
         return []
 
-    def forget(self, task: str) -> None:
-        self.accounts.pop(task, None)
+    def forget(self, guest: str) -> None:
+        self.accounts.pop(guest, None)
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -1,7 +1,7 @@
-"""What owners say: asks, cancels, queries, guests that stand already."""
+"""Messages of owners: submissions, cancels, queries, and handovers of guests that are already placed."""
 
 from hazelhold.config.planner import micros
-from hazelhold.engine.events import TaskEvent
+from hazelhold.engine.events import GuestEvent
 from hazelhold.engine.permission import Denial, offer_denied, start_denied
 from hazelhold.engine.records import GuestRecord
 from hazelhold.engine.tables import WaitingHandover
@@ -9,19 +9,20 @@
 from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
 from hazelhold.protocol import messages as m
 
+# Rejections after which a retry makes sense.
 RETRYABLE_REJECTIONS = (
     "full",
     "overloaded",
     "stopping",
     "not_kept",
-)  # rejections after which coming back makes sense
+)
 
 
 class Owners(GuestVerification):
-    """The owners' side of an engine."""
+    """The part of an engine that deals with owners."""
 
     def owner_said(self, now: int, owner: str, message: m.Message) -> None:
-        """A Submit, Cancel or Query of an owner."""
+        """Handles a Submit, Cancel or Query of an owner."""
         if isinstance(message, m.Submit):
             self._submitted(now, owner, message)
         elif isinstance(message, m.Cancel):
@@ -32,15 +33,15 @@
     def _submitted(self, now: int, owner: str, submit: m.Submit) -> None:
         guest, ask = submit.guest, submit.ask
         old = record = self.newest_records.get(guest)
-        in_hand = record is not None and not self.peers.owners_resubmit
-        if start_denied(self.stopping, in_hand) is Denial.IN_HAND:
+        is_held = record is not None and not self.peers.owners_resubmit
+        if start_denied(self.stopping, is_held) is Denial.IN_HAND:
             self.counts["rejected_open_already"] += 1
             self._send_owner(
                 owner, m.Rejected(guest=guest, ask=ask, code="open_already", text="this name is in hand")
             )
             return
         if record and not record.cancelled:
-            # it joins what is in hand: one guest, one dispatch, one answer for each
+            # it joins the held guest: one guest, one dispatch, one answer for each submission
             self.counts["repeats"] += 1
             record.owner = owner
             self._mark_changed("guest", record.name)
@@ -65,7 +66,7 @@
         record = GuestRecord(
             f"{guest}/{ask}", guest, ask, owner, self.products[submit.product], submit, {ask: None}
         )
-        if record.name in self.records:  # cancelled, with its call-off under way
+        if record.name in self.records:  # cancelled, with its withdrawal under way
             self._send_owner(owner, m.Rejected(guest=guest, ask=ask, code="ending", text="its cancel is on"))
             return
         self.records[record.name] = self.newest_records[guest] = record
@@ -79,8 +80,11 @@
         self._settle_copies(now, guest)
 
     def _earlier_dispatch(self, now: int, submit: m.Submit, old: GuestRecord | None) -> Earlier | None:
-        """An earlier dispatch of this guest that may have run or may still: given up, being called off, or
-        made before this planner started by a machine that has not spoken yet."""
+        """The earliest dispatch of this guest that may have run or may still run, if any.
+
+        It was abandoned, is being withdrawn, or was made before this planner started to a machine that has
+        not reported yet.
+        """
         unsettled = [Earlier(l.machine, l.sent_at) for l in self.abandoned.get(submit.guest, {}).values()]
         if old and old.sent:
             unsettled.append(Earlier(old.machine, old.sent_at))
@@ -89,7 +93,7 @@
         return min(unsettled, key=lambda e: e.sent_at, default=None)
 
     def _rejection(self, now: int, submit: m.Submit, kept: bool) -> tuple[str, str] | None:
-        if start_denied(self.stopping, in_hand=False) is Denial.STOPPING:
+        if start_denied(self.stopping, is_held=False) is Denial.STOPPING:
             return "stopping", "this planner takes nothing more"
         if submit.product not in self.products:
             return "unknown_product", f"no product is called {submit.product!r}"
@@ -110,7 +114,7 @@
         return None
 
     def _queried(self, now: int, owner: str, message: m.Query) -> None:
-        """Of a guest that is not in hand and may be claimed, the agreed value says more than memory."""
+        """Answers a query; for a guest that is not held and may be claimed, by the agreed value."""
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
@@ -133,8 +137,10 @@
         self.brain.guest_cancelled(now, record.name)
 
     def owner_left(self, now: int, guest: str) -> bool:
-        """Its owner waits no longer, or ends what stands: no answer and no word of an end is owed. What is
-        out or runs is taken back from its machine. False if the guest is not in hand."""
+        """The owner waits no longer, or ends the placed guest: no answer and no report of an end is due.
+
+        An outstanding dispatch is withdrawn and a placed guest stopped. False if the guest is not held.
+        """
         record = self.newest_records.get(guest)
         if record is None and guest in self.waiting_handovers:
             self.waiting_handovers[guest] = self.waiting_handovers[guest]._replace(ended=True)
@@ -157,7 +163,7 @@
         return True
 
     def withdraw_guest(self, now: int, guest: str) -> None:
-        """Nothing more is begun for a guest that awaits its answer; that is given as to a cancel."""
+        """Makes no further dispatch of a guest that awaits its answer; it is answered as after a cancel."""
         record = self.newest_records.get(guest)
         if record and not record.placed and not record.cancelled:
             self.counts["given_up"] += 1
@@ -165,12 +171,14 @@
             self.brain.guest_cancelled(now, record.name)
 
     def adopt_guest(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
-        """An owner hands over a guest that runs on a machine already; returns what is wrong, or nothing. One
-        that is in hand stays as it is."""
+        """An owner hands over a guest that already runs on a machine.
+
+        Returns the reason for a rejection, or "". A guest that is already held stays as it is.
+        """
         if submit.guest in self.newest_records:
             self.counts["found_known"] += 1
             return ""
-        if submit.guest in self.ends:  # its machine told of its end before its owner handed it over
+        if submit.guest in self.ends:  # its machine reported its end before its owner handed it over
             self.counts["found_ended"] += 1
             how, _ = self.ends.pop(submit.guest)
             self._send_owner(owner, m.GuestEnded(guest=submit.guest, how=how, machine=machine))
@@ -181,7 +189,7 @@
         if listed is None and not self.lease.holds(now):
             self.counts["found_before_list"] += 1
             self.events.append(
-                TaskEvent("handed_over", submit.guest, 0, machine, "its machine is not listed yet")
+                GuestEvent("handed_over", submit.guest, 0, machine, "its machine is not listed yet")
             )
             self.waiting_handovers[submit.guest] = WaitingHandover(owner, machine, submit)
             return ""
@@ -215,8 +223,10 @@
         return ""
 
     def _resolve_handovers(self, now: int, list_is_whole: bool) -> None:
-        """Takes tasks that were handed over before the list knew their machines; `list_is_whole` if a machine
-        that it still lacks is gone."""
+        """Adopts guests that were handed over before the list had their machines.
+
+        `list_is_whole`: a machine that the list still lacks is gone.
+        """
         for guest, item in list(self.waiting_handovers.items()):
             known = item.machine in self.roster.machines
             if not known and not list_is_whole:
@@ -236,13 +246,15 @@
         return record is not None and record.placed
 
     def is_outstanding(self, guest: str) -> bool:
-        """Whether the guest is in hand and awaits its answer."""
+        """Whether the guest is held and awaits its answer."""
         record = self.newest_records.get(guest)
         return record is not None and not record.placed
 
     def time_left(self, now: int, offer: m.Offer) -> int:
-        """How long the answer to an offer whose bytes have not left yet is waited for; 0 if it is not wanted
-        any more, or its machine takes nothing any more."""
+        """Microseconds until an offer whose bytes were not written yet times out.
+
+        0 if the offer must not be sent any more; the reason is counted and logged.
+        """
         record = self.newest_records.get(offer.guest)
         if record is None or record.ask != offer.ask:
             self.denials[Denial.OVER] += 1
@@ -256,7 +268,7 @@
         return record.due_at - now
 
     def offer_sent(self, now: int, guest: str) -> None:
-        """The bytes of an offer that `time_left` allowed are about to be written."""
+        """Records that the bytes of an offer that `time_left` allowed are about to be written."""
         record = self.newest_records[guest]
         record.offers += 1
         self.links[record.machine].offered_at = now
@@ -266,7 +278,7 @@
         self._task_event("sent", record, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
 
     def ready(self) -> bool:
-        """Whether guests can be placed: some machine of the list takes them."""
+        """Whether guests can be placed: some listed machine accepts them."""
         return not self.stopping and any(f.mode is Mode.READY for f in self.roster.machines.values())
 
     def _state(self, message: m.Named) -> m.State:
@@ -281,7 +293,7 @@
         return m.State(guest=guest, ask=ask, state=state, machine=machine)
 
     def _past_state(self, guest: str, ask: int) -> str:
-        """What is known of a guest that is not in hand."""
+        """The state that is known of a guest that is not held."""
         if self.abandoned.get(guest):
             return "unsettled"
         if past := self.ends.get(guest):
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -1,8 +1,8 @@
-"""The one place that decides whether something may be sent, repeated, started or closed now.
+"""Final checks of whether an offer may be sent or repeated, a guest accepted or a connection closed.
 
-It is asked at the last moment: when the bytes of an offer leave, when a request is taken, when a connection
-is to be closed. What was decided earlier, by whatever module, does not leave if what it rested on no longer
-holds. Decides only; no I/O and no state of its own.
+They are made at the last possible time: when the bytes of an offer are written, when a submission is
+accepted, when a connection is closed. An earlier decision, whoever made it, is not carried out if its
+preconditions no longer hold. These are pure functions without I/O or state.
 """
 
 from enum import Enum
@@ -13,51 +13,53 @@
 
 
 class Denial(Enum):
-    """Why something may not be done now."""
-
-    OVER = "the task is answered or not in hand"
-    OTHER_ATTEMPT = "another attempt has taken its place"
-    CANCELLED = "its owner gave it up"
-    MAY_HAVE_RUN = "an earlier attempt may have run"
-    TOO_MANY = "it has had as many attempts as are allowed"
-    WINDOW_CLOSED = "the window for a repeat is over"
-    OUT_OF_TIME = "its time is up"
+    """Why an action is not allowed now."""
+
+    OVER = "the guest is answered or not held"
+    OTHER_ATTEMPT = "another dispatch has taken its place"
+    CANCELLED = "its owner cancelled it"
+    MAY_HAVE_RUN = "an earlier dispatch may have run"
+    TOO_MANY = "it has had as many dispatches as are allowed"
+    WINDOW_CLOSED = "the deduplication window is over"
+    OUT_OF_TIME = "its deadline has passed"
     MACHINE_GONE = "its machine has left the list"
-    MACHINE_DRAINING = "its machine takes no work"
+    MACHINE_DRAINING = "its machine takes no guests"
     LIST_NOT_CURRENT = "the list is not known to be current"
-    STOPPING = "the planner stops"
-    IN_HAND = "a task of this name is in hand"
-    OWED = "answers are owed on the connection"
+    STOPPING = "the planner is stopping"
+    IN_HAND = "a guest of this name is held"
+    OWED = "answers are still due on the connection"
 
 
 def offer_denied(
     now: int,
     record: GuestRecord | None,
-    attempt: int,
+    dispatch_number: int,
     product: Product,
-    most: int,
+    max_dispatches: int,
     listed: RosterMachine | None,
     list_holds: bool,
 ) -> Denial | None:
-    """Whether the bytes of an offer may leave. `case` is the task in hand under its name, `attempt` the
-    number that the offer carries, `most` how many attempts are allowed, `list_holds` whether the list
-    may be sent work by at this moment."""
+    """Why the bytes of an offer may not be written, or None if they may.
+
+    `record` is the guest held under the offer's name, `dispatch_number` the number in the offer,
+    `max_dispatches` how many dispatches are allowed, `list_holds` whether the list is current enough.
+    """
     if record is None or record.placed:
         return Denial.OVER
-    if not record.sent or record.attempt != attempt:
+    if not record.sent or record.attempt != dispatch_number:
         return Denial.OTHER_ATTEMPT
     if record.cancelled:
         return Denial.CANCELLED
-    if denial := repeat_denied(now, record, product, most):
+    if denial := repeat_denied(now, record, product, max_dispatches):
         return denial
     if record.due_at <= now:
         return Denial.OUT_OF_TIME
     return machine_denied(listed, list_holds)
 
 
-def repeat_denied(now: int, record: GuestRecord, product: Product, most: int) -> Denial | None:
-    """Whether an attempt may follow those that were made, of which there may be `most`."""
-    if record.offers >= most:
+def repeat_denied(now: int, record: GuestRecord, product: Product, max_dispatches: int) -> Denial | None:
+    """Why no further dispatch may follow those already made, or None if one may."""
+    if record.offers >= max_dispatches:
         return Denial.TOO_MANY
     if not record.may_have_run_since:
         return None
@@ -69,7 +71,7 @@
 
 
 def machine_denied(listed: RosterMachine | None, list_holds: bool) -> Denial | None:
-    """Whether a machine may be sent new work."""
+    """Why a machine may not be sent new guests, or None if it may."""
     if listed is None or listed.mode is Mode.GONE:
         return Denial.MACHINE_GONE
     if listed.mode is not Mode.READY:
@@ -77,13 +79,13 @@
     return None if list_holds else Denial.LIST_NOT_CURRENT
 
 
-def start_denied(stopping: bool, in_hand: bool) -> Denial | None:
-    """Whether a request may be taken."""
-    if in_hand:
+def start_denied(stopping: bool, is_held: bool) -> Denial | None:
+    """Why a submission may not be accepted, or None if it may."""
+    if is_held:
         return Denial.IN_HAND
     return Denial.STOPPING if stopping else None
 
 
-def close_denied(open_requests: int) -> Denial | None:
-    """Whether a connection of owners may be closed by this side while its owner is there."""
-    return Denial.OWED if open_requests else None
+def close_denied(open_guests: int) -> Denial | None:
+    """Why this side may not close the connection of a connected owner, or None if it may."""
+    return Denial.OWED if open_guests else None
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -1,9 +1,9 @@
-"""What of an engine outlives it: marks of what has changed, images of it, and the way back.
+"""Persistence of an engine's state: tracking of changes, images of what changed, and recovery.
 
-The engine marks whatever it changes; `flush` makes each marked thing's image as it is now, or a drop. What
-the engine then wants sent may leave only when these images are safe. `recover` rebuilds the engine's tables
-from images and tells the Brain by its inputs. No I/O; the wall clock comes in as `epoch`, its time at the
-zero of the engine's clock.
+The engine marks whatever it changes; `flush` turns each marked key into an image of its present state, or a
+drop. Actions of the engine may be carried out only when these images are stored. `recover` rebuilds the
+engine's tables from images and informs the scheduler through its inputs. No I/O; the wall clock is passed in
+as `epoch`, its time in microseconds at the zero of the engine's clock.
 """
 
 import msgspec
@@ -32,12 +32,12 @@
 
 
 class StatePersistence:
-    """The marks of one engine."""
+    """Tracks what has changed in one engine and makes images of it."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.changed_keys: dict[tuple[str, str], None] = {}  # emptied by every flush
-        self.entries: dict[str, m.Entry] = {}  # the list as it was told; emptied with it
+        self.entries: dict[str, m.Entry] = {}  # the list as it was received; emptied with it
         self.list_image: object = None
 
     def wall(self, at: int) -> int:
@@ -54,7 +54,7 @@
         self.changed_keys["list", ""] = None
 
     def flush(self, engine: Tables, now: int) -> list[Change]:
-        """The images of all that has changed since the last flush."""
+        """The images of everything that changed since the last flush."""
         changed_keys, self.changed_keys = self.changed_keys, {}
         changes = []
         for kind, key in changed_keys:
@@ -70,7 +70,7 @@
     def image(self, engine: Tables, record: GuestRecord) -> GuestImage:
         s, known = record.submit, engine.brain.guests.get(record.name)
         unsettled_at = known.window_ends - known.product.window if known and known.may_run else 0
-        sent = record.machine if record.sent else ""  # an offer that waits for its link has not left
+        sent = record.machine if record.sent else ""  # an offer that waits for its link was not sent
         return GuestImage(
             record.name,
             record.guest,
@@ -128,7 +128,7 @@
         return put("cold", machine, ColdImage(machine, times), self.wall(now + window))
 
     def _list(self, engine: Tables, now: int, key: str) -> Change | None:
-        """Rooms change all the time: they alone are worth no image."""
+        """Free capacity changes all the time: a change of that alone makes no new image."""
         alike = tuple((e.machine, e.address, e.mode, e.incarnation) for e in self.entries.values())
         if alike == self.list_image:
             return None
@@ -145,10 +145,11 @@
 
 
 def recover(engine: Tables, now: int, ledger: Ledger, complete: bool) -> dict[str, int]:
-    """Brings a new engine to where the images left off; returns counts of what was found.
+    """Restores a new engine from images; returns counts of what was found.
 
-    Patience goes on while nobody is there. What had left for a machine is out until that machine speaks. If
-    something may be missing, every held guest whose second run could do harm counts as one that may run.
+    Deadlines go on while no planner runs. What was sent to a machine is outstanding until that machine
+    reports. If something may be missing, every held guest whose second run could do harm counts as one that
+    may run.
     """
     persistence, counts = engine.persistence, ledger.sizes()
     epoch = persistence.epoch
@@ -157,7 +158,8 @@
         heard = min(now, image.heard_at - epoch)
         listing = m.Listing(version=0, whole=True, entries=image.entries)
         persistence.listing_received(listing)
-        # What the list said last may never have become safe: nothing goes anywhere before it speaks again.
+        # The last state of the list may never have been stored: nothing is sent before the list reports
+        # again.
         listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.update(heard, listing).listed]
         engine.brain.machines_listed(heard, listed, True)
         engine.unreported_machines = {f.name for f in engine.roster.machines.values()}
@@ -174,7 +176,7 @@
         _recover_record(engine, now, image, epoch, complete)
     for image in ledger.images("loose"):
         if image.case.product in engine.products:
-            # Whoever is no longer in hand has its answer; the image may be older than that.
+            # A guest that is no longer held has its answer; the image may be older than that.
             record = engine.records.get(image.case.name) or record_of(engine, replace(image.case, asks=()))
             abandoned = AbandonedDispatch(
                 record, image.attempt, image.machine, image.sent_at - epoch, image.stands, recheck_at=now
@@ -194,7 +196,7 @@
 
 
 def moved(past: Learned, shift: int) -> Learned:
-    """What was learned, with its moments on this life's clock."""
+    """The learned state, with its times moved to the clock of this run."""
 
     def at(when: int) -> int:
         return when + shift if when > 0 else when
--- a/hazelhold/engine/records.py
+++ b/hazelhold/engine/records.py
@@ -1,4 +1,4 @@
-"""What an engine says to its host, and what it keeps of a guest: plain data that its parts share."""
+"""Actions that the engine requests of its host, and its records of guests: plain data."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Send(NamedTuple):
-    """Send the message to the peer; `role` is owner or machine."""
+    """Send a message to a peer; `role` is "owner" or "machine"."""
 
     role: str
     peer: str
@@ -16,7 +16,7 @@
 
 
 class Dial(NamedTuple):
-    """Connect to a machine, within the given span; report link_up or link_failed."""
+    """Connect to a machine within `timeout` microseconds, then report link_up or link_failed."""
 
     machine: str
     address: str
@@ -24,19 +24,22 @@
 
 
 class HangUp(NamedTuple):
-    """Close the connection to a machine; no link_down follows."""
+    """Close the connection to a machine. The host reports no link_down for it."""
 
     machine: str
 
 
 class FetchList(NamedTuple):
-    """Ask the list service for changes since the version."""
+    """Request from the list service what changed after version `since`."""
 
     since: int
 
 
 class Disconnect(NamedTuple):
-    """A peer broke the protocol: tell it so and close the connection; reported as link_down, owner_gone."""
+    """A peer broke the protocol: send it the error and close the connection.
+
+    The host reports that as link_down or owner_gone.
+    """
 
     role: str
     peer: str
@@ -45,12 +48,14 @@
 
 
 class ProposeChange(NamedTuple):
-    """Agree on a change of a value among the planners; report `agreed` with the number, by the deadline.
-    Rests on nothing that has to be safe first."""
+    """Have the planners agree on the change of a value, and report `agreed` with the number by the deadline.
+
+    The proposal may leave at once: it depends on no state that must be stored first.
+    """
 
     no: int
     key: str
-    change: object  # of the last value, to the next: bytes to bytes
+    change: object  # computes the next value from the last one: bytes to bytes
     deadline: int
 
 
@@ -59,61 +64,63 @@
 
 @dataclass
 class GuestRecord:
-    """A guest in this planner's hands. `name` is what the Brain calls it: the guest and the ask it came
-    with."""
+    """A guest that this planner holds.
+
+    `name` identifies it to the scheduler: the guest and the number of the submission that it came with.
+    """
 
     name: str
     guest: str
-    ask: int  # the ask that machines hear of
+    ask: int  # the number of the submission that is sent to machines
     owner: str
     product: int
     submit: m.Submit | m.Stand
-    asks: dict[int, None] = field(default_factory=dict)  # asks that await an answer; emptied by it
+    asks: dict[int, None] = field(default_factory=dict)  # submissions that await an answer; emptied by it
     attempt: int = -1
-    machine: str = ""  # where a dispatch is out, or where it runs
-    sent: bool = False  # the offer has left
+    machine: str = ""  # where a dispatch is outstanding, or where the guest is placed
+    sent: bool = False  # the offer was sent
     sent_at: int = 0
     placed: bool = False
-    offers: int = 0  # whose bytes have left
+    offers: int = 0  # offers whose bytes were written
     sent_unconfirmed: bool = False  # on a connection that the list had not confirmed since it was opened
     cancelled: bool = False
-    incarnation: int = 0  # of the machine, when the offer left
-    due_at: int = 0  # when the dispatch that is out is given up
-    may_have_run_since: int = 0  # when the first dispatch that may have run was sent; 0: none may have
-    withdrawn: bool = False  # the dispatch that is out was taken back, and its machine has not spoken yet
-    handed_over_at: int = 0  # by its owner, who says that it stands; 0: it was placed here
-    confirmed_at: int = 0  # when its machine spoke of it last
-    unsettled_machine: str = ""  # the machine of the last dispatch that may have run
-    claim: bytes = b""  # the last agreed claim on it
-    sent_claim: bytes = b""  # the last under which an offer left
+    incarnation: int = 0  # of the machine, when the offer was sent
+    due_at: int = 0  # when the outstanding dispatch times out
+    may_have_run_since: int = 0  # when the first dispatch that may have run was sent; 0: none
+    withdrawn: bool = False  # a withdrawal was sent for the outstanding dispatch and not answered yet
+    handed_over_at: int = 0  # by its owner, who reports it as placed; 0: it was placed here
+    confirmed_at: int = 0  # when its machine last reported on it
+    unsettled_machine: str = ""  # of the last dispatch that may have run
+    claim: bytes = b""  # the last agreed claim on the guest
+    sent_claim: bytes = b""  # the claim under which an offer was last sent
 
 
 @dataclass
 class AbandonedDispatch:
-    """A dispatch that was given up and may stand on its machine all the same."""
+    """A dispatch that was given up although its machine may have accepted it."""
 
     record: GuestRecord
     attempt: int
     machine: str
     sent_at: int
-    accepted: bool = False  # the machine has said that it accepted it
-    recheck_at: int = 0  # when its machine is asked again
+    accepted: bool = False  # the machine has reported that it accepted the guest
+    recheck_at: int = 0  # when its machine is queried again
 
 
 class VerificationCause(Enum):
-    """What lets a task be doubted."""
+    """Why a placed guest needs a report from its machine."""
 
-    HANDED_OVER = "it may have been over before its hand-over"
-    RESET = "its machine's process may have died with a connection, and the list has not told"
-    RESTARTED = "it was sent between two moments of which one is its machine's restart"
+    HANDED_OVER = "it may have ended before its handover"
+    RESET = "its machine's process may have died with a connection, and the list has not reported it"
+    RESTARTED = "it was sent between two times of which one is its machine's restart"
     ADDRESS_REUSED = "it may have been sent to the machine that had the address before"
 
 
 class Verification(NamedTuple):
-    """That a task which is held to stand may be over. Moments in microseconds.
+    """A guest that counts as placed may have ended, and its machine has to confirm it. Times in microseconds.
 
-    A word on the task after `since` ends the doubt; at `decided_at` it is decided on. A list that is current
-    as of `listed_at` would have told what is doubted.
+    A report on the guest after `since` confirms it; at `decided_at` the engine decides without one. A list
+    that is current as of `listed_at` would have shown the event that made the guest unverified.
     """
 
     cause: VerificationCause
@@ -132,7 +139,7 @@
 
 
 class Verdict(Protocol):
-    """What an agreed value, or none, means for a case (`hazelhold.replica.gate`)."""
+    """What an agreed value, or the lack of one, means for a guest (`hazelhold.replica.gate`)."""
 
     what: str
     name: str
@@ -142,9 +149,9 @@
 
 
 class Claims(Protocol):
-    """Where claims on guests that must not run twice are agreed (`hazelhold.replica.gate`)."""
+    """Agreement on claims for guests that must not run twice (`hazelhold.replica.gate`)."""
 
-    wanted: list  # what is to be agreed on; emptied by the engine
+    wanted: list  # proposals to make; emptied by the engine
 
     def begin(self, now: int) -> None: ...
 
--- a/hazelhold/engine/settings.py
+++ b/hazelhold/engine/settings.py
@@ -1,4 +1,4 @@
-"""What an engine is told at its start: the module's facts, names, bounds, and what its peers do."""
+"""Settings of an engine: the scheduler's deployment settings, names, limits, and what its peers can do."""
 
 from typing import NamedTuple
 
@@ -7,26 +7,27 @@
 
 
 class PeerCapabilities(NamedTuple):
-    """How the far side behaves. The defaults are this project's own protocol."""
-
-    reports_inventory: bool = (
-        True  # machines tell on each connection what they hold. If not: a lost connection ends its
-    )
-    # open dispatches, as maybe run, and what stands there stands until the machine is known to be gone
-    identifies_dispatches: bool = True  # machines say which attempt they speak of
-    owners_resubmit: bool = (
-        True  # owners repeat an ask under its name: repeats join it, answers are kept for them
-    )
-    acknowledges_submission: bool = True  # owners hear that an ask was taken
-    advises_retry: bool = True  # the door advises waits and turns away what cannot be reached in time
-    # The list service says again and again that nothing changed. If so, a list that it has not confirmed
-    # lately vouches for no machine: each is tested before work goes there.
+    """What owners, machines and the list service can do. The defaults fit this project's own protocol."""
+
+    # Machines report on each connection which guests they hold. If not, a lost connection ends its
+    # outstanding dispatches as possibly run, and placed guests stay placed until the machine is known to be
+    # gone.
+    reports_inventory: bool = True
+    identifies_dispatches: bool = True  # messages of machines name the dispatch they are about
+    # Owners repeat a submission under its name: repeats join the held guest, and answers are kept for them.
+    owners_resubmit: bool = True
+    acknowledges_submission: bool = True  # owners are sent an acknowledgement of a submission
+    # Refusals advise how long to wait, and guests that cannot be placed in time are refused at once.
+    advises_retry: bool = True
+    # The list service regularly confirms that nothing changed. If so, a list that was not confirmed lately
+    # proves nothing about a machine: each is probed before guests are sent there.
     list_confirms: bool = False
-    reports_use: bool = False  # machines tell what each task uses: at a planner's start, and as it changes
+    # Machines report what each guest uses: when a planner starts, and as it changes.
+    reports_use: bool = False
 
 
 class EngineSettings(NamedTuple):
-    """All that an engine needs of a configuration. Names stand in the order of the facts."""
+    """What an engine needs of a configuration. Names are in the order of the deployment settings."""
 
     deployment: Deployment
     products: tuple[str, ...]
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -1,4 +1,4 @@
-"""The tables of one engine, with what each empties and the small steps that every part of it takes."""
+"""The tables of one engine, what empties each of them, and small steps that all its parts share."""
 
 from collections import Counter, OrderedDict, deque
 from heapq import heappush
@@ -8,7 +8,7 @@
 from hazelhold.brain import Brain
 from hazelhold.config.planner import PlannerConfig, micros
 from hazelhold.engine.admission import RetryAdvisor
-from hazelhold.engine.events import Event, MachineEvent, RuleEvent, TaskEvent
+from hazelhold.engine.events import Event, GuestEvent, MachineEvent, RuleEvent
 from hazelhold.engine.list_lease import ListLease
 from hazelhold.engine.machines import Link, Roster, RosterMachine
 from hazelhold.engine.monitor import RuleMonitor, Violation
@@ -31,23 +31,23 @@
 
 
 class OutstandingProbe(NamedTuple):
-    """A test that a machine was asked for by a decision. Moments in microseconds."""
+    """A probe that was sent to a machine by a decision. `due` in microseconds."""
 
     number: int
     due: int
 
 
 class WaitingHandover(NamedTuple):
-    """A task that its owner says stands on a machine that is not known yet."""
+    """A guest that its owner hands over on a machine that is not listed yet."""
 
     owner: str
     machine: str
     submit: m.Submit
-    ended: bool = False  # its owner has ended it meanwhile: the machine is to stop it
+    ended: bool = False  # its owner has ended it meanwhile: the machine has to stop it
 
 
 class ChangeTracker(Protocol):
-    """Who is told of what changes here, if it is to outlive the process (`keep.Keeping`)."""
+    """Collects what has to be persisted (`persistence.StatePersistence`)."""
 
     epoch: int
     changed_keys: dict[tuple[str, str], None]
@@ -60,78 +60,81 @@
 
 
 class Tables:
-    """What one planner knows, and the steps on it that decide nothing."""
+    """The state of one planner, and steps on it that make no decisions."""
 
     def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
         terms = config if isinstance(config, EngineSettings) else engine_settings(config)
         self.limits, self.peers, self.deployment = terms.limits, terms.peers, terms.deployment
         self.brain = Brain(seed, self.deployment)
-        self.decision_batch = (
-            self.limits.decisions_at_once
-        )  # decisions of a pump; a host that is behind lowers it
+        # Decisions in one pump; a host that is behind lowers it.
+        self.decision_batch = self.limits.decisions_at_once
         self.actions: list[Action] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
         self.products = {name: at for at, name in enumerate(terms.products)}
         self.customers = {name: at for at, name in enumerate(terms.customers)}
         self.roster = Roster({name: at for at, name in enumerate(terms.kinds)})
-        self.records: dict[str, GuestRecord] = {}  # by the Brain's name; emptied by the last word on a guest
-        self.newest_records: dict[str, GuestRecord] = {}  # by guest; emptied with cases
-        # Final answers that owners may still ask for; emptied by age.
+        # By the scheduler's name; emptied by a guest's end or final answer.
+        self.records: dict[str, GuestRecord] = {}
+        self.newest_records: dict[str, GuestRecord] = {}  # by guest; emptied with records
+        # Final answers that owners may still request again; emptied by age.
         self.answers: OrderedDict[tuple[str, int], tuple[m.Message, int]] = OrderedDict()
         self.ends: OrderedDict[str, tuple[str, int]] = OrderedDict()  # how guests ended; emptied by age
-        # By guest, then machine; emptied by the machine's word, its new life or its leaving the list.
+        # By guest, then machine; emptied by the machine's report, its new incarnation or its leaving the
+        # list.
         self.abandoned: dict[str, dict[str, AbandonedDispatch]] = {}
         self.links: dict[str, Link] = {}  # emptied as machines go
-        # Links with something to wait for; settled ones are passed over, so that a pump does not look at all.
-        self.active_links: dict[str, None] = {}  # emptied as they settle
-        self.pumped_at = now  # when time-outs were looked at last
-        self.resumed_at = 0  # when the process ran on after it had not for a while; 0: it always did
-        self.idle_check_at = 0  # when links that nobody uses are looked for next
-        self.overdue: list[tuple[int, str, int]] = []  # a heap of time-outs: moment, case, attempt
+        # Links that wait for something; idle ones are skipped, so that a pump does not check all links.
+        self.active_links: dict[str, None] = {}  # emptied as they become idle
+        self.pumped_at = now  # when timeouts were last checked
+        self.resumed_at = 0  # when the process last resumed after a pause; 0: it never paused
+        self.idle_check_at = 0  # when unused links are checked next
+        self.overdue: list[tuple[int, str, int]] = []  # a heap of timeouts: time, record, dispatch number
         self.list_version = 0
-        self.list_due = 0  # by when the list service must have answered; 0: nothing is asked
-        self.probes: dict[str, OutstandingProbe] = {}  # by machine; emptied by its answer or time-out
+        self.list_due = 0  # deadline for the list service to answer; 0: no request is open
+        self.probes: dict[str, OutstandingProbe] = {}  # by machine; emptied by its answer or timeout
         self.probe_number = 0
-        self.unreported_machines: set[str] = (
-            set()
-        )  # machines listed at the start that have not told what they hold
+        # Machines listed at the start that have not reported their guests.
+        self.unreported_machines: set[str] = set()
         self.list_heard = self.stopping = False
-        self.persistence: ChangeTracker | None = None  # set if what changes here is to outlive the process
-        self.claims: Claims | None = None  # set if offers that must not leave twice are agreed among planners
-        self.recovery_complete = False  # all that this planner took in earlier lives is known
-        self.persistence_healthy = True  # what is sent is sure to be known after a crash
+        self.persistence: ChangeTracker | None = None  # set if changes have to be persisted
+        # Set if offers that must not be sent twice are agreed among planners.
+        self.claims: Claims | None = None
+        self.recovery_complete = False  # all that this planner accepted in earlier runs is known
+        self.persistence_healthy = True  # what is sent is certain to be known after a crash
         self.lease = ListLease(self.deployment.list_lease)
-        # Tasks that stand, as far as is known, and whose machine has to speak of them; by the Brain's name.
-        self.verifications: dict[str, Verification] = {}  # emptied by that and by time
-        # Machines that spoke of a task that is not in hand, by task; emptied by its hand-over and by number.
+        # Guests that count as placed and that their machine has to confirm; by the scheduler's name.
+        self.verifications: dict[str, Verification] = {}  # emptied by that and by timeout
+        # By guest: the machine that reported on it while it was not held; emptied by its handover and by
+        # number.
         self.recently_reported: OrderedDict[str, str] = OrderedDict()
-        self.list_taken = True  # what the module was last told of the list: whether it is current
+        self.list_taken = True  # whether the scheduler was last told that the list is current
         self.monitor = RuleMonitor(self.deployment.max_dispatches)
-        # Tasks handed over on machines that the list lacks while it is not confirmed, by name; see handover.
-        self.waiting_handovers: dict[
-            str, WaitingHandover
-        ] = {}  # emptied by the list, the owner and the task's end
-        # Links with tasks to machines that have left the list, by address, where another may have taken their
-        # place before the connection was opened; emptied as links are forgotten.
+        # By name: guests handed over on machines that the list lacks while it is not confirmed.
+        # Emptied by the list, the owner and the guest's end.
+        self.waiting_handovers: dict[str, WaitingHandover] = {}
+        # By address: machines that have left the list and whose link has guests, where another machine may
+        # have taken the address before the connection was opened; emptied as links are forgotten.
         self.orphaned_links: dict[str, str] = {}
-        self.unconfirmed_links: dict[
-            str, None
-        ] = {}  # opened since the list was confirmed last; emptied by that
-        self.denials: Counter[Denial] = Counter()  # what the last check kept back, by reason
-        self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that gives it room, emptied by it
-        self.more = False  # the last pump ended at its limit
+        # Opened since the list was last confirmed; emptied by that.
+        self.unconfirmed_links: dict[str, None] = {}
+        self.denials: Counter[Denial] = Counter()  # offers that the final check held back, by reason
+        self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that sets a length; emptied by it
+        self.more = False  # the last pump ended at its limit of decisions
         self.retry_advisor = RetryAdvisor(
             micros(self.limits.again_least_ms), micros(self.limits.again_most_ms), Random(f"advice/{seed}")
         )
 
     def set_planner_share(self, planners: int, slot: int) -> None:
-        """From now on this planner is that one of so many."""
+        """Makes this planner number `slot` of `planners` that share the fleet."""
         self.deployment = self.brain.deployment = self.deployment._replace(planners=planners, slot=slot)
 
     def reconfigure(self, terms: EngineSettings) -> None:
-        """Works on by these terms. Products that are here keep their places and whatever tasks in hand were
-        judged by; others may follow them. Kinds are the same, and so is this planner's share of the fleet.
-        New tasks are taken by the new terms; limits on dispatches hold for all at once."""
+        """Continues with new settings.
+
+        Existing guest classes keep their positions and what held guests were decided by; new ones may follow
+        them. Machine kinds and this planner's share of the fleet stay the same. New guests are accepted by
+        the new settings; limits on dispatches apply to all guests at once.
+        """
         facts = terms.deployment._replace(planners=self.deployment.planners, slot=self.deployment.slot)
         self.deployment = self.brain.deployment = facts
         self.products = {name: at for at, name in enumerate(terms.products)}
@@ -144,7 +147,7 @@
     # Claims.
 
     def _needs_claim(self, record: GuestRecord) -> bool:
-        """Whether offers of this guest need a claim."""
+        """Whether offers of this guest need an agreed claim."""
         return self.claims is not None and (
             self.deployment.products[record.product].effect is not Effect.RERUNNABLE
         )
@@ -154,7 +157,7 @@
         self.actions += [ProposeChange(*each) for each in wanted]
 
     def _report_fact(self, now: int, record: GuestRecord, state: str, how: str = "") -> None:
-        """Lets the other planners know what became of a claimed guest."""
+        """Reports to the other planners what became of a claimed guest."""
         if self._needs_claim(record):
             self.claims.report_fact(now, record.guest, record.ask, state, record.machine, how)
             self._take_proposals()
@@ -191,10 +194,10 @@
             link.guests.pop(record.name, None)
             link.queue.pop(record.name, None)
 
-    # What is told to the log, and what is checked at run time.
+    # Log events and run-time checks.
 
     def _task_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
-        self.events.append(TaskEvent(change, record.guest, record.attempt, record.machine, reason))
+        self.events.append(GuestEvent(change, record.guest, record.attempt, record.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
         self.events.append(MachineEvent(change, machine, reason))
@@ -212,14 +215,16 @@
             del self.newest_records[record.guest]
 
     def _retry_after(self, now: int, guest: str, span: int = 0) -> int:
-        """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
+        """The wait in microseconds that a refusal advises: admission control's, or the decision's own."""
         return (
             self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advises_retry else span
         )
 
     def _may_have_unknown_guests(self) -> bool:
-        """Whether guests may run that this planner has not heard of: it has just started, and has no list
-        yet or waits for machines on it. What it does not know it must not call unknown."""
+        """Whether guests may run that this planner does not know of, so it must not report any as unknown.
+
+        It has just started, and has no list yet or waits for the reports of listed machines.
+        """
         return not self.recovery_complete and (not self.list_heard or bool(self.unreported_machines))
 
     def _record_end(self, now: int, guest: str, how: str) -> None:
@@ -254,7 +259,7 @@
         self._close_if_idle(now, link)
         self.active_links[listed.name] = None
         if link.state == "down" and not self._ensure_link_slot(now):
-            link.dial_at = now + 100_000  # what waits for it stays here, and is tried again or ends unsent
+            link.dial_at = now + 100_000  # what waits for it stays queued, and is tried again or ends unsent
         elif link.state == "down":
             link.state, link.dial_at, link.address = "dialling", 0, listed.address
             link.dial_due = now + micros(self.limits.connect_ms)
@@ -262,8 +267,10 @@
         return link
 
     def _close_if_idle(self, now: int, link: Link) -> None:
-        """Leaves a connection that has been quiet for so long that its machine may be closing it: what would
-        be written now could cross that, and nobody could tell whether it ran."""
+        """Closes a connection that has been idle for so long that its machine may be closing it.
+
+        An offer written now could cross that close, and nobody could tell whether it ran.
+        """
         if (
             self.peers.reports_inventory
             or link.state != "up"
@@ -282,9 +289,12 @@
             link.lost_at = 0
 
     def _ensure_link_slot(self, now: int) -> bool:
-        """Keeps connections within their bound: the one that was used longest ago is closed, those without
-        guests first. What stands outlives it and its machine is asked again before it counts as silent; one
-        with an open set-up stays. False if there is none to close."""
+        """Keeps the number of connections within its limit; False if none can be closed.
+
+        The least recently used connection is closed, those without guests first. Placed guests outlive it,
+        and their machine is queried again before it counts as silent. A connection with an outstanding
+        dispatch stays.
+        """
         if len(self.links) <= self.limits.links:
             return True
         opened = [l for l in self.links.values() if l.state != "down"]
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -1,10 +1,11 @@
-"""Tasks that are held to stand and may be over, of which nobody but their machine knows.
-
-A task may have been over before its owner handed it over, or its machine's process may have died and be up
-again before the list tells it. No message asks a machine for a task. But where machines tell what tasks use,
-they speak of each that runs now and then, and of all of them when a planner has started. So a task of which
-its machine says nothing, while it says other things, may be over. That is acted on only where the task may
-have come to another process than the one that answers there now: everywhere else its end was or will be told.
+"""Verification of guests that count as placed and may have ended, which only their machine knows.
+
+A guest may have ended before its owner handed it over, or its machine's process may have died and restarted
+before the list shows it. No message queries a machine for one guest. But where machines report what guests
+use, they report on each running guest now and then, and on all of them when a planner has started. So a guest
+on which its machine reports nothing, while it sends other messages, may be over. That is acted on only where
+the guest may have reached another process than the one that answers there now: everywhere else its end was or
+will be reported.
 """
 
 from hazelhold.config.planner import micros
@@ -14,48 +15,53 @@
 from hazelhold.protocol import messages as m
 
 CONFIRMATION_TIMEOUT = 2_500_000
-"""Microseconds in which its machine's word on a task that was handed over is awaited: a planner that dies
-meanwhile leaves the next one as much, of the 8 s in which an end is to be told."""
+"""Microseconds for which a machine's report on a guest that was handed over is awaited. A planner that dies
+meanwhile leaves the next one as much, of the 8 s within which an end has to be reported."""
 
 PROBE_LEAD = 1_000_000
-"""Microseconds before a decision at which a machine that has said nothing at all is asked."""
+"""Microseconds before a decision at which a machine that has sent nothing at all is probed."""
 
 RECENT_RESTART = 8_000_000
-"""Microseconds before a hand-over: what ended earlier could not be told in time any more."""
+"""Microseconds before a handover: what ended earlier could no longer be reported in time."""
 
 LIST_DELAY = 1_000_000
-"""Microseconds within which a list that is current tells that a machine's process has died."""
+"""Microseconds within which a current list shows that a machine's process has died."""
 
-MAX_RECENTLY_REPORTED = 4096  # tasks that machines spoke of and that are not in hand
+MAX_RECENTLY_REPORTED = 4096  # guests that machines reported on while they were not held
 
 
 class GuestVerification(LinkLoss):
-    """Ends what does not stand."""
+    """Verifies placed guests, and ends those that their machine does not confirm."""
 
     def _verify_handed_over(self, record: GuestRecord) -> None:
-        """Its owner says that it stands, and may not know better."""
+        """Its owner reports it as placed, and may not know of its end."""
         at = record.handed_over_at
         self.verifications[record.name] = Verification(
             VerificationCause.HANDED_OVER, at, at + CONFIRMATION_TIMEOUT, at
         )
 
     def _verify_address_reuse(self, now: int, record: GuestRecord) -> None:
-        """It is held to be on the machine that has the address now, and its connection has ended."""
+        """It counts as placed on the machine that has the address now, and its connection has ended."""
         if self.peers.reports_use:
             self.verifications[record.name] = Verification(
                 VerificationCause.ADDRESS_REUSED, now, now + CONFIRMATION_TIMEOUT, now
             )
 
     def _verify_after_reset(self, reset_at: int, record: GuestRecord, cause: VerificationCause) -> None:
-        """Its machine ended a connection after it was sent, as a process does that dies. Machines speak of a
-        task every few seconds, so they are given as long as one that is silent."""
+        """Its machine ended a connection after it was sent, as a process that dies does.
+
+        Machines report on a guest every few seconds, so they get the same time as a silent machine.
+        """
         if self.peers.reports_use:
             decided_at = reset_at + micros(self.limits.lost_ms)
             self.verifications[record.name] = Verification(cause, reset_at, decided_at, reset_at + LIST_DELAY)
 
     def _verify_all_on(self, now: int, link: Link) -> None:
-        """A connection was reset: a process that dies resets its connections and cuts its tasks, and one that
-        lives may have lost that connection only. The list tells which it was, unless it is silent."""
+        """A connection was reset: a process that dies resets its connections and ends its guests.
+
+        A process that lives may have lost only that connection. The list shows which it was, unless the list
+        service is silent.
+        """
         if not self.deployment.list_lease:
             return
         for name in link.guests:
@@ -63,15 +69,17 @@
                 self._verify_after_reset(now + 1, self.records[name], VerificationCause.RESET)
 
     def _unknown_guest_reported(self, machine: str, task: str) -> None:
-        """A machine has spoken of a task that is not in hand, and may be handed over next."""
+        """A machine has reported on a guest that is not held, and that may be handed over next."""
         self.recently_reported[task] = machine
         self.recently_reported.move_to_end(task)
         if len(self.recently_reported) > MAX_RECENTLY_REPORTED:
             self.recently_reported.popitem(last=False)
 
     def _decide_verifications(self, now: int) -> None:
-        """Ends tasks of which their machine says nothing, at the machine too: were one of them there all the
-        same, it must not go on without an owner."""
+        """Ends guests on which their machine reports nothing.
+
+        They are stopped at the machine too: one that is still there must not run on without an owner.
+        """
         for name, doubt in list(self.verifications.items()):
             record = self.records.get(name)
             link = self.links.get(record.machine) if record else None
@@ -89,13 +97,13 @@
                     self._end_guest(now, record)
 
     def _postpone_verifications(self, now: int, span: int) -> None:
-        """Has the doubts that there are decided on so much later."""
+        """Postpones the decision on all present verifications by so many microseconds."""
         for name, doubt in self.verifications.items():
             put_off = min(span, now - doubt.since)
             self.verifications[name] = doubt._replace(decided_at=doubt.decided_at + put_off)
 
     def _probe_for_report(self, now: int, link: Link, since: int) -> None:
-        """Has a machine say something: without that, its silence about a task shows nothing."""
+        """Makes a machine send a message: without one, its silence about a guest shows nothing."""
         if link.state == "up" and link.probed_at <= since:
             link.probed_at = now
             self.probe_number += 1
@@ -112,12 +120,13 @@
         self._guest_gone(now, record, "lost")
 
     def _may_be_over(self, link: Link, record: GuestRecord, doubt: Verification) -> bool:
-        """Whether the process that answers for a machine may be another than the task came to: one that has
-        the address of a machine that went, or the same machine's after a restart.
+        """Whether the process that answers for a machine may be another than the one that the guest reached.
+
+        It may have the address of a machine that went, or be the same machine's process after a restart.
 
-        Where machines do not tell what tasks use, their silence shows nothing. Then only a machine that has
-        just started counts, by its age: to end all that stands while the list is out would cost owners more
-        than the few tasks that may be over.
+        Where machines do not report what guests use, their silence shows nothing. Then only a machine that
+        has just started counts, by its age: ending all placed guests while the list is out would cost owners
+        more than the few guests that may be over.
         """
         if doubt.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
             return True
--- a/hazelhold/platform/logbook.py
+++ b/hazelhold/platform/logbook.py
@@ -11,7 +11,7 @@
 import trio
 
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.events import Event, ListEvent, MachineEvent, RuleEvent, TaskEvent
+from hazelhold.engine.events import Event, GuestEvent, ListEvent, MachineEvent, RuleEvent
 
 COUNTS_EVERY = 10.0  # seconds
 EVENTS_KEPT = 4096  # that wait to be written; the oldest fall out
@@ -39,7 +39,7 @@
             self._write(events.popleft())
 
     def _write(self, event: Event) -> None:
-        if isinstance(event, TaskEvent):
+        if isinstance(event, GuestEvent):
             self._task(event)
         elif isinstance(event, MachineEvent):
             self.log.info("machine_" + event.change, machine=event.machine, reason=event.reason)
@@ -47,17 +47,17 @@
             change = "list_current" if event.current else "list_in_doubt"
             self.log.info(change, reason=event.reason, age_ms=event.age // 1000, no=self.engine.list_version)
         elif isinstance(event, RuleEvent):
-            self.log.error("rule_violated", rule=event.rule, task=event.task, machine=event.machine)
+            self.log.error("rule_violated", rule=event.rule, task=event.guest, machine=event.machine)
 
-    def _task(self, event: TaskEvent) -> None:
+    def _task(self, event: GuestEvent) -> None:
         badly = event.change == "held_back" or event.reason.partition(" ")[0] in ENDED_BADLY
         write = self.log.info if badly and self._room() else self.log.debug
         if write == self.log.debug and not self.log.is_enabled_for(logging.DEBUG):
             return
         write(
             "task_" + event.change,
-            task=event.task,
-            attempt=event.attempt,
+            task=event.guest,
+            attempt=event.dispatch_number,
             machine=event.machine,
             reason=event.reason.strip(),
         )
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -80,9 +80,9 @@
 
 
 def test_requests_and_connections() -> None:
-    assert start_denied(stopping=False, in_hand=False) is None
-    assert start_denied(stopping=True, in_hand=False) is Denial.STOPPING
-    assert start_denied(stopping=False, in_hand=True) is Denial.IN_HAND
+    assert start_denied(stopping=False, is_held=False) is None
+    assert start_denied(stopping=True, is_held=False) is Denial.STOPPING
+    assert start_denied(stopping=False, is_held=True) is Denial.IN_HAND
     assert close_denied(0) is None and close_denied(1) is Denial.OWED
 
 
@@ -90,7 +90,7 @@
 
 
 def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
-    monitor = RuleMonitor(most_attempts=2)
+    monitor = RuleMonitor(max_dispatches=2)
     once = Effect.EXCLUSIVE
     assert monitor.dispatch_sent("sound", "a", once, list_holds=True) == []
     monitor.dispatch_ended("sound", may_have_run=False)
