--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -56,16 +56,16 @@
         which has gone: a machine that goes ends its connections. Then the machine that has the address now
         has to confirm the guest.
         """
-        before = record.machine
+        previous = record.machine
         ended = any(
             each.by_machine and each.ended_at >= record.sent_at
-            for each in self.links[before].past_connections
+            for each in self.links[previous].past_connections
         )
         self._detach(record)
         record.machine = machine
         self._attach(record)
         self.brain.guest_found(now, machine, self._submission(record, 0))
-        self._task_event("moved", record, f"from {before}, whose address it has")
+        self._task_event("moved", record, f"from {previous}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
             self._verify_address_reuse(now, record)
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -84,8 +84,8 @@
                     owner, m.GuestEnded(guest=guest, ask=ask, how=claim.how, machine=claim.machine)
                 )
         else:
-            said = m.BrokenOff(guest=guest, ask=ask, reason="claimed", planner=who)
-            self._answer(now, record, said, record.asks)
+            answer = m.BrokenOff(guest=guest, ask=ask, reason="claimed", planner=who)
+            self._answer(now, record, answer, record.asks)
         self._forget(record)
 
     def _drop_guest(self, now: int, record: GuestRecord) -> None:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -14,7 +14,7 @@
 class Dispatches(Tables):
     """Sends guests to machines and handles the ends of their dispatches."""
 
-    def _dispatch(self, now: int, record: GuestRecord, machine: str, span: int) -> None:
+    def _dispatch(self, now: int, record: GuestRecord, machine: str, timeout: int) -> None:
         record.attempt, record.machine, record.sent, record.withdrawn = (
             record.attempt + 1,
             machine,
@@ -22,7 +22,7 @@
             False,
         )
         record.sent_at = now
-        self._set_dispatch_timeout(now + span, record)
+        self._set_dispatch_timeout(now + timeout, record)
         self._attach(record)
         listed = self.roster.machines.get(machine)
         if listed is None:
@@ -192,12 +192,14 @@
             )
         keep = now + micros(self.limits.keep_answers_ms)
         for ask in list(asks):
-            told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
+            answer = type(message)(
+                **{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask}
+            )
             if self.peers.owners_resubmit:
-                self.answers[record.guest, ask] = told, keep
+                self.answers[record.guest, ask] = answer, keep
                 self.answers.move_to_end((record.guest, ask))
                 self._mark_changed("answer", record.guest, ask)
-            self._send_owner(record.owner, told)
+            self._send_owner(record.owner, answer)
         record.asks = {}
         self._mark_changed("guest", record.name)
 
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -167,13 +167,13 @@
                 link.close(now)
 
     def _carry_out(self, now: int, decision: Decision) -> None:
-        step, name, machine, span = decision
+        step, name, machine, timeout = decision
         if step is Step.DISPATCH:
-            self._dispatch(now, self.records[name], machine, span)
+            self._dispatch(now, self.records[name], machine, timeout)
         elif step is Step.TURN_BACK:
             record = self.records[name]
             why = "cancelled" if record.cancelled else "stopping" if self.stopping else "no_machine"
-            later = 0 if record.cancelled else self._retry_after(now, record.guest, span)
+            later = 0 if record.cancelled else self._retry_after(now, record.guest, timeout)
             self._final_answer(
                 now, record, m.TurnedBack(guest=record.guest, ask=record.ask, reason=why, again_after=later)
             )
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -79,8 +79,8 @@
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
         self.active_links[link.machine] = None
-        words, link.pending_messages = link.pending_messages, []
-        for until, message in words:
+        messages, link.pending_messages = link.pending_messages, []
+        for until, message in messages:
             if until > now:
                 self._send_machine(link.machine, message)
                 link.recent_messages.append((now + CROSSING_WINDOW, message))
@@ -95,8 +95,8 @@
         It has sent something within the time for which an open connection may be silent, and owes no answer
         since. Each probe has a cost, and some machines close a connection after half a second of silence.
         """
-        asked = link.unanswered or link.probed_at > link.heard_at
-        return not asked and now - link.heard_at <= micros(self.limits.silent_ms)
+        awaits_answer = link.unanswered or link.probed_at > link.heard_at
+        return not awaits_answer and now - link.heard_at <= micros(self.limits.silent_ms)
 
     def link_failed(self, now: int, machine: str, refused: bool = False) -> None:
         """A dial failed or timed out: offers that waited for it certainly never ran.
@@ -255,8 +255,8 @@
             if isinstance(message, m.Ended) and (item := self.waiting_handovers.pop(message.guest, None)):
                 self.counts["found_ended"] += 1
                 if not item.ended:
-                    told = m.GuestEnded(guest=message.guest, how=message.how, machine=item.machine)
-                    self._send_owner(item.owner, told)
+                    ended = m.GuestEnded(guest=message.guest, how=message.how, machine=item.machine)
+                    self._send_owner(item.owner, ended)
                 return
             self.counts["stray_messages"] += 1
             if self.peers.reports_use and isinstance(message, m.Started | m.Use | m.Served):
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -77,10 +77,10 @@
             ]
         self.state, self.inventory_known = "down", False
 
-    def exclude_pause(self, now: int, span: int) -> None:
+    def exclude_pause(self, now: int, duration: int) -> None:
         """Excludes so many microseconds from the time since it was lost or left the list."""
-        self.lost_at = min(now, self.lost_at + span) if self.lost_at else 0
-        self.gone_at = min(now, self.gone_at + span) if self.gone_at else 0
+        self.lost_at = min(now, self.lost_at + duration) if self.lost_at else 0
+        self.gone_at = min(now, self.gone_at + duration) if self.gone_at else 0
 
     def is_idle(self) -> bool:
         """Whether nothing is awaited on this connection."""
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -55,8 +55,8 @@
             self.counts["answers_repeated"] += 1
             self._send_owner(owner, past[0])
             return
-        kept = self.peers.advises_retry and self.retry_advisor.guest_returned(now, guest)
-        if fault := self._rejection(now, submit, kept):
+        is_reserved = self.peers.advises_retry and self.retry_advisor.guest_returned(now, guest)
+        if fault := self._rejection(now, submit, is_reserved):
             self.counts["rejected_" + fault[0]] += 1
             later = self._retry_after(now, guest) if fault[0] in RETRYABLE_REJECTIONS else 0
             self._send_owner(
@@ -92,7 +92,7 @@
             unsettled.append(Earlier("", now))
         return min(unsettled, key=lambda e: e.sent_at, default=None)
 
-    def _rejection(self, now: int, submit: m.Submit, kept: bool) -> tuple[str, str] | None:
+    def _rejection(self, now: int, submit: m.Submit, is_reserved: bool) -> tuple[str, str] | None:
         if start_denied(self.stopping, is_held=False) is Denial.STOPPING:
             return "stopping", "this planner takes nothing more"
         if submit.product not in self.products:
@@ -108,7 +108,7 @@
         if len(self.records) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
         if self.peers.advises_retry and self.retry_advisor.cannot_be_served(
-            now, len(self.brain.waiting), submit.patience, kept
+            now, len(self.brain.waiting), submit.patience, is_reserved
         ):
             return "overloaded", "the line is longer than this patience"
         return None
@@ -117,10 +117,12 @@
         """Answers a query; for a guest that is not held and may be claimed, by the agreed value."""
         guest = message.guest
         known = self.products.get(message.product)
-        asked = self.claims is not None and not (
+        must_query = self.claims is not None and not (
             known is not None and self.deployment.products[known].effect is Effect.RERUNNABLE
         )
-        if asked and not (guest in self.newest_records or self.abandoned.get(guest) or guest in self.ends):
+        if must_query and not (
+            guest in self.newest_records or self.abandoned.get(guest) or guest in self.ends
+        ):
             self.claims.query(now, guest, f"{owner}\0{guest}\0{message.ask}")
             self._take_proposals()
         else:
@@ -232,11 +234,11 @@
             if not known and not list_is_whole:
                 continue
             del self.waiting_handovers[guest]
-            if known and not (wrong := self.adopt_guest(now, item.owner, item.machine, item.submit)):
+            if known and not (rejection := self.adopt_guest(now, item.owner, item.machine, item.submit)):
                 if item.ended:
                     self.owner_left(now, guest)
                 continue
-            self.counts["found_" + ("unknown_machine" if not known else wrong)] += 1
+            self.counts["found_" + ("unknown_machine" if not known else rejection)] += 1
             if not item.ended:
                 ended = m.GuestEnded(guest=guest, how="lost", machine=item.machine)
                 self._send_owner(item.owner, ended)
@@ -260,8 +262,8 @@
             self.denials[Denial.OVER] += 1
             return 0
         product, listed = self.deployment.products[record.product], self.roster.machines.get(record.machine)
-        most, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
-        if denial := offer_denied(now, record, offer.attempt, product, most, listed, list_holds):
+        max_dispatches, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
+        if denial := offer_denied(now, record, offer.attempt, product, max_dispatches, listed, list_holds):
             self.denials[denial] += 1
             self._task_event("held_back", record, denial.value)
             return 0
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -111,14 +111,20 @@
 
     def _answer(self, engine: Tables, now: int, key: str) -> Change | None:
         guest, _, ask = key.partition("\0")
-        kept = engine.answers.get((guest, int(ask)))
-        if kept is None:
+        stored = engine.answers.get((guest, int(ask)))
+        if stored is None:
             return drop("answer", key)
-        return put("answer", key, AnswerImage(guest, int(ask), m.ENCODER.encode(kept[0])), self.wall(kept[1]))
+        return put(
+            "answer", key, AnswerImage(guest, int(ask), m.ENCODER.encode(stored[0])), self.wall(stored[1])
+        )
 
     def _end(self, engine: Tables, now: int, guest: str) -> Change:
-        kept = engine.ends.get(guest)
-        return put("end", guest, EndImage(guest, kept[0]), self.wall(kept[1])) if kept else drop("end", guest)
+        stored = engine.ends.get(guest)
+        return (
+            put("end", guest, EndImage(guest, stored[0]), self.wall(stored[1]))
+            if stored
+            else drop("end", guest)
+        )
 
     def _cold(self, engine: Tables, now: int, machine: str) -> Change | None:
         host, window = engine.brain.machines.get(machine), 2 * engine.deployment.cold_window
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -214,10 +214,12 @@
         if self.newest_records.get(record.guest) is record:
             del self.newest_records[record.guest]
 
-    def _retry_after(self, now: int, guest: str, span: int = 0) -> int:
+    def _retry_after(self, now: int, guest: str, fallback: int = 0) -> int:
         """The wait in microseconds that a refusal advises: admission control's, or the decision's own."""
         return (
-            self.retry_advisor.wait(now, guest, len(self.brain.waiting)) if self.peers.advises_retry else span
+            self.retry_advisor.wait(now, guest, len(self.brain.waiting))
+            if self.peers.advises_retry
+            else fallback
         )
 
     def _may_have_unknown_guests(self) -> bool:
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -80,27 +80,27 @@
 
         They are stopped at the machine too: one that is still there must not run on without an owner.
         """
-        for name, doubt in list(self.verifications.items()):
+        for name, verification in list(self.verifications.items()):
             record = self.records.get(name)
             link = self.links.get(record.machine) if record else None
-            if link is None or record.confirmed_at >= doubt.since:
+            if link is None or record.confirmed_at >= verification.since:
                 del self.verifications[name]
                 continue
-            if now < doubt.decided_at - PROBE_LEAD:
+            if now < verification.decided_at - PROBE_LEAD:
                 continue
-            may_be_over = self._may_be_over(link, record, doubt)
-            if may_be_over and link.heard_at <= doubt.since:
-                self._probe_for_report(now, link, doubt.since)
-            elif now >= doubt.decided_at:
+            may_be_over = self._may_be_over(link, record, verification)
+            if may_be_over and link.heard_at <= verification.since:
+                self._probe_for_report(now, link, verification.since)
+            elif now >= verification.decided_at:
                 del self.verifications[name]
                 if may_be_over:
                     self._end_guest(now, record)
 
-    def _postpone_verifications(self, now: int, span: int) -> None:
+    def _postpone_verifications(self, now: int, duration: int) -> None:
         """Postpones the decision on all present verifications by so many microseconds."""
-        for name, doubt in self.verifications.items():
-            put_off = min(span, now - doubt.since)
-            self.verifications[name] = doubt._replace(decided_at=doubt.decided_at + put_off)
+        for name, verification in self.verifications.items():
+            delay = min(duration, now - verification.since)
+            self.verifications[name] = verification._replace(decided_at=verification.decided_at + delay)
 
     def _probe_for_report(self, now: int, link: Link, since: int) -> None:
         """Makes a machine send a message: without one, its silence about a guest shows nothing."""
@@ -119,7 +119,7 @@
         )
         self._guest_gone(now, record, "lost")
 
-    def _may_be_over(self, link: Link, record: GuestRecord, doubt: Verification) -> bool:
+    def _may_be_over(self, link: Link, record: GuestRecord, verification: Verification) -> bool:
         """Whether the process that answers for a machine may be another than the one that the guest reached.
 
         It may have the address of a machine that went, or be the same machine's process after a restart.
@@ -128,12 +128,12 @@
         has just started counts, by its age: ending all placed guests while the list is out would cost owners
         more than the few guests that may be over.
         """
-        if doubt.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
+        if verification.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
             return True
         listed = self.roster.machines.get(link.machine)
         restarted = listed is not None and listed.incarnation > 0
         if not self.peers.reports_use:
             return restarted and record.handed_over_at - listed.started < RECENT_RESTART
         as_of = self.lease.confirmed_as_of
-        unconfirmed = bool(self.deployment.list_lease) and (as_of is None or as_of < doubt.listed_at)
-        return unconfirmed or restarted and doubt.cause is VerificationCause.HANDED_OVER
+        unconfirmed = bool(self.deployment.list_lease) and (as_of is None or as_of < verification.listed_at)
+        return unconfirmed or restarted and verification.cause is VerificationCause.HANDED_OVER
--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -367,7 +367,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The broken variant."""
-    monkeypatch.setattr(GuestVerification, "_doubt_all_on", lambda engine, now, link: None)
+    monkeypatch.setattr(GuestVerification, "_verify_all_on", lambda engine, now, link: None)
     assert heard_after_a_reset(reset=True, silent=True, speaks=False) == []
 
 
@@ -470,7 +470,7 @@
 
     play_in_memory(test, machines="a")
     monkeypatch.setattr(
-        list_updates, "old_life_ended", lambda now, link, started: PreviousIncarnation(started, 0)
+        list_updates, "previous_incarnation_ended", lambda now, link, started: PreviousIncarnation(started, 0)
     )
     play_in_memory(test, machines="a")
     lost = [(end(1).type, 41)]
