--- a/tests/broken_variants.py
+++ b/tests/broken_variants.py
@@ -1,4 +1,4 @@
-"""Broken variants of a program: each breaks one argument for its safety, and a scenario has to catch it."""
+"""Broken variants of the program: each disables one safety argument, and a scenario has to detect it."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 
 
 class Variant(NamedTuple):
-    """`scenario` holds for the program as it is, and fails an assertion once it is patched."""
+    """A patch and the scenario that passes without it and fails an assertion with it."""
 
     scenario: Callable[[], None]
     patch: Patch
 
 
 def patched(*changes: tuple[object, str, object]) -> Patch:
-    """Sets attributes: where, which, and to what."""
+    """A patch that sets attributes, each given as object, name and value."""
 
     def apply(patch: pytest.MonkeyPatch) -> None:
         for where, name, value in changes:
@@ -26,7 +26,7 @@
 
 
 def assert_caught(variant: Variant, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The scenario of a patched program fails an assertion."""
+    """Asserts that the scenario fails an assertion once the program is patched."""
     variant.patch(monkeypatch)
     with pytest.raises(AssertionError):
         variant.scenario()
--- a/tests/crossings_rig.py
+++ b/tests/crossings_rig.py
@@ -1,4 +1,4 @@
-"""What the tests of crossings share: gated streams, resets, changed settings."""
+"""Shared parts of the race condition tests: gated streams, resets, changed settings."""
 
 import socket
 import struct
@@ -17,7 +17,7 @@
 
 
 def settings(**changes: object) -> dict:
-    """The rig's settings, with some of their parts changed."""
+    """A copy of the rig's settings with some parts changed."""
     made = deepcopy(DEPLOYMENT)
     for key, value in changes.items():
         if isinstance(value, dict):
@@ -28,17 +28,17 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Closes with a reset, whatever is unread."""
+    """Closes with a reset, regardless of unread bytes."""
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     stream.socket.close()
 
 
 class Tap:
-    """A stream whose writes can be stopped, as those into a full socket are."""
+    """A stream whose writes can be blocked, as those into a full socket are."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream, self.open, self.stopped = stream, trio.Event(), False
-        self.half = 0  # bytes of the next write that still go
+        self.half = 0  # bytes of the next write that are still sent
 
     def __getattr__(self, attribute: str) -> object:
         return getattr(self.stream, attribute)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
-"""What crosses at the wrong instant, forced on loopback sockets by gates that hold a byte or a step back:
-clients that go, and offers of which never two may be out.
+"""Race conditions, forced on loopback sockets by gates that hold back a byte or a step.
+
+Covered are clients that disconnect, and offers of which never two may be outstanding.
 """
 
 import time
@@ -12,12 +13,12 @@
 from tests.crossings_rig import PLACED, Tap, name, reset, settings
 from tests.platform_rig import DEPLOYMENT, Owner, SocketRig, end, on_sockets, set_up, until
 
-# A client that has gone.
+# Clients that have disconnected.
 
 
 @pytest.mark.parametrize("way", ["close", "reset", "half"])
-def test_an_owner_that_goes_with_answers_unread_is_gone_at_once(way: str) -> None:
-    """What was still to be written to it held its set-ups open for a second, and they were dispatched."""
+def test_an_owner_that_disconnects_with_unread_answers_is_gone_at_once(way: str) -> None:
+    """Unsent answers kept its guests open for a second, and they were dispatched."""
 
     async def test(rig: SocketRig) -> None:
         rig.machines["a"].accepts = False
@@ -47,13 +48,13 @@
 
 
 @pytest.mark.parametrize("rest", [b"", encode_binary(end(1)), encode_binary(end(1)) * 2])
-def test_an_end_before_its_set_up_or_in_one_read_with_it_lets_nothing_begin(rest: bytes) -> None:
+def test_an_end_before_its_submission_or_in_one_read_with_it_starts_nothing(rest: bytes) -> None:
     async def test(rig: SocketRig) -> None:
         owner, other = await rig.owner(), await rig.owner()
         if rest:
             await owner.stream.send_all(encode_binary(set_up(1)) + rest)
         else:
-            await other.say(end(1))  # it overtook its set-up, which comes on another connection
+            await other.say(end(1))  # it overtook its submission, which comes on another connection
             await until(lambda: rig.planner.door.early)
             await owner.say(set_up(1))
             await until(lambda: owner.of(1))
@@ -65,7 +66,7 @@
     on_sockets(test)
 
 
-def test_what_an_owner_ended_before_it_was_handed_over_is_stopped_at_its_machine() -> None:
+def test_a_guest_that_its_owner_ended_before_its_handover_is_stopped_at_its_machine() -> None:
     async def test(rig: SocketRig) -> None:
         owner, other = await rig.owner(), await rig.owner()
         await other.say(end(1))
@@ -77,8 +78,9 @@
     on_sockets(test)
 
 
-def test_half_an_offer_in_a_full_socket_does_not_follow_once_its_owner_has_gone() -> None:
-    """Its rest left when the socket took bytes again, however late, and the machine had it whole."""
+def test_the_rest_of_an_offer_in_a_full_socket_is_not_sent_once_its_owner_has_gone() -> None:
+    """The rest was sent when the socket accepted bytes again, however late, and the machine got the whole
+    offer."""
 
     async def test(rig: SocketRig) -> None:
         owner = await rig.owner()
@@ -94,14 +96,14 @@
         tap.open.set()
         await owner.say(set_up(3))
         await until(lambda: owner.of(3) == PLACED)
-        assert not rig.offers(2) and owner.of(1) == PLACED  # what stands outlives the connection
-        assert rig.planner.engine.counts["links_silent"] == 0  # it was not left for its silence, later
+        assert not rig.offers(2) and owner.of(1) == PLACED  # a placed guest outlives the connection
+        assert rig.planner.engine.counts["links_silent"] == 0  # it was not closed for its silence, later
 
     on_sockets(test, machines="a")
 
 
-def test_a_planner_that_is_behind_with_placing_hears_of_a_close_after_a_decision_or_two() -> None:
-    """Eight decisions went into each turn, whatever they took."""
+def test_a_planner_that_is_behind_with_placing_reads_a_close_after_a_decision_or_two() -> None:
+    """Each iteration made eight decisions, however long they took."""
 
     async def test(rig: SocketRig) -> None:
         rig.machines["a"].accepts = rig.machines["b"].accepts = False
@@ -110,7 +112,7 @@
 
         def slow(now: int) -> object:
             time.sleep(0.03)
-            if engine.counts["dispatches"] == 17:  # the first decision of a turn, if eight go into one
+            if engine.counts["dispatches"] == 17:  # the first decision of an iteration, if eight go into one
                 begun.append(engine.counts["dispatches"])
                 reset(owner.stream)
             return real(now)
@@ -123,8 +125,8 @@
     on_sockets(test)
 
 
-def test_a_ticket_s_window_is_kept_by_the_bytes_and_not_by_the_decision() -> None:
-    """A repeat was decided within it, waited in a full socket, and left after it."""
+def test_a_deduplication_window_counts_for_the_bytes_and_not_for_the_decision() -> None:
+    """A repeat was decided within the window, waited in a full socket, and was sent after it."""
     family = {
         key: [*value, value[-1]]
         for key, value in DEPLOYMENT["family-info"].items()
@@ -153,8 +155,8 @@
         await until(lambda: peer.sending)
         await rig.machines[first].end(name(1), 47)  # it may have run there
         await until(lambda: any(isinstance(each, m.Offer) for each in peer.messages))
-        case = engine.newest_records[name(1)]
-        await until(lambda: rig.net.now() - case.may_have_run_since >= 200_000)
+        record = engine.newest_records[name(1)]
+        await until(lambda: rig.net.now() - record.may_have_run_since >= 200_000)
         tap.stopped = False
         tap.open.set()
         await until(lambda: owner.of(1))
@@ -163,18 +165,19 @@
     on_sockets(test, settings=settings(classes=classes, **{"family-info": family}))
 
 
-# Never two out.
+# Never two outstanding dispatches.
 
 
-async def one_out(rig: SocketRig) -> tuple[Owner, Tap, MachinePeer, MachinePeer]:
-    """A guest that one machine was offered and says nothing of: its tap, its connection, the other one."""
+async def one_outstanding(rig: SocketRig) -> tuple[Owner, Tap, MachinePeer, MachinePeer]:
+    """A guest offered to one machine that does not answer: its owner, its tap, its connection, the other
+    one."""
     for machine in rig.machines.values():
         machine.accepts = False
     owner = await rig.owner()
     await until(
         lambda: all(rig.planner.links.by_machine.get(each, (0, 0))[1] for each in "ab")
     )  # all are probed
-    rig.planner.engine.brain.answers[0].extend([10_000] * 10)  # answers come soon: none is waited for long
+    rig.planner.engine.brain.answers[0].extend([10_000] * 10)  # answers were fast: the timeouts are short
     await owner.say(set_up(1))
     await until(lambda: rig.offers(1))
     (first,) = rig.offers(1)
@@ -184,12 +187,12 @@
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_no_second_offer_leaves_before_the_first_is_taken_back(before: bool) -> None:
-    """Seen on the bench as a second copy of a ticketed guest: the taking back waited in a full socket, the
-    next offer did not. `before`: other bytes filled it already."""
+def test_no_second_offer_is_sent_before_the_first_is_withdrawn(before: bool) -> None:
+    """The withdrawal waited in a full socket, the next offer did not: on the bench this made a second copy of
+    a deduplicated guest. `before`: other bytes filled the socket already."""
 
     async def test(rig: SocketRig) -> None:
-        _, tap, one, other = await one_out(rig)
+        _, tap, one, other = await one_outstanding(rig)
         tap.stopped = True
         if before:
             one.send(m.Probe(number=5))
@@ -201,11 +204,11 @@
 
 
 @pytest.mark.parametrize("way", ["hung up", "ending"])
-def test_no_second_offer_leaves_before_a_connection_that_was_given_up_is_closed(way: str) -> None:
-    """`ending`: the machine closes it, and before that is done here the dispatch's time is up."""
+def test_no_second_offer_is_sent_before_an_abandoned_connection_is_closed(way: str) -> None:
+    """`ending`: the machine closes it, and the dispatch times out before the close is done here."""
 
     async def test(rig: SocketRig) -> None:
-        _, tap, one, other = await one_out(rig)
+        _, tap, one, other = await one_outstanding(rig)
         order: list[str] = []
 
         async def aclose() -> None:
--- a/tests/test_crossings_connections.py
+++ b/tests/test_crossings_connections.py
@@ -1,4 +1,4 @@
-"""Connections that come, break or close at the wrong instant, forced on loopback sockets."""
+"""Race conditions of connections that open, break or close, forced on loopback sockets."""
 
 import pytest
 import trio
@@ -10,10 +10,11 @@
 from tests.platform_rig import Rig, SocketRig, end, event, host, on_sockets, play, set_up, until
 
 
-def test_a_dial_that_comes_up_as_it_is_hung_up_takes_no_other_connection_s_place(
+def test_a_dial_that_connects_as_it_is_cancelled_replaces_no_other_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The old dial put its stream in place of the new one: the machine looked up, and nothing reached it."""
+    """The old dial replaced the new stream by its own: the machine seemed connected, and nothing reached
+    it."""
 
     async def test(rig: SocketRig) -> None:
         held = trio.Event()
@@ -23,7 +24,10 @@
             dialled.extend([address] * (address == watched))
             if address != watched or len(dialled) > 1:
                 return await real(self, address)
-            with trio.CancelScope(shield=True), trio.move_on_after(5):  # it comes up in the turn of its end
+            with (
+                trio.CancelScope(shield=True),
+                trio.move_on_after(5),
+            ):  # it connects in the iteration in which it is cancelled
                 stream = await real(self, address)
                 await held.wait()
             return stream
@@ -42,7 +46,7 @@
 
 
 class Broken(Tap):
-    """A stream whose next write fails; what was said before is read only after that."""
+    """A stream whose next write fails; what was sent before is read only after that."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         super().__init__(stream)
@@ -52,14 +56,14 @@
         self.broke.set()
         raise trio.BrokenResourceError
 
-    async def receive_some(self, most: int) -> bytes:
+    async def receive_some(self, max_bytes: int) -> bytes:
         await self.broke.wait()
-        return await self.stream.receive_some(most)
+        return await self.stream.receive_some(max_bytes)
 
 
 @pytest.mark.parametrize("said", [{"op": "accept", "desc": "mine\r\n"}, {"op": "end", "why": 34}])
-def test_an_answer_that_lies_unread_as_a_write_breaks_is_still_heard(said: dict) -> None:
-    """A write that failed closed the connection over what its machine had said before."""
+def test_an_answer_that_is_unread_as_a_write_fails_is_still_handled(said: dict) -> None:
+    """A failed write closed the connection before what its machine had sent was read."""
 
     async def test(rig: SocketRig) -> None:
         machine = rig.machines["a"]
@@ -80,9 +84,9 @@
     on_sockets(test, machines="a")
 
 
-def test_a_connection_about_to_be_closed_as_idle_is_left_before_an_offer_and_an_end_go_out() -> None:
-    """Idle ones were looked for twice a second: with a short idle time the machine closed first, just as an
-    offer was written, and what may have run of it was broken off."""
+def test_a_connection_about_to_be_closed_as_idle_is_replaced_before_an_offer_or_end_is_sent() -> None:
+    """Idle connections were checked twice a second: with a short idle time the machine closed first, just as
+    an offer was written, and the guest failed as one that may have run."""
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
@@ -99,16 +103,18 @@
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
         assert len(rig.machines["a"].streams) == 3 and owner.of(1) == PLACED
         await owner.say(end(1))
-        await until(lambda: link.state == "down")  # unused, it is closed well before the machine would
+        await until(
+            lambda: link.state == "down"
+        )  # an unused connection is closed well before the machine would
         assert rig.net.now() - max(link.used_at, link.heard_at) < 300_000
 
-    # No probes: an answer to one that comes after the times above are set makes the connection fresh again.
+    # No probes: an answer that comes after the times above are set would make the connection active again.
     limits = {"idle-close": 300.0, "probing": False}
-    # In virtual time, so that a busy machine adds nothing to the time of the close.
+    # In virtual time, so that a loaded computer does not delay the close.
     play(test, machines="a", settings=settings(limits=limits))
 
 
-def test_a_quiet_connection_to_a_machine_that_left_the_list_still_takes_the_end_of_what_stands() -> None:
+def test_an_idle_connection_to_a_machine_that_left_the_list_still_carries_a_guest_s_end() -> None:
     async def test(rig: SocketRig) -> None:
         owner = await rig.owner()
         await owner.say(set_up(1))
@@ -118,7 +124,7 @@
         await until(lambda: not rig.planner.engine.roster.machines)
         rig.planner.engine.idle_check_at = (
             rig.net.now() + 60_000_000
-        )  # no look closes it before the end is read
+        )  # no check closes it before the end is read
         link.used_at = link.heard_at = link.opened_at = rig.net.now() - 300_000
         await owner.say(end(1))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
@@ -127,8 +133,8 @@
     on_sockets(test, machines="a", settings=settings(limits={"idle-close": 300.0}))
 
 
-def test_an_end_written_as_its_connection_breaks_is_told_to_the_machine_once_more() -> None:
-    """The machine never read it and kept the guest for good."""
+def test_an_end_written_as_its_connection_breaks_is_sent_to_the_machine_once_more() -> None:
+    """The machine never read it and kept the guest forever."""
 
     async def test(rig: SocketRig) -> None:
         owner = await rig.owner()
@@ -147,10 +153,10 @@
     on_sockets(test, machines="a")
 
 
-def test_an_end_whose_dial_fails_is_told_when_the_machine_can_be_reached_again(
+def test_an_end_whose_dial_fails_is_sent_when_the_machine_can_be_reached_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waited for whoever dialled that machine next, and nobody may."""
+    """It waited for the next dial of that machine, which may never come."""
 
     async def test(rig: SocketRig) -> None:
         owner = await rig.owner()
@@ -165,7 +171,9 @@
             return await real(self, address)
 
         monkeypatch.setattr(TcpNet, "dial", dial)
-        link.used_at = link.heard_at = link.opened_at = rig.net.now() - 300_000  # left before it is used
+        link.used_at = link.heard_at = link.opened_at = (
+            rig.net.now() - 300_000
+        )  # closed as idle before it is used
         await owner.say(end(1))
         await until(lambda: any(line["op"] == "end" for line in rig.machines["a"].heard))
         assert failed and rig.planner.counts["dials_failed"] == 1
@@ -173,7 +181,7 @@
     on_sockets(test, machines="a", settings=settings(limits={"idle-close": 300.0}, balancers=20))
 
 
-def test_an_end_of_what_stood_that_did_not_leave_is_told_on_another_connection() -> None:
+def test_an_unsent_end_of_a_placed_guest_is_sent_on_another_connection() -> None:
     async def test(rig: SocketRig) -> None:
         first, second = await rig.owner(), await rig.owner()
         await second.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
--- a/tests/test_crossings_planner.py
+++ b/tests/test_crossings_planner.py
@@ -1,4 +1,4 @@
-"""A planner's end, its new configurations and its descriptors, crossings forced on loopback sockets."""
+"""Race conditions at a planner's stop, at reloads and with descriptors, forced on loopback sockets."""
 
 import socket
 from pathlib import Path
@@ -27,9 +27,9 @@
 # The end of a planner.
 
 
-def test_an_answer_that_crosses_the_taking_back_at_a_stop_is_not_told_as_standing() -> None:
-    """The machine ends what it took when it is taken back, and says so with a cause that owners are not told:
-    the owner was left with a guest that ran nowhere."""
+def test_an_answer_that_crosses_the_withdrawal_at_a_stop_is_not_reported_as_placed() -> None:
+    """The machine ends an accepted guest when it is withdrawn, with a code that owners are not sent: the
+    owner was left with a guest that ran nowhere."""
 
     async def test(rig: SocketRig) -> None:
         machine = rig.machines["a"]
@@ -37,7 +37,7 @@
         owner = await rig.owner()
         await owner.say(set_up(1), set_up(2, "once"))
         await until(lambda: rig.offers(1) and rig.offers(2))
-        rig.planner.engine.stop(rig.net.now())  # as the stop does at its first moment
+        rig.planner.engine.stop(rig.net.now())  # as the stop does first
         rig.planner._carry_out()
         await until(lambda: sum(line["op"] == "end" for line in machine.heard) == 2)
         for guest in (1, 2):  # both answers were on their way
@@ -50,28 +50,28 @@
 
 
 @pytest.mark.parametrize("patience", [150.0, 600.0, 3000.0])
-def test_a_stop_with_short_patience_serves_all_that_may_still_come(patience: float) -> None:
-    """Its moments were counted back from SIGKILL alone: with patience under a second it had left before the
-    last set-ups came."""
-    moments: list[float] = []
+def test_a_stop_with_a_short_time_left_serves_all_that_may_still_come(patience: float) -> None:
+    """Its times were counted back from SIGKILL alone: with a time left under a second it had exited before
+    the last submissions came."""
+    times: list[float] = []
 
     async def test(rig: SocketRig) -> None:
         begun = trio.current_time()
 
         async def note(at: float) -> None:
-            moments.append(at - begun)
+            times.append(at - begun)
 
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(planners.trio, "sleep_until", note)
             await rig.planner._stop()
         kill = 0.7 + min(3.0, patience / 1000)
-        assert all(0.7 < at < kill for at in moments) and moments == sorted(moments) and len(moments) == 3
+        assert all(0.7 < at < kill for at in times) and times == sorted(times) and len(times) == 3
 
     classes = [each | {"deadline": patience} for each in DEPLOYMENT["classes"]]
     on_sockets(test, machines="a", settings=settings(classes=classes))
 
 
-def test_an_answer_half_written_at_the_end_is_owed_its_rest() -> None:
+def test_the_rest_of_an_answer_half_written_at_the_end_is_still_sent() -> None:
     async def test(rig: SocketRig) -> None:
         owner = await rig.owner()
         await owner.say(BinaryMessage(TEST, name(9), {17: b"\0"}))
@@ -98,8 +98,8 @@
 # New configurations.
 
 
-def test_a_file_half_written_at_its_signal_is_taken_once_it_is_whole(tmp_path: Path) -> None:
-    """It was refused once, and the planner went on with a bulletin that had closed."""
+def test_a_file_half_written_at_its_signal_is_read_once_it_is_complete(tmp_path: Path) -> None:
+    """It was refused once, and the planner continued with a bulletin that had closed."""
 
     async def test(rig: SocketRig) -> None:
         rig.planner.config = path = tmp_path / "config.json"
@@ -119,7 +119,7 @@
     on_sockets(test, machines="a")
 
 
-def test_an_address_that_is_none_in_an_event_or_the_file_ends_nothing() -> None:
+def test_an_invalid_address_in_an_event_or_the_file_ends_nothing() -> None:
     async def test(rig: SocketRig) -> None:
         rig.bulletin.events += [
             event(2, host("c", dial="x" * 80 + ":1"), host("d", dial="nowhere")),
@@ -140,23 +140,23 @@
 # Descriptors.
 
 
-def test_an_owner_behind_hundreds_of_silent_connections_is_heard_within_some_turns() -> None:
-    """One connection was accepted in each turn of the loop: a loaded planner took as many turns as there were
-    silent ones before it."""
+def test_an_owner_behind_hundreds_of_silent_connections_is_read_within_some_iterations() -> None:
+    """One connection was accepted in each iteration of the loop: a loaded planner needed as many iterations
+    as there were silent connections before it."""
 
     async def test(rig: SocketRig) -> None:
-        turns, real = [], rig.planner.engine.pump
+        iterations, real = [], rig.planner.engine.pump
 
         def pump(now: int) -> None:
-            turns.append(now)
+            iterations.append(now)
             real(now)
-            rig.planner.ticker.stir()  # always something to do, once in a turn
+            rig.planner.ticker.stir()  # always something to do, once per iteration
 
         busy = await rig.owner()
         await busy.say(set_up(1))
         await until(lambda: busy.of(1) == PLACED)
         where = rig.planner.address.split(":")
-        silent = [socket.create_connection((where[0], int(where[1]))) for _ in range(600)]  # in one turn
+        silent = [socket.create_connection((where[0], int(where[1]))) for _ in range(600)]  # in one iteration
         late = Owner(
             trio.SocketStream(
                 trio.socket.from_stdlib_socket(socket.create_connection((where[0], int(where[1]))))
@@ -168,15 +168,15 @@
         rig.planner.ticker.stir()
         await late.say(set_up(2))
         await until(lambda: late.of(2))
-        assert late.of(2) == PLACED and len(turns) < 250 and rig.planner.limits.connections < 300
+        assert late.of(2) == PLACED and len(iterations) < 250 and rig.planner.limits.connections < 300
         for each in silent:
             each.close()
 
     on_sockets(test)
 
 
-def test_idle_owners_that_read_nothing_hold_no_descriptor_past_their_turn() -> None:
-    """One that was turned out kept its descriptor while bytes waited, beside the one that took its place."""
+def test_idle_owners_that_read_nothing_keep_no_descriptor_once_evicted() -> None:
+    """An evicted connection kept its descriptor while bytes waited, beside the one that replaced it."""
 
     async def test(rig: SocketRig) -> None:
         limit = rig.planner.limits.connections
@@ -205,22 +205,22 @@
 
 
 def test_new_connections_do_not_close_each_other_before_their_requests_are_there() -> None:
-    """Seen on a crowd's day: the door was full of connections that had asked once and stayed, and of those
-    that came together each closed the one before, within the millisecond, as one that had said nothing."""
+    """The server was full of connections that had sent one request and stayed open. Of those that came
+    together, each closed the one before within a millisecond, as one that had sent nothing."""
 
     async def test(rig: Rig) -> None:
-        most = rig.planner.limits.connections
-        idle = [await rig.owner() for _ in range(most)]
+        limit = rig.planner.limits.connections
+        idle = [await rig.owner() for _ in range(limit)]
         for owner in idle:
             await owner.say(BinaryMessage(TEST, "00000000000000aa", {17: b"\0"}))
         await trio.sleep(0.6)
-        assert len(rig.planner.door.peers) == most
+        assert len(rig.planner.door.peers) == limit
         clients = [await rig.owner() for _ in range(6)]
         await trio.sleep(0.005)  # a request is some milliseconds behind the connection that it comes on
         for at, client in enumerate(clients):
             await client.say(set_up(at + 1))
         await trio.sleep(0.5)
         assert [client.of(at + 1) for at, client in enumerate(clients)] == [PLACED] * len(clients)
-        assert len(rig.planner.door.peers) <= most
+        assert len(rig.planner.door.peers) <= limit
 
     play(test)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's hard cases: broken links, crossed answers, cancels, restarts. No sockets, no clock."""
+"""Engine edge cases: broken links, crossing answers, cancels, restarts. No sockets, no clock."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 from tests.helpers import MS, EngineHarness, of, stand
 
 
-def lose(harness: EngineHarness, now: int, machine: str, dead: bool = True) -> None:
+def break_link(harness: EngineHarness, now: int, machine: str, dead: bool = True) -> None:
     (harness.dead.add if dead else harness.dead.discard)(machine)
     harness.engine.link_down(now, machine)
     harness.run(now)
 
 
-def back(harness: EngineHarness, now: int, machine: str, complete: bool = True) -> list[m.Message]:
-    """The machine answers the dial that is under way."""
+def reconnect(harness: EngineHarness, now: int, machine: str, complete: bool = True) -> list[m.Message]:
+    """The machine answers the dial that is under way; returns the messages sent then."""
     harness.dead.discard(machine)
     harness.run(now)
     if harness.engine.links[machine].state == "dialling":
@@ -33,7 +33,7 @@
     assert len(harness.sent(m.Placed)) == 1
 
 
-def test_an_answer_in_the_instant_of_its_time_out_counts() -> None:
+def test_an_answer_at_the_time_of_its_timeout_counts() -> None:
     harness = EngineHarness()
     offer, machine = harness.offer(0, "g", "once")
     due = harness.engine.overdue[0][0]
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("product", "ends"), [("once", m.BrokenOff), ("plain", m.TurnedBack)])
-def test_silence_until_the_patience_ends_is_answered_in_time(product: str, ends: type) -> None:
+def test_a_guest_without_an_answer_is_answered_at_its_deadline(product: str, ends: type) -> None:
     harness = EngineHarness("a")
     harness.offer(0, "g", product)
     for now in range(0, 5100 * MS, 100 * MS):
@@ -50,7 +50,7 @@
     assert len(harness.sent(ends, "g")) == 1 and len(harness.sent(m.Withdraw)) >= 1
 
 
-def test_accepted_after_it_was_given_up_an_exclusive_guest_is_kept_and_known() -> None:
+def test_an_at_most_once_guest_accepted_after_its_dispatch_was_abandoned_is_kept_and_known() -> None:
     harness = EngineHarness("a")
     offer, machine = harness.offer(0, "g", "once")
     harness.run(harness.engine.overdue[0][0])
@@ -61,13 +61,13 @@
     assert not harness.sent(m.Stop) and not harness.sent(m.Placed)
 
 
-def test_accepted_after_it_was_given_up_a_rerunnable_copy_is_stopped() -> None:
+def test_an_idempotent_copy_accepted_after_its_dispatch_was_abandoned_is_stopped() -> None:
     harness = EngineHarness("ab")
     first, machine = harness.offer(0, "g")
-    harness.engine.brain.answers[0].extend([10 * MS] * 20)  # so that the next time-out is short
+    harness.engine.brain.answers[0].extend([10 * MS] * 20)  # makes the next timeout short
     harness.run(harness.engine.overdue[0][0])
     other = [message for message in harness.sent(m.Offer) if message.attempt == 1]
-    if not other:  # the first time-out was the whole patience: ask once more with what is known now
+    if not other:  # the first timeout was the whole time left: submit once more with what is known now
         first, machine = harness.offer(6000 * MS, "h")
         harness.run(harness.engine.overdue[0][0])
         other = [message for message in harness.sent(m.Offer, "h") if message.attempt == 1]
@@ -75,35 +75,35 @@
     assert other and [message.guest for message in said if isinstance(message, m.Stop)] == [first.guest]
 
 
-def test_held_again_a_late_copy_is_the_guests_place() -> None:
+def test_a_late_copy_of_a_guest_that_is_held_again_becomes_its_placement() -> None:
     harness = EngineHarness("a")
     offer, machine = harness.offer(0, "g", "ticket")
-    case = harness.engine.records["g/0"]
-    harness.engine._withdraw_dispatch(1000 * MS, case)
+    record = harness.engine.records["g/0"]
+    harness.engine._withdraw_dispatch(1000 * MS, record)
     from hazelhold.interface import Ending, Remark
 
-    harness.engine._dispatch_ended(1000 * MS, case, Ending.OVERDUE, Remark.NONE)
+    harness.engine._dispatch_ended(1000 * MS, record, Ending.OVERDUE, Remark.NONE)
     harness.engine.machine_said(1001 * MS, machine, of(m.Taken, offer))
     harness.run(1001 * MS)
     assert len(harness.sent(m.Placed)) == 1 and len(harness.sent(m.Offer)) == 1
 
 
-def test_a_broken_link_is_asked_first_and_what_never_arrived_goes_again() -> None:
+def test_after_a_broken_link_the_machine_is_queried_and_a_lost_offer_sent_again() -> None:
     harness = EngineHarness("a")
     harness.offer(0, "g", "once")
-    lose(harness, 10 * MS, "a")
+    break_link(harness, 10 * MS, "a")
     assert not harness.sent(m.BrokenOff)
-    back(harness, 100 * MS, "a")  # same life, complete, nothing there: proof that it never ran
+    reconnect(harness, 100 * MS, "a")  # same incarnation, complete and empty: proof that it never ran
     assert len(harness.sent(m.Offer, "g")) == 2 and not harness.sent(m.BrokenOff)
 
 
 @pytest.mark.parametrize("why", ["new life", "incomplete"])
-def test_without_proof_an_exclusive_guest_is_broken_off(why: str) -> None:
+def test_without_proof_that_it_never_ran_an_at_most_once_guest_fails(why: str) -> None:
     harness = EngineHarness("a")
     harness.offer(0, "g", "once")
-    lose(harness, 10 * MS, "a")
+    break_link(harness, 10 * MS, "a")
     harness.lives["a"] = 2 if why == "new life" else 1
-    back(harness, 100 * MS, "a", complete=why != "incomplete")
+    reconnect(harness, 100 * MS, "a", complete=why != "incomplete")
     assert len(harness.sent(m.Offer, "g")) == 1 and len(harness.sent(m.BrokenOff)) == 1
 
 
@@ -111,9 +111,9 @@
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     harness.says(5 * MS, "a", of(m.Taken, offer))
-    lose(harness, 10 * MS, "a")
+    break_link(harness, 10 * MS, "a")
     harness.stands["a"] = [stand(offer)]
-    back(harness, 100 * MS, "a")
+    reconnect(harness, 100 * MS, "a")
     assert (
         not harness.sent(m.GuestEnded) and harness.owner(400 * MS, m.Query(guest="g"))[-1].state == "running"
     )
@@ -123,31 +123,33 @@
     harness = EngineHarness("a", reconnect_ms=1000.0)
     offer, _ = harness.offer(0, "g", "once")
     harness.says(5 * MS, "a", of(m.Taken, offer))
-    lose(harness, 10 * MS, "a")
+    break_link(harness, 10 * MS, "a")
     for now in range(20 * MS, 2000 * MS, 50 * MS):
         if harness.engine.links["a"].state == "dialling":
             harness.engine.link_failed(now, "a")
         harness.run(now)
     assert [e.how for e in harness.sent(m.GuestEnded)] == ["lost"]
-    assert harness.owner(2000 * MS, m.Query(guest="g"))[-1].state == "unsettled"  # it may run on, cut off
+    assert (
+        harness.owner(2000 * MS, m.Query(guest="g"))[-1].state == "unsettled"
+    )  # it may run on behind a partition
     harness.stands["a"] = [stand(offer)]
     for now in range(2000 * MS, 5000 * MS, 100 * MS):
-        back(harness, now, "a")
+        reconnect(harness, now, "a")
     assert harness.owner(5000 * MS, m.Query(guest="g"))[-1].state == "running"
 
 
-def test_no_offer_leaves_for_a_machine_that_was_told_to_drain_while_its_link_was_made() -> None:
+def test_no_offer_is_sent_to_a_machine_that_began_to_drain_while_it_was_dialled() -> None:
     harness = EngineHarness("")
     harness.dead.update("a")
     harness.lists(0, [harness.entry("a")])
     harness.submits(0, "g")
     assert harness.engine.links["a"].queue
     harness.lists(5 * MS, [harness.entry("a", "cordoned")])
-    back(harness, 6 * MS, "a")
+    reconnect(harness, 6 * MS, "a")
     assert not harness.sent(m.Offer)
 
 
-def test_a_new_address_is_dialled_and_asked_before_anything_is_lost() -> None:
+def test_a_new_address_is_dialled_and_queried_before_anything_is_lost() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     harness.says(5 * MS, "a", of(m.Taken, offer))
@@ -157,7 +159,7 @@
     assert harness.dialled[-1] == "moved" and not harness.sent(m.GuestEnded)
 
 
-def test_another_machine_at_the_address_is_not_taken_for_it() -> None:
+def test_another_machine_that_answers_at_the_address_is_rejected() -> None:
     harness = EngineHarness("")
     harness.dead.add("a")
     harness.lists(0, [harness.entry("a")])
@@ -169,7 +171,7 @@
     assert isinstance(harness.engine.actions[-1], HangUp)
 
 
-def test_a_repeat_joins_what_is_held_and_each_ask_is_answered() -> None:
+def test_a_repeat_joins_the_held_guest_and_each_submission_is_answered() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     harness.submits(10 * MS, "g", ask=1, reason="unanswered")
@@ -179,7 +181,7 @@
     assert [p.ask for p in harness.sent(m.Placed)] == [0, 1, 2] and len(harness.sent(m.Offer)) == 1
 
 
-def test_an_answer_is_kept_for_an_owner_that_was_away_and_then_forgotten() -> None:
+def test_an_answer_is_kept_for_a_disconnected_owner_and_then_forgotten() -> None:
     harness = EngineHarness("a", keep_answers_ms=1000.0)
     harness.lists(0, [harness.entry("a", "cordoned")])
     harness.submits(0, "g", patience=100 * MS)
@@ -192,7 +194,7 @@
 
 
 class TestCancel:
-    """Before, during and after the offer of an exclusive guest: one start at most, one final state."""
+    """Before, during and after the offer of an at-most-once guest: one start at most, one final state."""
 
     def test_held(self) -> None:
         harness = EngineHarness("a")
@@ -201,14 +203,14 @@
         said = harness.owner(10 * MS, m.Cancel(guest="g"))
         assert [(type(s), s.reason) for s in said] == [(m.TurnedBack, "cancelled")]
 
-    def test_out_and_handed_back(self) -> None:
+    def test_outstanding_and_withdrawn(self) -> None:
         harness = EngineHarness("a")
         offer, _ = harness.offer(0, "g", "once")
         assert [type(s) for s in harness.owner(10 * MS, m.Cancel(guest="g"))] == [m.Withdraw]
         said = harness.says(20 * MS, "a", of(m.Ended, offer, how="withdrawn"))
         assert [(type(s), s.reason) for s in said] == [(m.TurnedBack, "cancelled")]
 
-    def test_out_and_accepted_meanwhile(self) -> None:
+    def test_outstanding_and_accepted_meanwhile(self) -> None:
         harness = EngineHarness("a")
         offer, _ = harness.offer(0, "g", "once")
         harness.owner(10 * MS, m.Cancel(guest="g"))
@@ -218,7 +220,7 @@
         assert [(type(s), s.how) for s in said] == [(m.GuestEnded, "stopped")]
         assert len(harness.sent(m.Offer)) == 1
 
-    def test_out_and_never_answered(self) -> None:
+    def test_outstanding_and_never_answered(self) -> None:
         harness = EngineHarness("a")
         harness.offer(0, "g", "once")
         harness.owner(10 * MS, m.Cancel(guest="g"))
@@ -228,7 +230,7 @@
             harness.sent(m.Offer)
         ) == 1
 
-    def test_wanted_again_while_its_cancel_is_on_its_way(self) -> None:
+    def test_submitted_again_while_its_cancel_is_under_way(self) -> None:
         harness = EngineHarness("ab")
         harness.offer(0, "g", "once")
         harness.owner(10 * MS, m.Cancel(guest="g"))
@@ -237,11 +239,11 @@
             isinstance(s, m.BrokenOff) and s.ask == 1 for s in said
         )
 
-    def test_of_nobody(self) -> None:
+    def test_of_an_unknown_guest(self) -> None:
         assert [s.state for s in EngineHarness().owner(0, m.Cancel(guest="who"))] == ["unknown"]
 
 
-def test_a_new_planner_finds_what_runs_and_calls_nothing_unknown_before() -> None:
+def test_a_new_planner_finds_running_guests_and_reports_none_as_unknown_before() -> None:
     harness = EngineHarness("")
     harness.dead.update("ab")
     harness.engine.list_heard = False
@@ -249,18 +251,18 @@
     harness.lists(0, [harness.entry("a"), harness.entry("b")], whole=True)
     offer = m.Offer(guest="g", product="once", service="s", cores=1.0, memory=1.0, owner="o")
     harness.stands["a"] = [stand(offer)]
-    back(harness, 10 * MS, "a")
+    reconnect(harness, 10 * MS, "a")
     assert harness.owner(20 * MS, m.Query(guest="g"))[-1].state == "running"
     assert harness.owner(20 * MS, m.Query(guest="other"))[-1].state == "unsettled"
     said = harness.submits(30 * MS, "third", "once", ask=1, reason="unanswered")
     assert isinstance(said[-1], m.BrokenOff) and not harness.sent(m.Offer)
-    back(harness, 40 * MS, "b")
+    reconnect(harness, 40 * MS, "b")
     assert harness.owner(50 * MS, m.Query(guest="other"))[-1].state == "unknown"
     harness.says(60 * MS, "a", of(m.Ended, offer, how="done"))
     assert [e.how for e in harness.sent(m.GuestEnded, "g")] == ["done"]
 
 
-def test_stopping_answers_all_that_is_held_and_out() -> None:
+def test_stopping_answers_held_and_outstanding_guests() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g", "once")
     other, _ = harness.offer(0, "h")
@@ -272,7 +274,7 @@
     harness.engine.stop_now(30 * MS)
     harness.run(30 * MS)
     assert harness.engine.unanswered() == 0 and len(harness.sent(m.BrokenOff, "g")) == 1
-    assert not harness.sent(m.Stop)  # what runs, runs on
+    assert not harness.sent(m.Stop)  # placed guests run on
 
 
 @pytest.mark.parametrize(
@@ -283,7 +285,7 @@
         ({"patience": 10**12}, "patience"),
     ],
 )
-def test_asks_that_make_no_sense_are_rejected_and_counted(change: dict, code: str) -> None:
+def test_invalid_submissions_are_rejected_and_counted(change: dict, code: str) -> None:
     harness = EngineHarness()
     plain = {"guest": "g", "product": "plain", "service": "s", "cores": 1.0, "memory": 1.0, "patience": 1000}
     said = harness.owner(0, m.Submit(**(plain | change)))
@@ -294,7 +296,7 @@
     )
 
 
-def test_a_life_keeps_one_start_time_whatever_the_list_says_of_its_age() -> None:
+def test_an_incarnation_keeps_one_start_time_whatever_age_the_list_shows() -> None:
     harness = EngineHarness("")
     for now, age in ((10**9, 5 * 10**6), (2 * 10**9, 0), (3 * 10**9, 3600 * 10**6)):
         harness.lists(now, [harness.entry("a", up_for=age)])
@@ -304,7 +306,7 @@
     assert harness.engine.brain.machines["a"].cold_at == 4 * 10**9 - 10**6
 
 
-def test_strays_and_nonsense_from_machines_change_nothing() -> None:
+def test_stray_and_invalid_messages_of_machines_change_nothing() -> None:
     harness = EngineHarness("a")
     offer, _ = harness.offer(0, "g")
     for message in (
@@ -328,26 +330,26 @@
     harness.stands["a"] = [
         stand(m.Offer(guest="old", product="plain", service="splain", cores=1.0, memory=1.0))
     ]
-    back(harness, 10 * MS, "a")
+    reconnect(harness, 10 * MS, "a")
     first = [offer.guest for offer in harness.sent(m.Offer)]
     harness.run(500 * MS)
     assert (
         first[0] == "h" and harness.engine.records["g/0"].attempt == 1
-    )  # g was decided anew, knowing of old
+    )  # g was decided again, knowing of old
 
 
-def test_what_ended_while_no_planner_listened_is_not_called_unknown() -> None:
+def test_a_guest_that_ended_while_no_planner_was_connected_is_not_unknown() -> None:
     harness = EngineHarness("")
     harness.dead.add("a")
     harness.lists(0, [harness.entry("a")])
     harness.stands["a"] = [
         stand(m.Offer(guest="g", product="once", service="s", cores=1.0, memory=1.0), "ended", "done")
     ]
-    back(harness, 10 * MS, "a")
+    reconnect(harness, 10 * MS, "a")
     assert harness.owner(20 * MS, m.Query(guest="g"))[-1].state == "done"
 
 
-def test_a_ticketed_copy_too_many_is_called_off() -> None:
+def test_a_second_copy_of_a_deduplicated_guest_is_withdrawn() -> None:
     harness = EngineHarness("ab")
     offer, machine = harness.offer(0, "g", "ticket")
     harness.says(MS, machine, of(m.Taken, offer))
@@ -355,25 +357,28 @@
     harness.engine.link_down(2 * MS, other)
     harness.stands[other] = [stand(offer)]
     harness.engine._dial(3 * MS, harness.engine.roster.machines[other])
-    back(harness, 3 * MS, other)
+    reconnect(harness, 3 * MS, other)
     assert [(peer, said.guest) for peer, said in harness.said if isinstance(said, m.Stop)] == [(other, "g")]
 
 
-def test_news_of_a_machines_new_life_leaves_an_offer_to_its_answer_or_its_links_end() -> None:
+def test_a_listed_new_incarnation_leaves_an_offer_to_its_answer_or_the_end_of_its_link() -> None:
     harness = EngineHarness("ab")
     offer, machine = harness.offer(0, "g", "once")
     harness.lives[machine] = 2
     harness.lists(10 * MS, [harness.entry(machine, up_for=5 * MS)])
     assert not harness.sent(m.BrokenOff) and len(harness.sent(m.Offer)) == 1
     assert harness.engine.brain.machines[machine].cold_at == 5 * MS
-    lose(harness, 20 * MS, machine)
-    back(harness, 40 * MS, machine)  # in the life that the list told of: whether it ran cannot be known
+    break_link(harness, 20 * MS, machine)
+    reconnect(harness, 40 * MS, machine)  # in the incarnation that the list showed: whether it ran is unknown
     assert len(harness.sent(m.BrokenOff)) == 1 and len(harness.sent(m.Offer)) == 1
 
 
-def test_by_a_list_that_has_been_silent_for_longer_than_the_grace_nothing_is_offered() -> None:
-    """The own protocol's list service tells changes as they come and confirms nothing. What it told while its
-    connection was silent counts as told: a machine may have begun to drain seconds ago."""
+def test_nothing_is_offered_by_a_list_that_was_silent_for_longer_than_the_grace_period() -> None:
+    """The list service of this project's protocol reports changes as they come and confirms nothing.
+
+    What it reported while its connection was silent counts as reported: a machine may have begun to drain
+    seconds ago.
+    """
     harness = EngineHarness("ab")
     for now in range(0, 10_000, 50):
         harness.run(now * MS)
--- a/tests/test_fault_incident.py
+++ b/tests/test_fault_incident.py
@@ -19,7 +19,7 @@
 
 
 class Incident(Run):
-    """One planner and some servers, without drawn faults; `begin` starts them, the test does the rest."""
+    """One planner and some servers without random faults; `begin` starts them, the test does the rest."""
 
     def __init__(self, folder: Path, servers: int, fleet: int) -> None:
         schedule = Schedule(1, 1, servers, 0.0, 3000.0, 15.0, shims=[ShimPlan(1, [], [])])
@@ -37,7 +37,7 @@
         self.its_clients.habits = CALM
 
     async def restart(self, fault: Fault, stale_file: bool = False) -> None:
-        """Stops the planner and starts it again while discovery has this fault."""
+        """Stops the planner and starts it again while discovery has `fault`."""
         await self.planner.stop()
         self.its_clients.sending = False
         self.its_clients.planner_died()
@@ -62,8 +62,10 @@
     fleet: int = 1,
     kind: type[Incident] = Incident,
 ) -> Incident:
-    """Runs the test; `fleet` is the number of planners that the planner is told of. Few of them test all
-    servers each second, many only those that they are about to choose from."""
+    """Runs the test; `fleet` is the number of planners in the planner's settings.
+
+    With few planners each probes all servers every second, with many only those it is about to choose from.
+    """
     incident = kind(folder, servers, fleet)
 
     async def run() -> None:
@@ -88,8 +90,8 @@
             await trio.sleep(0.01)
 
 
-def test_after_a_restart_with_silent_discovery_nothing_goes_to_a_server_that_drains(tmp_path: Path) -> None:
-    """Evidence 1 and 2: all that the new process has is the file's list, and a drain is told meanwhile."""
+def test_after_a_restart_with_silent_discovery_nothing_is_sent_to_a_draining_server(tmp_path: Path) -> None:
+    """The new process has only the list in its file, while a drain is reported to discovery."""
 
     async def test(incident: Incident) -> None:
         await incident.restart(Fault.SILENT)
@@ -98,40 +100,40 @@
             before = server.tested
             await until(
                 lambda server=server, before=before: server.tested > before
-            )  # the next test is a second off
+            )  # the next probe is a second off
             await server.drain()
             incident.planner.discovery.tell(server, "terminating")
-            told = server.life.drain_told["n0"]
+            since = server.life.drain_told["n0"]
             await trio.sleep(DRAIN_GRACE + 2 * SLACK)
             for _ in range(20):
                 incident.nursery.start_soon(incident.its_clients._request)
             await trio.sleep(0.5)
-            assert incident.placed_since(told) == 0  # any other may drain as well
+            assert incident.placed_since(since) == 0  # any other may be draining as well
         await incident.planner.discovery.set_fault(Fault.NONE)
         well_at = time.monotonic()
-        await until(lambda: incident.placed_since(well_at) >= 15)  # what waited is placed, on the fifth
+        await until(lambda: incident.placed_since(well_at) >= 15)  # waiting guests are placed on the fifth
 
     assert play(test, tmp_path, servers=5, fleet=4).broken() == []
 
 
-def test_a_list_that_comes_slowly_after_a_restart_with_an_old_file_is_waited_for(tmp_path: Path) -> None:
-    """The file is older than a drain, and the answer that tells it takes longer than one call may last."""
+def test_a_slow_list_after_a_restart_with_an_old_file_is_awaited(tmp_path: Path) -> None:
+    """The file is older than a drain, and the answer that reports it takes longer than one call may last."""
 
     async def test(incident: Incident) -> None:
         await incident.servers[0].drain()
         incident.planner.discovery.tell(incident.servers[0], "terminating")
         incident.planner.discovery.drip_pause = 0.4  # some 5 s for the whole answer
         await incident.restart(Fault.DRIPPING, stale_file=True)
-        told = incident.planner.life.ready_at
-        await until(lambda: incident.placed_since(told) >= 80)
+        since = incident.planner.life.ready_at
+        await until(lambda: incident.placed_since(since) >= 80)
 
     assert play(test, tmp_path, fleet=16).broken() == []
 
 
-def test_a_task_on_a_server_that_only_discovery_knows_is_not_released_at_its_hand_over(
+def test_a_guest_on_a_server_that_only_discovery_knows_is_not_released_at_its_handover(
     tmp_path: Path,
 ) -> None:
-    """Evidence 1, rule `lost`: what stands on a server that the file lacks is still owed."""
+    """Rule `lost`: a guest on a server that the file lacks was released although it was still placed."""
 
     async def test(incident: Incident) -> None:
         discovery = incident.planner.discovery
@@ -149,18 +151,18 @@
             if host["host"] != added.name
         ]
         await incident.restart(Fault.SLOW, stale_file=True)
-        standing = [each for each in incident.record.requests.values() if each.handed_over]
-        assert standing
-        await until(lambda: all(len(request.replies) == 2 for request in standing))
+        handed_over_guests = [each for each in incident.record.requests.values() if each.handed_over]
+        assert handed_over_guests
+        await until(lambda: all(len(request.replies) == 2 for request in handed_over_guests))
 
     assert play(test, tmp_path).broken() == []
 
 
-def test_a_task_that_was_over_before_its_hand_over_at_a_server_that_has_gone_is_released_in_time(
+def test_a_guest_that_ended_before_its_handover_at_a_server_that_has_gone_is_released_in_time(
     tmp_path: Path,
 ) -> None:
-    """Soak seed 38: it ended while no planner was there to be told, a new server took the address, and no
-    discovery tells of it. The protocol has no question for a task."""
+    """Soak seed 38: it ended while no planner was connected, a new server took the address, and discovery
+    does not report it. The protocol has no query for a single guest."""
 
     async def test(incident: Incident) -> None:
         discovery, old = incident.planner.discovery, incident.servers[0]
@@ -185,24 +187,25 @@
     assert play(test, tmp_path).broken() == []
 
 
-def test_the_same_where_servers_do_not_tell_what_tasks_use(
+def test_the_same_where_servers_do_not_report_what_guests_use(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Then no word of a server tells one task that stands from one that is over. See the page of 2026-12-03:
-    to end all that is handed over in an outage would cost more than the few that may be over."""
+    """Then no message of a server distinguishes a placed guest from one that is over. See the page of
+    2026-12-03: ending every guest that is handed over in an outage would cost more than the few that may be
+    over."""
     begin = Incident.__init__
 
-    def without_notes(incident: Incident, *given: object) -> None:
+    def without_use_notes(incident: Incident, *given: object) -> None:
         begin(incident, *given)
         incident.schedule.servers_tell_use = False
 
-    monkeypatch.setattr(Incident, "__init__", without_notes)
-    test_a_task_that_was_over_before_its_hand_over_at_a_server_that_has_gone_is_released_in_time(tmp_path)
+    monkeypatch.setattr(Incident, "__init__", without_use_notes)
+    test_a_guest_that_ended_before_its_handover_at_a_server_that_has_gone_is_released_in_time(tmp_path)
 
 
-def test_signals_in_a_series_up_to_the_last_moment_of_a_stop_leave_its_exit_code(tmp_path: Path) -> None:
-    """Soak seed 502: SIGHUP came when the process had ended its work and not yet itself. Its handlers had
-    been taken down to the system's default, so the signal ended it: exit code -1 in place of 0."""
+def test_a_series_of_signals_until_the_end_of_a_stop_does_not_change_the_exit_code(tmp_path: Path) -> None:
+    """Soak seed 502: SIGHUP came when the process had finished its work but not exited. Its handlers had been
+    reset to the system's default, so the signal killed it: exit code -1 instead of 0."""
 
     async def test(incident: Incident) -> None:
         process = incident.planner.process
--- a/tests/test_fault_incident_drains.py
+++ b/tests/test_fault_incident_drains.py
@@ -1,7 +1,7 @@
-"""The second incident of 2026-12-02 on real processes: servers that drain and pass tests all the same.
+"""The second incident of 2026-12-02 on real processes: draining servers that still pass probes.
 
-One that is taken off the list first works on until it goes; another refuses offers and passes tests all the
-same. Whether a test shows a drain is on no page, so what counts is the list, and as of when it is known.
+One server that is taken off the list first works on until it goes; another refuses offers but passes probes.
+No page says that a probe shows a drain, so what counts is the list, and as of when it is known.
 """
 
 import time
@@ -17,9 +17,9 @@
 from tests.faults.shim_plan import ClockStep, ShimPlan
 from tests.test_fault_incident import Incident, play, until
 
-FLEET = 4  # planners that the planner is told of: few of them test all servers each second
+FLEET = 4  # planners in the planner's settings: this few probe all servers every second
 PAST_GRACE = DRAIN_GRACE + 2 * SLACK
-PASSES_TESTS = [Draining.REFUSES, Draining.WORKS]
+PASSES_PROBES = [Draining.REFUSES, Draining.WORKS]
 
 
 def send(incident: Incident, requests: int) -> None:
@@ -28,7 +28,7 @@
 
 
 async def drain(incident: Incident, draining: Draining, servers: int) -> None:
-    """One server after another drains and is told to, with requests past the grace of each."""
+    """Drains one server after another, and sends requests after the grace period of each."""
     for server in incident.servers[:servers]:
         await server.drain(draining)
         incident.planner.discovery.tell(server, "terminating")
@@ -39,18 +39,18 @@
 
 
 async def works_again(incident: Incident) -> None:
-    """With discovery well, the servers that are left take work."""
+    """With discovery answering, the remaining servers are sent guests."""
     await incident.planner.discovery.set_fault(Fault.NONE)
     well_at = time.monotonic()
     incident.its_clients.sending = True
     await until(lambda: incident.placed_since(well_at) >= 15)
 
 
-@pytest.mark.parametrize("draining", PASSES_TESTS)
-def test_answers_that_are_late_from_the_start_let_no_offer_to_a_draining_server(
+@pytest.mark.parametrize("draining", PASSES_PROBES)
+def test_answers_that_are_late_from_the_start_allow_no_offer_to_a_draining_server(
     draining: Draining, tmp_path: Path
 ) -> None:
-    """Evidence 1 and 2: no answer confirms the list, and each event is heard late."""
+    """No answer confirms the list, and each event is read late."""
 
     async def test(incident: Incident) -> None:
         incident.planner.discovery.lag = 0.6
@@ -62,11 +62,11 @@
     assert play(test, tmp_path, servers=5, fleet=FLEET).broken() == []
 
 
-@pytest.mark.parametrize("draining", PASSES_TESTS)
-def test_answers_that_begin_to_be_late_let_no_offer_to_a_draining_server(
+@pytest.mark.parametrize("draining", PASSES_PROBES)
+def test_answers_that_become_late_allow_no_offer_to_a_draining_server(
     draining: Draining, tmp_path: Path
 ) -> None:
-    """Candidate D: the list was confirmed a moment ago, and the answer under way is late."""
+    """The list was confirmed just before, and the answer under way is late."""
 
     async def test(incident: Incident) -> None:
         await until(lambda: incident.placed_since(0.0) >= 5)
@@ -86,8 +86,8 @@
     assert play(test, tmp_path, servers=5, fleet=FLEET).broken() == []
 
 
-class AskedList(Incident):
-    """Settings under which the list comes only to those who ask for it."""
+class PolledList(Incident):
+    """Settings under which the list is only sent on request."""
 
     def settings(self, slot: int) -> dict:
         made = super().settings(slot)
@@ -95,8 +95,8 @@
         return made | {"discovery": "ask"}
 
 
-def test_where_the_list_is_asked_for_it_is_asked_for_at_once(tmp_path: Path) -> None:
-    """Candidate C: the first call came three to five seconds after the start."""
+def test_where_the_list_is_polled_the_first_poll_is_at_once(tmp_path: Path) -> None:
+    """The first call came three to five seconds after the start."""
 
     async def test(incident: Incident) -> None:
         await incident.restart(Fault.NONE)
@@ -104,7 +104,7 @@
         await drain(incident, Draining.WORKS, 1)
         await works_again(incident)
 
-    assert play(test, tmp_path, servers=5, fleet=FLEET, kind=AskedList).broken() == []
+    assert play(test, tmp_path, servers=5, fleet=FLEET, kind=PolledList).broken() == []
 
 
 class SteppedClock(Incident):
@@ -116,7 +116,7 @@
 
 
 def test_a_clock_stepped_before_the_start_makes_no_server_in_slow_start_look_warm(tmp_path: Path) -> None:
-    """A related path: how old a server is was told by the difference of two machines' wall clocks."""
+    """The age of a server was computed from the difference of two machines' wall clocks."""
 
     async def test(incident: Incident) -> None:
         await until(lambda: incident.placed_since(0.0) >= 5)
--- a/tests/test_fault_stopped_process.py
+++ b/tests/test_fault_stopped_process.py
@@ -1,11 +1,11 @@
-"""A planner process that does not run for a moment: stopped, out of its share of a core, or swapped out.
-
-What its clients do meanwhile has happened when it runs on: their time has passed, and some have given up. The
-program took requests that came while it was stopped for new ones, and passed on up to 0.4 s more than their
-clients had left. A wait for I/O that a stop interrupts returns past its end without another look (seen with
-`epoll.poll(0.2)`: nothing after 0.45 s, the socket readable at once after it). So the loop's clock held a
-moment after the stop for one at which nothing had come. A connection that was made meanwhile takes three
-turns of the loop to its first request, of which the clock saw the last two.
+"""A planner process that is paused for a short time: stopped, without a core, or swapped out.
+
+When it resumes, its clients have lost that time, and some have given up. The planner took requests that came
+during the pause for new ones, and allowed up to 0.4 s more than their clients had left. A wait for I/O that a
+stop interrupts returns after its timeout without polling again (`epoll.poll(0.2)` returned nothing after 0.45
+s, and the socket was readable right after it). So a time after the stop counted as one at which nothing had
+arrived. A connection that was made meanwhile takes three iterations of the loop until its first request is
+read, of which the arrival clock covered only the last two.
 """
 
 import json
@@ -28,12 +28,12 @@
 from tests.test_fault_incident import CALM, Incident, play, until
 
 STOPPED = 0.45  # seconds; three times the slack on deadlines
-SENT_BEFORE_END = 0.4  # seconds before the process runs on at which requests are sent
+SENT_BEFORE_END = 0.4  # seconds before the process resumes at which requests are sent
 REQUESTS = 12
 
 
 async def stopped(incident: Incident, meanwhile: Callable[[], Awaitable[None]]) -> None:
-    """Stops the planner's process, and lets it run on once what happens meanwhile has had its time."""
+    """Stops the planner's process, runs `meanwhile`, and resumes the process after that has had its time."""
     incident.its_clients.sending = False
     await trio.sleep(0.3)
     incident.planner.signal(signal.SIGSTOP)
@@ -58,7 +58,7 @@
 
 
 def habits(connections: int, **shares: float) -> Habits:
-    """Half of the requests have less time than the process is stopped for."""
+    """Habits with which half of the requests have less time left than the process is stopped for."""
     calm = {"share_cancelled": 0.0, "share_left": 0.0, "share_ended": 0.0, "share_impatient": 0.5}
     return Habits(rate=CALM.rate, connections=connections, **(calm | shares))
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("connections", [4, 64], ids=["open connections", "new connections"])
-def test_the_time_for_which_the_process_was_stopped_is_taken_off_the_deadline(
+def test_the_time_for_which_the_process_was_stopped_counts_against_the_deadline(
     connections: int, tmp_path: Path
 ) -> None:
     played = play_stops(tmp_path, habits(connections))
@@ -82,74 +82,78 @@
 
 
 @pytest.mark.parametrize("connections", [4, 64], ids=["open connections", "new connections"])
-def test_what_its_client_gave_up_while_the_process_was_stopped_is_not_attempted(
+def test_a_guest_given_up_while_the_process_was_stopped_is_not_dispatched(
     connections: int, tmp_path: Path
 ) -> None:
-    """Cancelled, or its connection closed, 0.35 s and more before the process runs on."""
+    """Cancelled, or its connection closed, 0.35 s or more before the process resumes."""
     played = play_stops(tmp_path, habits(connections, share_cancelled=0.5, share_left=0.5))
     assert played.broken() == []
     assert any(each.closed for each in played.record.requests.values())
 
 
-BLOCKED = 0.13  # seconds; more than the 0.1 s in which an attempt may follow its client's cancel
-TRIES = 24  # the loop runs what is ready in an order that it draws
+BLOCKED = 0.13  # seconds; more than the 0.1 s in which a dispatch may follow its client's cancel
+TRIES = 24  # the loop runs ready tasks in random order
 
 
-def block_amid_an_offer(gives_up: Callable[[Owner, int], Awaitable[None]]) -> list[int]:
-    """Blocks the process between the decision on an offer and its bytes, while its client gives up. Returns
-    the tasks that were offered all the same."""
+def block_during_an_offer(gives_up: Callable[[Owner, int], Awaitable[None]]) -> list[int]:
+    """Blocks the process between the decision on an offer and its bytes, while its client gives up.
+
+    Returns the guests that were offered all the same.
+    """
     offered: list[int] = []
 
     async def test(rig: SocketRig) -> None:
-        for task in range(1, TRIES + 1):
+        for guest in range(1, TRIES + 1):
             owner = await rig.owner()
-            await owner.say(set_up(task))
+            await owner.say(set_up(guest))
             while not any(
                 link.peer and link.peer.offers_kept() for link in rig.planner.links.by_machine.values()
             ):
-                if rig.offers(task):
-                    break  # it has left within this turn: no try
+                if rig.offers(guest):
+                    break  # it was sent within this iteration: not a try
                 await trio.lowlevel.checkpoint()
             else:
                 at = trio.current_time()
-                await gives_up(owner, task)
+                await gives_up(owner, guest)
                 assert trio.current_time() - at < 0.01
                 time.sleep(BLOCKED)
                 await trio.sleep(0.05)
-                offered.extend([task] * len(rig.offers(task)))
+                offered.extend([guest] * len(rig.offers(guest)))
 
     on_sockets(test, "a")
     return offered
 
 
-async def cancel(owner: Owner, task: int) -> None:
-    owner.stream.socket._sock.send(encode_binary(end(task)))
+async def cancel(owner: Owner, guest: int) -> None:
+    owner.stream.socket._sock.send(encode_binary(end(guest)))
 
 
-async def close(owner: Owner, task: int) -> None:
+async def close(owner: Owner, guest: int) -> None:
     owner.stream.socket._sock.shutdown(socket.SHUT_WR)
 
 
 @pytest.mark.parametrize("gives_up", [cancel, close])
-def test_no_bytes_of_an_offer_leave_while_its_client_s_last_word_is_unread(
+def test_no_offer_is_written_while_its_client_s_last_message_is_unread(
     gives_up: Callable[[Owner, int], Awaitable[None]],
 ) -> None:
-    """Seen with a process that was stopped for 0.13 s: 4 of 480 cancelled requests were attempted 0.13 s
-    after their client had cancelled. When the process ran on, the decision was carried out in the same turn
-    of the loop in which the cancel was read, whichever the loop ran first."""
-    assert block_amid_an_offer(gives_up) == []
+    """With a process stopped for 0.13 s, 4 of 480 cancelled guests were dispatched 0.13 s after their client
+    had cancelled: on resuming, the decision was carried out in the same iteration of the loop in which the
+    cancel was read, in either order."""
+    assert block_during_an_offer(gives_up) == []
 
 
-def test_without_the_look_at_the_client_s_connection_offers_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The broken variant."""
+def test_without_the_check_of_the_client_s_connection_offers_are_written(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Broken variant: the owner's connection is not read before an offer is written."""
     monkeypatch.setattr(OwnerPeer, "waits_to_be_heard", lambda peer: False)
-    assert block_amid_an_offer(cancel) != []
+    assert block_during_an_offer(cancel) != []
 
 
 def test_requests_that_came_while_idle_connections_timed_out_are_not_closed_for_each_other() -> None:
-    """Soak seed 514: the process was stopped while the time of 73 idle connections ran out. When it ran on
-    they were closing and counted all the same, so that new connections found no room. Two whose requests had
-    been read, and not been heard yet, were closed for others 7 ms after they had been accepted."""
+    """Soak seed 514: the process was stopped while 73 idle connections timed out. On resuming they were
+    closing but still counted, so that there was no slot for new connections. Two whose requests had been read
+    but not handled yet were closed for others 7 ms after they had been accepted."""
     new = 20
 
     async def test(rig: SocketRig) -> None:
@@ -161,27 +165,29 @@
         assert len(rig.planner.door.peers) == full
         host, port = rig.planner.address.split(":")
         made = []
-        for task in range(1, new + 1):
+        for guest in range(1, new + 1):
             made.append(socket.create_connection((host, int(port))))
-            made[-1].sendall(encode_binary(set_up(task)))
+            made[-1].sendall(encode_binary(set_up(guest)))
         time.sleep(0.3)
         owners = [
             Owner(trio.SocketStream(trio.socket.from_stdlib_socket(each)), rig.nursery) for each in made
         ]
         await trio.sleep(1.0)
-        assert [owner.of(task) for task, owner in enumerate(owners, 1)] == [PLACED] * new
+        assert [owner.of(guest) for guest, owner in enumerate(owners, 1)] == [PLACED] * new
 
     on_sockets(test, "a")
 
 
-async def placed(owner: Owner, task: int) -> None:
-    await until(lambda: owner.of(task) == PLACED)
+async def placed(owner: Owner, guest: int) -> None:
+    await until(lambda: owner.of(guest) == PLACED)
+
 
+def releases_during_closes(own: bool) -> list[int]:
+    """A guest ends while the process is blocked, and its owner closes the connection that was last used.
 
-def releases_amid_closes(own: bool) -> list[int]:
-    """A task ends while the process is blocked, and its owner closes the connection that was used last;
-    `own`: the one on which the task was placed. Returns the tasks of which the other connection heard
-    nothing."""
+    `own`: the one on which the guest was placed. Returns the guests whose end was not reported on the other
+    connection.
+    """
     missed: list[int] = []
 
     async def test(rig: SocketRig) -> None:
@@ -189,22 +195,22 @@
         other = await rig.owner()
         await other.say(set_up(1000))
         await placed(other, 1000)
-        for task in range(1, TRIES + 1):
+        for guest in range(1, TRIES + 1):
             owner, last = await rig.owner(), await rig.owner()
-            await owner.say(set_up(task))
-            await last.say(set_up(2000 + task))
-            await placed(owner, task)
-            await placed(last, 2000 + task)
+            await owner.say(set_up(guest))
+            await last.say(set_up(2000 + guest))
+            await placed(owner, guest)
+            await placed(last, 2000 + guest)
             if not own:
                 await owner.stream.aclose()
                 await trio.sleep(0.02)
-            await close(owner if own else last, task)
-            line = {"op": "end", "call": f"{task:016x}", "with": {}, "why": 16}
+            await close(owner if own else last, guest)
+            line = {"op": "end", "call": f"{guest:016x}", "with": {}, "why": 16}
             machine.streams[-1].socket._sock.send(json.dumps(line).encode() + b"\n")
             time.sleep(BLOCKED)
             await trio.sleep(0.05)
-            heard = [*other.of(task), *([] if not own else last.of(task))]
-            missed.extend([task] * (heard == []))
+            received = [*other.of(guest), *([] if not own else last.of(guest))]
+            missed.extend([guest] * (received == []))
             await last.stream.aclose()
 
     on_sockets(test, "a")
@@ -212,38 +218,41 @@
 
 
 @pytest.mark.parametrize("own", [True, False], ids=["its own connection", "another connection"])
-def test_the_end_of_a_task_is_not_told_on_a_connection_whose_close_is_unread(own: bool) -> None:
-    """Soak seed 4, once in CI: an end came to a process that was stopped for 0.45 s, and its client heard of
-    it 6.4 s later, at the hand-over to the next process. That run's logs are lost. Here the client closes the
-    connection meanwhile on which the end is told, and that close is read after the end."""
-    assert releases_amid_closes(own) == []
+def test_the_end_of_a_guest_is_not_reported_on_a_connection_whose_close_is_unread(own: bool) -> None:
+    """Soak seed 4, once in CI: an end arrived at a process that was stopped for 0.45 s, and its client
+    received it 6.4 s later, at the handover to the next process. The logs of that run are lost. Here the
+    client meanwhile closes the connection on which the end is reported, and that close is read after the
+    end."""
+    assert releases_during_closes(own) == []
 
 
-def test_a_connection_whose_time_has_run_out_is_read_before_it_is_closed() -> None:
-    """Soak seed 4 with more stops: a request that came to a stopped process was closed with no answer 5 ms
-    after it ran on. Its connection had carried a cancelled request only, and its time for one of use ran out
-    during the stop."""
+def test_a_connection_that_timed_out_is_read_before_it_is_closed() -> None:
+    """Soak seed 4 with more stops: the connection of a request that came to a stopped process was closed
+    without an answer 5 ms after it resumed. It had carried only a cancelled request, and its time for a
+    useful one ran out during the stop."""
 
     async def test(rig: SocketRig) -> None:
         owners = [await rig.owner() for _ in range(TRIES)]
-        for task, owner in enumerate(owners, 1):
-            await owner.say(set_up(task), end(task))
+        for guest, owner in enumerate(owners, 1):
+            await owner.say(set_up(guest), end(guest))
         await trio.sleep(FIRST_MESSAGE - 0.1)
         assert len(rig.planner.door.peers) == TRIES
-        for task, owner in enumerate(owners, 101):
-            owner.stream.socket._sock.send(encode_binary(set_up(task)))
+        for guest, owner in enumerate(owners, 101):
+            owner.stream.socket._sock.send(encode_binary(set_up(guest)))
         time.sleep(0.3)
         await trio.sleep(0.5)
-        assert [owner.of(task) for task, owner in enumerate(owners, 101)] == [PLACED] * TRIES
+        assert [owner.of(guest) for guest, owner in enumerate(owners, 101)] == [PLACED] * TRIES
 
     on_sockets(test, "a")
 
 
-def heard_after_a_stop(seconds: float, *, reset: bool) -> list[tuple[int, int | None]]:
-    """What an owner hears of a task that stands on a machine whose connection ended just before the planner's
-    process did not run for some seconds. `reset`: the next connection stood already, else none could be made
-    before."""
-    heard: list = []
+def received_after_a_pause(seconds: float, *, reset: bool) -> list[tuple[int, int | None]]:
+    """What an owner receives about a guest on a machine whose connection ended just before a planner's pause.
+
+    The planner's process is paused for `seconds`. `reset`: the next connection was open already; else none
+    could be made before.
+    """
+    received: list = []
 
     async def test(rig: Rig) -> None:
         owner, machine = await rig.owner(), rig.machines["a"]
@@ -262,25 +271,23 @@
         rig.net.doors["a:1"] = door
         trio.lowlevel.current_clock().jump(seconds)
         await trio.sleep(8.0)
-        heard.extend(owner.of(1)[1:])
+        received.extend(owner.of(1)[1:])
 
     play_in_memory(test, machines="a", settings=TELLING_USE)
-    return heard
+    return received
 
 
 @pytest.mark.parametrize("reset", [True, False], ids=["connected again", "not connected"])
 @pytest.mark.parametrize("seconds", [4.0, 7.0, 60.0])
-def test_the_time_for_which_its_process_was_stopped_is_not_held_against_a_machine(
-    seconds: float, reset: bool
-) -> None:
-    """A planner that did not run has heard neither the list nor the machine: it released what stood, as soon
-    as it ran on."""
-    assert heard_after_a_stop(seconds, reset=reset) == []
+def test_a_pause_of_the_planner_does_not_count_against_a_machine(seconds: float, reset: bool) -> None:
+    """A paused planner has read neither the list nor the machine's messages: it released placed guests as
+    soon as it resumed."""
+    assert received_after_a_pause(seconds, reset=reset) == []
 
 
-def test_a_stop_is_not_left_out_of_the_time_after_it() -> None:
-    """Found by reading: where the end of a connection is heard before time-outs are looked at, the whole stop
-    was left out of the time since then, and what the machine had was released so much later."""
+def test_a_pause_is_not_excluded_from_the_time_after_it() -> None:
+    """Where the end of a connection is handled before timeouts are checked, the whole pause was excluded from
+    the time after it, and the machine's guests were released so much later. Found by reading the code."""
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
@@ -296,9 +303,9 @@
 
 
 @pytest.mark.parametrize("reset", [True, False], ids=["connected again", "not connected"])
-def test_counted_against_machines_a_stop_releases_what_stands(
+def test_a_pause_that_counts_against_machines_releases_placed_guests(
     reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The broken variant."""
+    """Broken variant: the pause counts against machines."""
     monkeypatch.setattr(LivenessChecks, "_exclude_pause", lambda engine, now: None)
-    assert heard_after_a_stop(7.0, reset=reset) == [(end(1).type, 41)]
+    assert received_after_a_pause(7.0, reset=reset) == [(end(1).type, 41)]
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the list of machines: for how long it holds, what waits without it, what it is not told by."""
+"""The lease on the machine list: how long it holds, what waits without it, and what does not extend it."""
 
 from collections.abc import Callable
 
@@ -16,22 +16,22 @@
 
 # For how long a confirmation holds.
 
-LEASE = 200_000  # microseconds, by the rig's settings, which name no grace
+LEASE = 200_000  # microseconds, by the rig's settings, which set no grace period
 
 
-def test_a_lease_holds_from_a_confirmation_until_its_span_is_over() -> None:
+def test_a_lease_holds_from_a_confirmation_until_its_duration_is_over() -> None:
     lease = ListLease(LEASE)
     assert not lease.holds(0) and lease.lapse is Lapse.NEVER_CONFIRMED
     lease.confirm(1_000)
     assert lease.holds(1_000 + LEASE) and not lease.holds(1_001 + LEASE)
     assert lease.lapse is Lapse.NOT_RENEWED
-    lease.confirm(500)  # an answer that was overtaken by another
+    lease.confirm(500)  # an answer that another one overtook
     assert not lease.holds(1_001 + LEASE)
     lease.confirm(LEASE)
     assert lease.holds(LEASE) and lease.lapse is None
 
 
-def test_a_failed_call_leaves_a_lease_as_it_is_and_is_the_reason_once_it_is_over() -> None:
+def test_a_failed_call_does_not_end_a_lease_and_is_the_reason_once_it_is_over() -> None:
     lease = ListLease(LEASE)
     lease.confirm(0)
     lease.note(Lapse.FAILED)
@@ -46,7 +46,7 @@
     assert not lease.holds(1) and lease.lapse is Lapse.MOVED
 
 
-def test_a_list_service_whose_word_is_taken_needs_no_lease() -> None:
+def test_a_list_service_that_needs_no_confirmation_needs_no_lease() -> None:
     lease = ListLease(0)
     lease.note(Lapse.FAILED)
     lease.end(Lapse.MOVED)
@@ -54,14 +54,14 @@
 
 
 @pytest.mark.parametrize("grace,lease", [(None, 200_000), (250, 200_000), (1000.0, 800_000), (0, 20_000)])
-def test_the_lease_is_a_part_of_the_grace_for_drains(grace: float | None, lease: int) -> None:
+def test_the_lease_is_a_part_of_the_grace_period_for_drains(grace: float | None, lease: int) -> None:
     rules = DEPLOYMENT["rules"] | ({} if grace is None else {"drain-grace": grace})
     text = file(settings=DEPLOYMENT | {"rules": rules})
     assert check_start(text, "test").terms.deployment.list_lease == lease
 
 
 @pytest.mark.parametrize("grace", [-1, "soon", 1e12])
-def test_a_grace_that_is_none_is_refused(grace: object) -> None:
+def test_an_invalid_grace_period_is_rejected(grace: object) -> None:
     settings = DEPLOYMENT | {"rules": DEPLOYMENT["rules"] | {"drain-grace": grace}}
     with pytest.raises(ConfigError, match="drain-grace"):
         check_start(file(settings=settings), "test")
@@ -71,7 +71,7 @@
 
 
 class Draining(Machine):
-    """Refuses offers from `drains` on, and fails tests as well if it `fails_tests`."""
+    """Refuses offers once `drains` is set, and fails probes as well if `fails_tests` is set."""
 
     drains = False
     fails_tests = True
@@ -87,7 +87,7 @@
 
 
 def drained(rig: Rig, name: str, fails_tests: bool = True) -> Draining:
-    """Makes a machine of the rig one that drains."""
+    """Turns a machine of the rig into a draining one."""
     machine = rig.machines[name]
     machine.__class__ = Draining
     machine.drains, machine.fails_tests = True, fails_tests
@@ -95,13 +95,13 @@
 
 
 def stop_answering(rig: Rig) -> None:
-    """The bulletin answers nothing more; the lease holds for what is left of it."""
+    """The bulletin stops answering; the lease holds for its remaining time."""
     rig.bulletin.silent = True
-    rig.planner.follower.scope.cancel()  # no answer that is under way comes
+    rig.planner.follower.scope.cancel()  # no answer that is under way arrives
 
 
 def fall_silent(rig: Rig) -> None:
-    """The bulletin answers nothing, and the lease is over."""
+    """The bulletin stops answering, and the lease is over."""
     stop_answering(rig)
     rig.planner.engine.lease.end(Lapse.NOT_RENEWED)
 
@@ -114,8 +114,8 @@
     return sum(len(machine.offers()) for machine in rig.machines.values())
 
 
-async def ask_in_silence(rig: Rig) -> None:
-    """`a` drains, the list says so, and the bulletin says nothing; then it speaks."""
+async def submit_in_silence(rig: Rig) -> None:
+    """Machine `a` drains and the list shows it, while the bulletin does not answer; then it answers again."""
     fall_silent(rig)
     rig.bulletin.events.append(event(2, host("a", "terminating")))
     owner = await rig.owner()
@@ -131,14 +131,14 @@
 @pytest.mark.parametrize("fleet", [1, 16])
 @pytest.mark.parametrize("fails_tests", [True, False])
 @pytest.mark.parametrize("probing", [True, False])
-def test_without_a_lease_nothing_is_sent_whatever_tests_say(
+def test_without_a_lease_nothing_is_sent_whatever_probes_show(
     fleet: int, fails_tests: bool, probing: bool
 ) -> None:
-    """The list was believed where the settings allow no tests, or where a test had passed."""
+    """The planner trusted the list where the settings allow no probes, or where a probe had passed."""
 
     async def test(rig: Rig) -> None:
         drained(rig, "a", fails_tests)
-        await ask_in_silence(rig)
+        await submit_in_silence(rig)
         assert rig.sent_in_silence == 0 and rig.placed == 20
         assert rig.machines["a"].offers() == []
         tested = any(line["op"] == "test" for each in rig.machines.values() for line in each.heard)
@@ -148,17 +148,17 @@
     play(test, settings=DEPLOYMENT | {"balancers": fleet, "limits": limits})
 
 
-def believe_always(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module sends by any list."""
+def trust_any_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The scheduler sends guests by any list."""
     monkeypatch.setattr(Brain, "list_taken", lambda self, now, current: None)
 
 
-def test_the_last_check_holds_back_what_the_module_would_send(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With the module's own wait left out, offers to both machines are decided and none leaves."""
-    believe_always(monkeypatch)
+def test_the_final_check_holds_back_what_the_scheduler_would_send(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With the scheduler's own check disabled, offers to both machines are decided and none is sent."""
+    trust_any_list(monkeypatch)
 
     async def test(rig: Rig) -> None:
-        await ask_in_silence(rig)
+        await submit_in_silence(rig)
         engine = rig.planner.engine
         assert rig.sent_in_silence == 0 and engine.denials[permission.Denial.LIST_NOT_CURRENT]
         assert engine.counts["rule_violations"] == 0
@@ -167,11 +167,11 @@
 
 
 @pytest.mark.parametrize("monitored", [True, False])
-def test_without_both_checks_offers_go_to_a_machine_that_drains(
+def test_without_both_checks_offers_go_to_a_draining_machine(
     monitored: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The broken variants: any list is believed. The monitor sees that a check is left out."""
-    believe_always(monkeypatch)
+    """Broken variants: any list is trusted. The rule monitor detects the missing check."""
+    trust_any_list(monkeypatch)
     if monitored:
         real = permission.offer_denied
         monkeypatch.setattr(owners, "offer_denied", lambda *facts: real(*facts[:-1], True))
@@ -179,15 +179,15 @@
         monkeypatch.setattr(ListLease, "holds", lambda self, now: True)
 
     async def test(rig: Rig) -> None:
-        await ask_in_silence(rig)
+        await submit_in_silence(rig)
         assert rig.machines["a"].offers()
         assert bool(rig.planner.engine.counts["rule_violations"]) is monitored
 
     play(test)
 
 
-def test_a_machine_that_says_it_takes_no_work_is_tested_before_it_is_sent_more() -> None:
-    """Its own refusal was believed for a second, an eviction for a drain not at all."""
+def test_a_machine_that_refuses_as_draining_is_probed_before_it_is_sent_more() -> None:
+    """A machine's own refusal had effect for a second only, an eviction for a drain none at all."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)  # the list is confirmed and shows both as ready
@@ -198,7 +198,7 @@
             await trio.sleep(0.1)
         assert all(owner.of(guest) == PLACED for guest in range(1, 41))
         assert len(machine.offers()) <= 1
-        machine.drains = False  # it was its own mistake: it is used again once it passes a test
+        machine.drains = False  # the machine was mistaken: it is used again once it passes a probe
         before = len(machine.offers())
         for guest in range(41, 81):
             await owner.say(set_up(guest, figures=f"cores:0.1;memory:0.1;service:{guest:016x}"))
@@ -208,8 +208,8 @@
     play(test)
 
 
-def test_a_machine_that_refuses_and_passes_its_tests_is_asked_less_and_less() -> None:
-    """Evidence 2: it was sent another offer a second after each refusal."""
+def test_a_machine_that_refuses_and_passes_its_probes_gets_fewer_and_fewer_offers() -> None:
+    """It was sent another offer one second after each refusal."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)  # the list is confirmed and shows both as ready
@@ -228,9 +228,9 @@
 
 
 @pytest.mark.parametrize("seconds", [0.25, 1.0, 3.0])
-def test_answers_that_are_late_are_heard_and_confirm_nothing(seconds: float) -> None:
-    """Calls were given up after 1.6 s: a bulletin slower than that was never heard. One that is late by less
-    confirmed the list for the time that its answer had taken."""
+def test_late_answers_are_read_and_confirm_nothing(seconds: float) -> None:
+    """Calls timed out after 1.6 s, so a slower bulletin was never read. An answer that was late by less
+    confirmed the list also for the time that it had taken."""
 
     async def test(rig: Rig) -> None:
         bulletin, real = rig.bulletin, rig.bulletin.answer
@@ -256,8 +256,8 @@
 
 
 @pytest.mark.parametrize("way", [0.0, 0.04])
-def test_a_bulletin_that_answers_soon_keeps_the_lease_without_a_gap(way: float) -> None:
-    """`way`: seconds that each answer is late. News come all the time."""
+def test_a_bulletin_that_answers_in_time_keeps_the_lease_without_a_gap(way: float) -> None:
+    """`way`: seconds by which each answer is late. Updates come all the time."""
 
     async def test(rig: Rig) -> None:
         bulletin, real = rig.bulletin, rig.bulletin.answer
@@ -280,14 +280,14 @@
 
 
 def test_calls_follow_one_another_no_faster_than_is_needed() -> None:
-    """Also where each brings news at once, and where the lease is not held."""
+    """Also where each brings updates at once, and where the lease does not hold."""
 
     async def test(rig: Rig) -> None:
         follower = rig.planner.follower
         await trio.sleep(1)
         calls = follower.calls
         await trio.sleep(5)
-        assert 15 * 5 <= follower.calls - calls <= 21 * 5  # without news
+        assert 15 * 5 <= follower.calls - calls <= 21 * 5  # without updates
         calls = follower.calls
         for _ in range(1000):
             rig.bulletin.events.append(event(len(rig.bulletin.events) + 2, host("a")))
@@ -315,7 +315,7 @@
     play(test)
 
 
-def test_after_a_reload_the_list_is_in_doubt_until_the_new_address_answers(tmp_path) -> None:  # noqa: ANN001
+def test_after_a_reload_the_list_is_not_current_until_the_new_address_answers(tmp_path) -> None:  # noqa: ANN001
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)
         engine = rig.planner.engine
@@ -331,11 +331,11 @@
     play(test)
 
 
-# Tasks that stand where the list does not know.
+# Guests placed on machines that the list does not show.
 
 
-def handed_over(test: Callable) -> None:
-    """A hand-over on a machine `c` that only the bulletin knows, which is silent at first."""
+def play_handover(test: Callable) -> None:
+    """A handover on a machine `c` that only the bulletin knows, which does not answer at first."""
 
     async def run(rig: Rig) -> None:
         fall_silent(rig)
@@ -345,13 +345,13 @@
         owner = await rig.owner()
         await owner.say(set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:c"))
         await trio.sleep(4)
-        assert owner.of(1) == []  # whether it stands is not known
+        assert owner.of(1) == []  # whether it is placed is not known
         await test(rig, owner, machine)
 
     play(run)
 
 
-def test_a_hand_over_waits_for_the_list_and_its_end_is_told() -> None:
+def test_a_handover_waits_for_the_list_and_its_end_is_reported() -> None:
     async def test(rig: Rig, owner: object, machine: Machine) -> None:
         rig.bulletin.events += [event(2, host("c"))]
         rig.bulletin.silent = False
@@ -361,19 +361,19 @@
         await trio.sleep(0.1)
         assert owner.of(1) == [(12, 16)]
 
-    handed_over(test)
+    play_handover(test)
 
 
-def test_a_hand_over_on_a_machine_that_the_confirmed_list_lacks_is_over() -> None:
+def test_a_handover_on_a_machine_that_the_confirmed_list_lacks_is_over() -> None:
     async def test(rig: Rig, owner: object, machine: Machine) -> None:
         rig.bulletin.silent = False
         await trio.sleep(3)
         assert owner.of(1) == [(12, 41)] and not rig.planner.engine.waiting_handovers
 
-    handed_over(test)
+    play_handover(test)
 
 
-def test_a_task_that_its_owner_ends_before_the_list_comes_is_stopped_at_its_machine() -> None:
+def test_a_guest_that_its_owner_ends_before_the_list_comes_is_stopped_at_its_machine() -> None:
     async def test(rig: Rig, owner: object, machine: Machine) -> None:
         await owner.say(end(1))
         rig.bulletin.events += [event(2, host("c"))]
@@ -382,14 +382,14 @@
         ends = [(line["call"], line["why"]) for line in machine.heard if line["op"] == "end"]
         assert ends == [(f"{1:016x}", 31)] and owner.of(1) == []
 
-    handed_over(test)
+    play_handover(test)
 
 
 MANY_PLANNERS = DEPLOYMENT | {"balancers": 16}
-"""Machines are dialled for their first task: the connection is younger than the list's last confirmation."""
+"""Machines are dialled for their first guest: the connection is opened after the list's last confirmation."""
 
 
-def test_a_task_sent_by_a_lease_stands_at_the_machine_that_has_the_address_by_then() -> None:
+def test_a_guest_sent_by_a_lease_is_placed_at_the_machine_that_has_the_address_by_then() -> None:
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)
         stop_answering(rig)
@@ -410,8 +410,8 @@
     play(test, settings=MANY_PLANNERS)
 
 
-def test_a_task_accepted_after_the_list_named_the_new_machine_stands_there_too() -> None:
-    """Soak seed 23: the answer came some milliseconds after the list's news."""
+def test_a_guest_accepted_after_the_list_showed_the_new_machine_is_placed_there_too() -> None:
+    """Soak seed 23: the answer came some milliseconds after the list's update."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)
@@ -438,7 +438,7 @@
 
 
 def test_a_machine_that_is_listed_as_draining_may_have_gone_from_its_address() -> None:
-    """Soak seed 42: the list was confirmed while it still named the old one, as draining."""
+    """Soak seed 42: the list was confirmed while it still showed the old machine, as draining."""
 
     async def test(rig: Rig) -> None:
         await trio.sleep(0.5)
@@ -457,13 +457,14 @@
     play(test, machines="a", settings=MANY_PLANNERS)
 
 
-def test_a_task_that_is_handed_over_again_while_its_end_waits_is_told_that_end_once() -> None:
-    """Soak seed 3: its owner's connection broke under the end; it was taken anew and told over twice."""
+def test_the_end_of_a_guest_that_is_handed_over_again_while_it_waits_is_reported_once() -> None:
+    """Soak seed 3: its owner's connection broke while the end was written; the guest was adopted again and
+    its end reported twice."""
 
     async def test(rig: Rig) -> None:
         first = await rig.owner()
-        stands = set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a")
-        await first.say(stands)
+        handover = set_up(1, figures=f"cores:1;memory:2;service:{1:016x};at:a")
+        await first.say(handover)
         await trio.sleep(0.1)
         await first.stream.aclose()
         await trio.sleep(0.1)
@@ -471,7 +472,7 @@
         await trio.sleep(0.1)
         assert len(rig.planner.door.releases.waiting) == 1
         second = await rig.owner()
-        await second.say(stands)
+        await second.say(handover)
         await trio.sleep(0.5)
         assert second.of(1) == [(12, 16)] and f"{1:016x}" not in rig.planner.engine.newest_records
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -1,4 +1,4 @@
-"""What may be sent, repeated, started and closed, and the check of it at run time."""
+"""The final checks of what may be sent, repeated, accepted and closed, and the run-time rule monitor."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     return Product(effect, Place.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Place.NOWHERE, 1)
 
 
-def case(**changes: object) -> GuestRecord:
+def record(**changes: object) -> GuestRecord:
     made = GuestRecord(
         "g/0",
         "g",
@@ -43,53 +43,53 @@
 
 
 @pytest.mark.parametrize(
-    "in_hand,attempt,of,where,list_holds,denial",
+    "held,attempt,of,where,list_holds,denial",
     [
-        (case(), 0, EXCLUSIVE, listed(), True, None),
+        (record(), 0, EXCLUSIVE, listed(), True, None),
         (None, 0, EXCLUSIVE, listed(), True, Denial.OVER),
-        (case(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
-        (case(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
-        (case(attempt=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
-        (case(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
-        (case(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
-        (case(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
-        (case(may_have_run_since=1), 0, RERUNNABLE, listed(), True, None),
-        (case(offers=3), 0, RERUNNABLE, listed(), True, None),
-        (case(offers=4), 0, RERUNNABLE, listed(), True, Denial.TOO_MANY),
-        (case(due_at=50), 0, RERUNNABLE, listed(), True, Denial.OUT_OF_TIME),
-        (case(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (case(), 0, RERUNNABLE, listed(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
-        (case(), 0, RERUNNABLE, listed(), False, Denial.LIST_NOT_CURRENT),
+        (record(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
+        (record(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(attempt=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
+        (record(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
+        (record(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
+        (record(may_have_run_since=1), 0, RERUNNABLE, listed(), True, None),
+        (record(offers=3), 0, RERUNNABLE, listed(), True, None),
+        (record(offers=4), 0, RERUNNABLE, listed(), True, Denial.TOO_MANY),
+        (record(due_at=50), 0, RERUNNABLE, listed(), True, Denial.OUT_OF_TIME),
+        (record(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
+        (record(), 0, RERUNNABLE, listed(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (record(), 0, RERUNNABLE, listed(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
-def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
-    in_hand: GuestRecord | None,
+def test_an_offer_is_sent_only_if_all_its_preconditions_still_hold(
+    held: GuestRecord | None,
     attempt: int,
     of: Product,
     where: RosterMachine | None,
     list_holds: bool,
     denial: Denial | None,
 ) -> None:
-    assert offer_denied(50, in_hand, attempt, of, 4, where, list_holds) is denial
+    assert offer_denied(50, held, attempt, of, 4, where, list_holds) is denial
 
 
-def test_a_repeat_within_its_group_ends_with_its_window() -> None:
-    late = case(may_have_run_since=1, due_at=9000)
+def test_a_deduplicated_guest_is_not_repeated_after_its_window() -> None:
+    late = record(may_have_run_since=1, due_at=9000)
     assert offer_denied(1000, late, 0, TICKETED, 4, listed(), True) is None
     assert offer_denied(1001, late, 0, TICKETED, 4, listed(), True) is Denial.WINDOW_CLOSED
 
 
-def test_requests_and_connections() -> None:
+def test_submissions_and_connections() -> None:
     assert start_denied(stopping=False, is_held=False) is None
     assert start_denied(stopping=True, is_held=False) is Denial.STOPPING
     assert start_denied(stopping=False, is_held=True) is Denial.IN_HAND
     assert close_denied(0) is None and close_denied(1) is Denial.OWED
 
 
-# The check at run time.
+# The run-time rule monitor.
 
 
-def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
+def test_the_monitor_reports_each_violation_and_no_valid_guest() -> None:
     monitor = RuleMonitor(max_dispatches=2)
     once = Effect.EXCLUSIVE
     assert monitor.dispatch_sent("sound", "a", once, list_holds=True) == []
