--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -65,7 +65,7 @@
         record.machine = machine
         self._attach(record)
         self.brain.guest_found(now, machine, self._submission(record, 0))
-        self._task_event("moved", record, f"from {previous}, whose address it has")
+        self._guest_event("moved", record, f"from {previous}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
             self._verify_address_reuse(now, record)
--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -38,6 +38,7 @@
         self.counts: Counter[str] = Counter()
 
     def placed(self, now: int, guest: str) -> None:
+        """Counts a placed guest for the placement rate."""
         self._advance(now)
         self.bins[self.at % BIN_COUNT] += 1
         if guest in self.returned:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -85,7 +85,7 @@
         """The outstanding dispatch is over; the guest is held again, or answered by what follows."""
         self._detach(record)
         self.monitor.dispatch_ended(record.name, ending not in NEVER_RAN)
-        self._task_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
+        self._guest_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
         if ending not in NEVER_RAN:
             record.unsettled_machine, record.may_have_run_since = (
                 record.machine,
@@ -110,7 +110,7 @@
             self._dispatch_ended(now, record, Ending.CUT_OFF if record.sent else Ending.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
-        self._task_event("released", record, how)
+        self._guest_event("released", record, how)
         if how != "lost":  # one that cannot be reached may run on
             self._report_fact(now, record, "over", how)
         self._detach(record)
@@ -126,7 +126,7 @@
         """Withdraws a dispatch that is no longer awaited; its outcome is open until its machine reports."""
         if not record.sent:
             return
-        self._task_event("given_up", record)
+        self._guest_event("given_up", record)
         link = self.links.get(record.machine)
         if self.peers.reports_inventory:
             self._abandon_dispatch(now, record)
@@ -183,7 +183,7 @@
     ) -> None:
         """Answers each waiting submission, and keeps the answer for an owner that was disconnected."""
         self.counts["answers_" + message.__struct_config__.tag] += 1
-        self._task_event(
+        self._guest_event(
             "answered", record, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
         if not self.peers.owners_resubmit:
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -72,7 +72,7 @@
         After `decision_batch` decisions it returns, so that peers do not wait too long to be read; `next_at`
         then requests another pump at once.
         """
-        self._time_outs(now)
+        self._handle_timeouts(now)
         self._report_lease(now)
         for _ in range(self.decision_batch):
             decision = self.brain.decide(now)
@@ -104,7 +104,7 @@
             times.append(self.idle_check_at)  # silence is checked for although nothing happens
         return min(times, default=None)
 
-    def _time_outs(self, now: int) -> None:
+    def _handle_timeouts(self, now: int) -> None:
         self._exclude_pause(now)
         while self.overdue and self.overdue[0][0] <= now:
             _, name, attempt = heappop(self.overdue)
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -240,8 +240,8 @@
     def _ended_before_acceptance(self, now: int, record: GuestRecord) -> None:
         """The machine's answer is late, and the guest that it accepted is over.
 
-        The owner is told now: another dispatch under the same name would be answered "placed" after the end
-        of what was placed.
+        The owner is informed now: another dispatch under the same name would be answered "placed" after the
+        end of what was placed.
         """
         self.counts["over_before_answer"] += 1
         record.cancelled = True
@@ -276,7 +276,7 @@
             return
         link.inventory_known, link.lost_at, link.dial_at = True, 0, 0
         there = {(s.guest, s.ask): s for s in running.guests}
-        same_life = not link.previous_incarnation or link.previous_incarnation == link.incarnation
+        same_incarnation = not link.previous_incarnation or link.previous_incarnation == link.incarnation
         link.previous_incarnation = link.incarnation
         for name in list(link.guests):
             record = self.records[name]
@@ -300,7 +300,7 @@
                 self.brain.guest_runs(now, name)
             if item is None and record.placed:
                 self._guest_gone(now, record, "lost")
-            elif item is None and same_life and running.complete:
+            elif item is None and same_incarnation and running.complete:
                 self._never_arrived(now, record)
             elif item is None:
                 self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
@@ -319,8 +319,8 @@
             if item.state in ("runs", "accepted"):
                 self._guest_found(now, link, item)
             elif item.state == "ended" and item.how != "withdrawn" and item.guest not in self.newest_records:
-                # It ended while no planner was connected: its owner will query it, and must not be told that
-                # it is unknown.
+                # It ended while no planner was connected: its owner will query it, and must not get
+                # "unknown" as the answer.
                 self._record_end(now, item.guest, item.how)
         # What was to be sent there was decided without the guests that were found: guests of their services
         # are decided again.
@@ -375,4 +375,5 @@
 
 
 def load(report: m.Load | None) -> Load | None:
+    """The scheduler's form of a load that a machine reported, if it did."""
     return None if report is None else Load(report.cores_free, report.memory_free, report.busy)
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -35,8 +35,8 @@
             self._log_changes(now, changes)
         for name in changes.draining:  # what was not sent yet must not go there any more
             if link := self.links.get(name):
-                for case_name in list(link.queue):
-                    self._not_sent(now, self.records[case_name], Ending.NOT_SENT)
+                for record_name in list(link.queue):
+                    self._not_sent(now, self.records[record_name], Ending.NOT_SENT)
         for name in changes.moved:
             if name in self.links:
                 self.actions.append(HangUp(name))
--- a/hazelhold/engine/machine_incarnations.py
+++ b/hazelhold/engine/machine_incarnations.py
@@ -46,5 +46,5 @@
     if abs(nearest - started) <= CLOCK_TOLERANCE:
         return PreviousIncarnation(nearest, last)
     outlived = any(each.opened_at <= started < each.ended_at for each in ends)
-    speaks_since = link.state == "up" and link.opened_at <= started < link.heard_at
-    return PreviousIncarnation(last if outlived or speaks_since else started, last)
+    active_since = link.state == "up" and link.opened_at <= started < link.heard_at
+    return PreviousIncarnation(last if outlived or active_since else started, last)
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -84,8 +84,8 @@
 
     def is_idle(self) -> bool:
         """Whether nothing is awaited on this connection."""
-        still = self.state == "down" or self.state == "up" and self.inventory_known
-        return still and not (self.dial_at or self.lost_at)
+        is_settled = self.state == "down" or self.state == "up" and self.inventory_known
+        return is_settled and not (self.dial_at or self.lost_at)
 
 
 @dataclass
@@ -108,6 +108,7 @@
         self.machines: dict[str, RosterMachine] = {}
 
     def update(self, now: int, listing: Listing) -> RosterChanges:
+        """Applies a listing that was received at `now`; returns what it changed."""
         changes = RosterChanges()
         for entry in listing.entries:
             if entry.kind not in self.kinds and entry.machine not in self.machines:
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -58,6 +58,7 @@
         return found
 
     def dispatch_ended(self, guest: str, may_have_run: bool) -> None:
+        """Records that the outstanding dispatch of a guest has ended."""
         if account := self.accounts.get(guest):
             account.may_have_run = account.may_have_run or may_have_run
             account.outstanding_at = ""
@@ -71,4 +72,5 @@
         return []
 
     def forget(self, guest: str) -> None:
+        """Drops the account of a guest that is no longer held."""
         self.accounts.pop(guest, None)
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -218,7 +218,7 @@
         self.records[record.name] = self.newest_records[record.guest] = record
         self._verify_handed_over(record)
         self._attach(record)
-        self._task_event("handed_over", record)
+        self._guest_event("handed_over", record)
         self.brain.guest_found(now, machine, self._submission(record, submit.patience))
         link = self._dial(now, listed)
         link.heard_at = link.heard_at or now
@@ -244,6 +244,7 @@
                 self._send_owner(item.owner, ended)
 
     def is_placed(self, guest: str) -> bool:
+        """Whether the guest is held and placed on a machine."""
         record = self.newest_records.get(guest)
         return record is not None and record.placed
 
@@ -265,7 +266,7 @@
         max_dispatches, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
         if denial := offer_denied(now, record, offer.attempt, product, max_dispatches, listed, list_holds):
             self.denials[denial] += 1
-            self._task_event("held_back", record, denial.value)
+            self._guest_event("held_back", record, denial.value)
             return 0
         return record.due_at - now
 
@@ -277,7 +278,7 @@
         effect, list_holds = self.deployment.products[record.product].effect, self.lease.holds(now)
         self._violated(self.monitor.dispatch_sent(record.name, record.machine, effect, list_holds), record)
         as_of = self.lease.confirmed_as_of
-        self._task_event("sent", record, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
+        self._guest_event("sent", record, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
 
     def ready(self) -> bool:
         """Whether guests can be placed: some listed machine accepts them."""
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -41,9 +41,11 @@
         self.list_image: object = None
 
     def wall(self, at: int) -> int:
+        """The wall-clock time, in microseconds, of a time on the engine's clock; 0 stays 0."""
         return at + self.epoch if at else 0
 
     def listing_received(self, listing: m.Listing) -> None:
+        """Applies a listing to the copy of the list from which its image is made."""
         if listing.whole:
             self.entries.clear()
         for entry in listing.entries:
@@ -68,6 +70,7 @@
         return put("guest", name, self.image(engine, record)) if record else drop("guest", name)
 
     def image(self, engine: Tables, record: GuestRecord) -> GuestImage:
+        """The image of one guest, with its times on the wall clock."""
         s, known = record.submit, engine.brain.guests.get(record.name)
         unsettled_at = known.window_ends - known.product.window if known and known.may_run else 0
         sent = record.machine if record.sent else ""  # an offer that waits for its link was not sent
@@ -147,6 +150,7 @@
         return put("list", "", ListImage(engine.list_version, self.wall(now), entries))
 
     def learned(self, engine: Tables) -> Change:
+        """The image of what the scheduler has learned."""
         return put("learned", "", LearnedImage(self.epoch, engine.brain.learned()))
 
 
@@ -217,6 +221,7 @@
 
 
 def record_of(engine: Tables, image: GuestImage) -> GuestRecord:
+    """The record of a guest from its image, without its placement."""
     submit = m.Submit(
         guest=image.guest,
         ask=image.ask,
--- a/hazelhold/engine/records.py
+++ b/hazelhold/engine/records.py
@@ -149,7 +149,13 @@
 
 
 class Claims(Protocol):
-    """Agreement on claims for guests that must not run twice (`hazelhold.replica.gate`)."""
+    """Agreement on claims for guests that must not run twice (`hazelhold.replica.gate`).
+
+    `begin` is called once before any other method. `may_dispatch` returns whether a dispatch may be sent now; if
+    not, its claim is proposed, and `proposal_ended` returns the verdicts that follow. `mine` returns whether a
+    claim is of this run of the planner. `report_fact` and `release` inform the other planners of what became of
+    a guest, and of a claim under which nothing ran. `query` requests the agreed value for a guest.
+    """
 
     wanted: list  # proposals to make; emptied by the engine
 
--- a/hazelhold/engine/settings.py
+++ b/hazelhold/engine/settings.py
@@ -38,6 +38,7 @@
 
 
 def engine_settings(config: PlannerConfig) -> EngineSettings:
+    """The engine's settings from a planner's configuration."""
     estate = config.estate
     return EngineSettings(
         deployment(config),
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -52,7 +52,7 @@
     epoch: int
     changed_keys: dict[tuple[str, str], None]
 
-    def proposal_ended(self, listing: m.Listing) -> None: ...
+    def listing_received(self, listing: m.Listing) -> None: ...
 
     def flush(self, tables: "Tables", now: int) -> list[Change]: ...
 
@@ -63,16 +63,16 @@
     """The state of one planner, and steps on it that make no decisions."""
 
     def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
-        terms = config if isinstance(config, EngineSettings) else engine_settings(config)
-        self.limits, self.peers, self.deployment = terms.limits, terms.peers, terms.deployment
+        settings = config if isinstance(config, EngineSettings) else engine_settings(config)
+        self.limits, self.peers, self.deployment = settings.limits, settings.peers, settings.deployment
         self.brain = Brain(seed, self.deployment)
         # Decisions in one pump; a host that is behind lowers it.
         self.decision_batch = self.limits.decisions_at_once
         self.actions: list[Action] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
-        self.products = {name: at for at, name in enumerate(terms.products)}
-        self.customers = {name: at for at, name in enumerate(terms.customers)}
-        self.roster = Roster({name: at for at, name in enumerate(terms.kinds)})
+        self.products = {name: at for at, name in enumerate(settings.products)}
+        self.customers = {name: at for at, name in enumerate(settings.customers)}
+        self.roster = Roster({name: at for at, name in enumerate(settings.kinds)})
         # By the scheduler's name; emptied by a guest's end or final answer.
         self.records: dict[str, GuestRecord] = {}
         self.newest_records: dict[str, GuestRecord] = {}  # by guest; emptied with records
@@ -128,17 +128,19 @@
         """Makes this planner number `slot` of `planners` that share the fleet."""
         self.deployment = self.brain.deployment = self.deployment._replace(planners=planners, slot=slot)
 
-    def reconfigure(self, terms: EngineSettings) -> None:
+    def reconfigure(self, settings: EngineSettings) -> None:
         """Continues with new settings.
 
         Existing guest classes keep their positions and what held guests were decided by; new ones may follow
         them. Machine kinds and this planner's share of the fleet stay the same. New guests are accepted by
         the new settings; limits on dispatches apply to all guests at once.
         """
-        facts = terms.deployment._replace(planners=self.deployment.planners, slot=self.deployment.slot)
-        self.deployment = self.brain.deployment = facts
-        self.products = {name: at for at, name in enumerate(terms.products)}
-        self.customers = {name: at for at, name in enumerate(terms.customers)}
+        deployment = settings.deployment._replace(
+            planners=self.deployment.planners, slot=self.deployment.slot
+        )
+        self.deployment = self.brain.deployment = deployment
+        self.products = {name: at for at, name in enumerate(settings.products)}
+        self.customers = {name: at for at, name in enumerate(settings.customers)}
 
     def _mark_changed(self, kind: str, *key: object) -> None:
         if self.persistence is not None:
@@ -196,7 +198,7 @@
 
     # Log events and run-time checks.
 
-    def _task_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
+    def _guest_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
         self.events.append(GuestEvent(change, record.guest, record.attempt, record.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
@@ -278,10 +280,8 @@
             or link.state != "up"
             or link.queue
             or link.machine in self.probes
-            or (link.machine not in self.roster.machines)
-            or (  # it could not be dialled again
-                now - max(link.used_at, link.heard_at, link.opened_at) <= micros(self.limits.idle_close_ms)
-            )
+            or (link.machine not in self.roster.machines)  # it could not be dialled again
+            or (now - max(link.used_at, link.heard_at, link.opened_at) <= micros(self.limits.idle_close_ms))
         ):
             return
         if all(self.records[name].placed or not self.records[name].sent for name in link.guests):
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -113,7 +113,7 @@
 
     def _end_guest(self, now: int, record: GuestRecord) -> None:
         self.counts["found_unvouched"] += 1
-        self._task_event("unvouched", record)
+        self._guest_event("unvouched", record)
         self._send_about_guest(
             now, record.machine, m.Stop(guest=record.guest, ask=record.ask, attempt=record.attempt)
         )
