--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -60,8 +60,8 @@
         self._answer(
             now,
             record,
-            m.TurnedBack(guest=record.guest, ask=record.ask, reason=reason, again_after=later),
-            record.asks,
+            m.TurnedBack(guest=record.guest, ask=record.submission_number, reason=reason, again_after=later),
+            record.unanswered_submissions,
         )
         self._forget(record)
 
@@ -72,11 +72,14 @@
         """
         self.counts["claimed_elsewhere"] += 1
         self._drop_guest(now, record)
-        guest, ask, owner = record.guest, record.ask, record.owner
+        guest, ask, owner = record.guest, record.submission_number, record.owner
         who = claim.planner
         if claim.state in ("placed", "over"):
             self._answer(
-                now, record, m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who), record.asks
+                now,
+                record,
+                m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who),
+                record.unanswered_submissions,
             )
             if claim.state == "over":
                 self._record_end(now, guest, claim.how)
@@ -85,7 +88,7 @@
                 )
         else:
             answer = m.BrokenOff(guest=guest, ask=ask, reason="claimed", planner=who)
-            self._answer(now, record, answer, record.asks)
+            self._answer(now, record, answer, record.unanswered_submissions)
         self._forget(record)
 
     def _drop_guest(self, now: int, record: GuestRecord) -> None:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -15,8 +15,8 @@
     """Sends guests to machines and handles the ends of their dispatches."""
 
     def _dispatch(self, now: int, record: GuestRecord, machine: str, timeout: int) -> None:
-        record.attempt, record.machine, record.sent, record.withdrawn = (
-            record.attempt + 1,
+        record.dispatch_number, record.machine, record.sent, record.withdrawn = (
+            record.dispatch_number + 1,
             machine,
             False,
             False,
@@ -37,14 +37,20 @@
     def _offer(self, now: int, record: GuestRecord) -> None:
         link, submit = self.links[record.machine], record.submit
         if self._needs_claim(record) and not self.claims.may_dispatch(
-            now, record.name, record.guest, record.ask, record.attempt, record.machine, record.claim
+            now,
+            record.name,
+            record.guest,
+            record.submission_number,
+            record.dispatch_number,
+            record.machine,
+            record.claim,
         ):
             link.queue[record.name] = None  # it is sent once its claim is agreed
             self._take_proposals()
             return
         if (
             abandoned := self.abandoned.get(record.guest, {}).get(record.machine)
-        ) and abandoned.record.ask == record.ask:
+        ) and abandoned.record.submission_number == record.submission_number:
             # The machine treats a new dispatch of it as the old one.
             self._forget_abandoned(record.guest, record.machine)
         link.queue.pop(record.name, None)
@@ -60,8 +66,8 @@
             record.machine,
             m.Offer(
                 guest=record.guest,
-                ask=record.ask,
-                attempt=record.attempt,
+                ask=record.submission_number,
+                attempt=record.dispatch_number,
                 product=submit.product,
                 service=submit.service,
                 cores=submit.cores,
@@ -119,7 +125,8 @@
         if self.peers.owners_resubmit:
             self._record_end(now, record.guest, how)
         self._send_owner(
-            record.owner, m.GuestEnded(guest=record.guest, ask=record.ask, how=how, machine=record.machine)
+            record.owner,
+            m.GuestEnded(guest=record.guest, ask=record.submission_number, how=how, machine=record.machine),
         )
 
     def _withdraw_dispatch(self, now: int, record: GuestRecord) -> None:
@@ -132,12 +139,13 @@
             self._abandon_dispatch(now, record)
         if link and link.state == "up":
             self._send_machine(
-                record.machine, m.Withdraw(guest=record.guest, ask=record.ask, attempt=record.attempt)
+                record.machine,
+                m.Withdraw(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
             )
 
     def _abandon_dispatch(self, now: int, record: GuestRecord) -> None:
         self.abandoned.setdefault(record.guest, {})[record.machine] = AbandonedDispatch(
-            record, record.attempt, record.machine, record.sent_at, recheck_at=now + 1_000_000
+            record, record.dispatch_number, record.machine, record.sent_at, recheck_at=now + 1_000_000
         )
         self._mark_changed("loose", record.guest, record.machine)
 
@@ -150,13 +158,19 @@
                 self._not_sent(now, record, Ending.NOT_SENT)
             elif up:
                 kind = m.Stop if record.placed else m.Withdraw
-                self._send_machine(machine, kind(guest=record.guest, ask=record.ask, attempt=record.attempt))
+                self._send_machine(
+                    machine,
+                    kind(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
+                )
                 record.withdrawn = True
             return
         guest = record.guest if record else name.rpartition("/")[0]
         if (abandoned := self.abandoned.get(guest, {}).get(machine)) and up:
             self._send_machine(
-                machine, m.Stop(guest=guest, ask=abandoned.record.ask, attempt=abandoned.attempt)
+                machine,
+                m.Stop(
+                    guest=guest, ask=abandoned.record.submission_number, attempt=abandoned.dispatch_number
+                ),
             )
 
     def _final_answer(self, now: int, record: GuestRecord, message: m.TurnedBack | m.BrokenOff) -> None:
@@ -175,7 +189,7 @@
             self.brain.dispatch_ended(now, record.name, Ending.OVERDUE, True, Remark.NONE)
             self.monitor.dispatch_ended(record.name, may_have_run=record.sent)
             record.machine = ""
-        self._answer(now, record, message, record.asks)
+        self._answer(now, record, message, record.unanswered_submissions)
         self._forget(record)
 
     def _answer(
@@ -200,7 +214,7 @@
                 self.answers.move_to_end((record.guest, ask))
                 self._mark_changed("answer", record.guest, ask)
             self._send_owner(record.owner, answer)
-        record.asks = {}
+        record.unanswered_submissions = {}
         self._mark_changed("guest", record.name)
 
     def _late_acceptance(self, now: int, abandoned: AbandonedDispatch) -> None:
@@ -226,19 +240,22 @@
             if held and held.machine or not (mine and mine.placed):
                 continue
             self._forget_abandoned(guest, abandoned.machine)
-            record.ask, record.machine, record.attempt = (
-                abandoned.record.ask,
+            record.submission_number, record.machine, record.dispatch_number = (
+                abandoned.record.submission_number,
                 abandoned.machine,
-                abandoned.attempt,
+                abandoned.dispatch_number,
             )
             record.sent, record.placed, record.sent_at = True, True, abandoned.sent_at
             self._report_fact(now, record, "placed")
             self.records[record.name] = self.newest_records[guest] = record
             self._attach(record)
             self._mark_changed("guest", record.name)
-            if record.asks:
+            if record.unanswered_submissions:
                 self._answer(
-                    now, record, m.Placed(guest=guest, ask=record.ask, machine=record.machine), record.asks
+                    now,
+                    record,
+                    m.Placed(guest=guest, ask=record.submission_number, machine=record.machine),
+                    record.unanswered_submissions,
                 )
             if record.cancelled:
                 self.brain.guest_cancelled(now, record.name)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -58,7 +58,7 @@
             record
             and record.sent
             and not record.placed
-            and (record.ask, record.attempt) == (offer.ask, offer.attempt)
+            and (record.submission_number, record.dispatch_number) == (offer.ask, offer.attempt)
         ):
             if self.deployment.list_lease:
                 self.brain.dispatch_held_back(now, record.name)
@@ -107,9 +107,9 @@
     def _handle_timeouts(self, now: int) -> None:
         self._exclude_pause(now)
         while self.overdue and self.overdue[0][0] <= now:
-            _, name, attempt = heappop(self.overdue)
+            _, name, dispatch_number = heappop(self.overdue)
             record = self.records.get(name)
-            if record and record.machine and not record.placed and record.attempt == attempt:
+            if record and record.machine and not record.placed and record.dispatch_number == dispatch_number:
                 if record.sent:
                     self._withdraw_dispatch(now, record)
                     self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
@@ -175,12 +175,22 @@
             why = "cancelled" if record.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if record.cancelled else self._retry_after(now, record.guest, timeout)
             self._final_answer(
-                now, record, m.TurnedBack(guest=record.guest, ask=record.ask, reason=why, again_after=later)
+                now,
+                record,
+                m.TurnedBack(guest=record.guest, ask=record.submission_number, reason=why, again_after=later),
             )
         elif step is Step.BREAK_OFF:
             record = self.records[name]
-            why = "cancelled" if record.cancelled else "may_have_run" if record.attempt >= 0 else "no_machine"
-            self._final_answer(now, record, m.BrokenOff(guest=record.guest, ask=record.ask, reason=why))
+            why = (
+                "cancelled"
+                if record.cancelled
+                else "may_have_run"
+                if record.dispatch_number >= 0
+                else "no_machine"
+            )
+            self._final_answer(
+                now, record, m.BrokenOff(guest=record.guest, ask=record.submission_number, reason=why)
+            )
         elif step is Step.CALL_OFF:
             self._withdraw(now, name, machine)
         elif step is Step.PROBE:
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -168,7 +168,7 @@
                 and record.sent
                 and (
                     not self.peers.identifies_dispatches
-                    or (record.ask, record.attempt) == (message.ask, message.attempt)
+                    or (record.submission_number, record.dispatch_number) == (message.ask, message.attempt)
                 )
             ):
                 self._dispatch_message(now, record, message)
@@ -198,11 +198,11 @@
                 record,
                 m.Placed(
                     guest=record.guest,
-                    ask=record.ask,
+                    ask=record.submission_number,
                     machine=record.machine,
                     description=getattr(message, "description", b""),
                 ),
-                record.asks,
+                record.unanswered_submissions,
             )
             if record.sent_unconfirmed and (link := self.links.get(record.machine)) and link.successor:
                 self._move_guest(now, record, link.successor)
@@ -251,7 +251,7 @@
     def _abandoned_message(self, now: int, machine: str, message: m.Offered) -> None:
         """A message about a dispatch that was abandoned, or about an unknown guest."""
         abandoned = self.abandoned.get(message.guest, {}).get(machine)
-        if abandoned is None or abandoned.record.ask != message.ask:
+        if abandoned is None or abandoned.record.submission_number != message.ask:
             if isinstance(message, m.Ended) and (item := self.waiting_handovers.pop(message.guest, None)):
                 self.counts["found_ended"] += 1
                 if not item.ended:
@@ -280,22 +280,26 @@
         link.previous_incarnation = link.incarnation
         for name in list(link.guests):
             record = self.records[name]
-            item = there.pop((record.guest, record.ask), None)
+            item = there.pop((record.guest, record.submission_number), None)
             if not record.sent:
                 continue
             if item and item.state == "line" and record.cancelled:
                 self._withdraw(now, name, link.machine)
             if item and item.state == "ended":
                 if not record.placed and item.how != "withdrawn":  # accepted while no planner was connected
-                    self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.ask))
-                self._dispatch_message(now, record, m.Ended(guest=record.guest, ask=record.ask, how=item.how))
+                    self._dispatch_message(
+                        now, record, m.Taken(guest=record.guest, ask=record.submission_number)
+                    )
+                self._dispatch_message(
+                    now, record, m.Ended(guest=record.guest, ask=record.submission_number, how=item.how)
+                )
             elif (
                 item
                 and item.state != "line"
                 and not record.placed
                 and not (item.state == "accepted" and self.deployment.confirms_running)
             ):
-                self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.ask))
+                self._dispatch_message(now, record, m.Taken(guest=record.guest, ask=record.submission_number))
             if item and item.state == "runs":
                 self.brain.guest_runs(now, name)
             if item is None and record.placed:
@@ -306,7 +310,7 @@
                 self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
         for guest in [g for g, by in self.abandoned.items() if link.machine in by]:
             abandoned = self.abandoned[guest][link.machine]
-            item = there.pop((guest, abandoned.record.ask), None)
+            item = there.pop((guest, abandoned.record.submission_number), None)
             if item is None or item.state == "ended":
                 self._forget_abandoned(guest, link.machine)
             elif item.state == "line":
@@ -351,7 +355,7 @@
         name = f"{item.guest}/{item.ask}"
         self.counts["found"] += 1
         record = GuestRecord(name, item.guest, item.ask, item.owner, self.products[item.product], item)
-        record.attempt, record.sent_at = item.attempt, now
+        record.dispatch_number, record.sent_at = item.attempt, now
         held = self.newest_records.get(item.guest)
         # Outstanding or placed elsewhere: one copy too many.
         if held and held.machine or name in self.records:
@@ -363,7 +367,12 @@
         record.machine, record.sent, record.placed = link.machine, True, True
         if held:  # submitted again while its planner was away: the running guest is the answer
             self.brain.guest_left(now, held.name)
-            self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
+            self._answer(
+                now,
+                held,
+                m.Placed(guest=held.guest, ask=held.submission_number, machine=link.machine),
+                held.unanswered_submissions,
+            )
             del self.records[held.name]
             self._mark_changed("guest", held.name)
         self.records[name] = self.newest_records[item.guest] = record
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -121,7 +121,9 @@
                 self._send_machine(
                     abandoned.machine,
                     m.Withdraw(
-                        guest=abandoned.record.guest, ask=abandoned.record.ask, attempt=abandoned.attempt
+                        guest=abandoned.record.guest,
+                        ask=abandoned.record.submission_number,
+                        attempt=abandoned.dispatch_number,
                     ),
                 )
         elif listed := self.roster.machines.get(abandoned.machine):
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -48,7 +48,7 @@
             if record.placed:
                 self._answer(now, record, m.Placed(guest=guest, ask=ask, machine=record.machine), [ask])
             else:
-                record.asks[ask] = None
+                record.unanswered_submissions[ask] = None
                 self._send_owner(owner, m.Held(guest=guest, ask=ask))
             return
         if past := self.answers.get((guest, ask)):
@@ -153,7 +153,9 @@
         self.counts["left_placed" if record.placed else "left_open"] += 1
         if record.placed:
             self._send_about_guest(
-                now, record.machine, m.Stop(guest=guest, ask=record.ask, attempt=record.attempt)
+                now,
+                record.machine,
+                m.Stop(guest=guest, ask=record.submission_number, attempt=record.dispatch_number),
             )
         elif record.machine:
             self._withdraw_dispatch(now, record)
@@ -207,7 +209,7 @@
             owner,
             self.products[submit.product],
             submit,
-            attempt=0,
+            dispatch_number=0,
             machine=machine,
             sent=True,
             sent_at=now,
@@ -259,7 +261,7 @@
         0 if the offer must not be sent any more; the reason is counted and logged.
         """
         record = self.newest_records.get(offer.guest)
-        if record is None or record.ask != offer.ask:
+        if record is None or record.submission_number != offer.ask:
             self.denials[Denial.OVER] += 1
             return 0
         product, listed = self.deployment.products[record.product], self.roster.machines.get(record.machine)
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -46,7 +46,7 @@
     """
     if record is None or record.placed:
         return Denial.OVER
-    if not record.sent or record.attempt != dispatch_number:
+    if not record.sent or record.dispatch_number != dispatch_number:
         return Denial.OTHER_ATTEMPT
     if record.cancelled:
         return Denial.CANCELLED
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -77,17 +77,17 @@
         return GuestImage(
             record.name,
             record.guest,
-            record.ask,
+            record.submission_number,
             record.owner,
             s.product,
             s.service,
             s.cores,
             s.memory,
             self.wall(known.patience_at) if known and not record.placed else 0,
-            tuple(record.asks),
+            tuple(record.unanswered_submissions),
             s.customer,
             getattr(s, "life", 0),
-            record.attempt,
+            record.dispatch_number,
             known.dispatches if known else 0,
             sent,
             record.incarnation,
@@ -109,7 +109,9 @@
         return put(
             "loose",
             key,
-            LooseImage(image, machine, abandoned.attempt, self.wall(abandoned.sent_at), abandoned.accepted),
+            LooseImage(
+                image, machine, abandoned.dispatch_number, self.wall(abandoned.sent_at), abandoned.accepted
+            ),
         )
 
     def _answer(self, engine: Tables, now: int, key: str) -> Change | None:
@@ -165,13 +167,15 @@
     epoch = persistence.epoch
     engine.recovery_complete = complete
     for image in ledger.images("list"):
-        heard = min(now, image.heard_at - epoch)
+        received_at = min(now, image.heard_at - epoch)
         listing = m.Listing(version=0, whole=True, entries=image.entries)
         persistence.listing_received(listing)
         # The last state of the list may never have been stored: nothing is sent before the list reports
         # again.
-        listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.update(heard, listing).listed]
-        engine.brain.machines_listed(heard, listed, True)
+        listed = [
+            each._replace(mode=Mode.CORDONED) for each in engine.roster.update(received_at, listing).listed
+        ]
+        engine.brain.machines_listed(received_at, listed, True)
         engine.unreported_machines = {f.name for f in engine.roster.machines.values()}
     past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in ledger.images("learned"):
@@ -180,9 +184,9 @@
         engine.brain.remembered(now, past, complete)
     for image in ledger.images("cold"):
         engine.brain.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
-    cases = [image for image in ledger.images("guest") if image.product in engine.products]
-    counts["of_unknown_products"] = ledger.sizes()["guest"] - len(cases)
-    for image in sorted(cases, key=lambda i: (i.placed, i.ask, i.name)):
+    guest_images = [image for image in ledger.images("guest") if image.product in engine.products]
+    counts["of_unknown_products"] = ledger.sizes()["guest"] - len(guest_images)
+    for image in sorted(guest_images, key=lambda i: (i.placed, i.ask, i.name)):
         _recover_record(engine, now, image, epoch, complete)
     for image in ledger.images("loose"):
         if image.case.product in engine.products:
--- a/hazelhold/engine/records.py
+++ b/hazelhold/engine/records.py
@@ -71,12 +71,13 @@
 
     name: str
     guest: str
-    ask: int  # the number of the submission that is sent to machines
+    submission_number: int  # of the submission that is sent to machines
     owner: str
     product: int
     submit: m.Submit | m.Stand
-    asks: dict[int, None] = field(default_factory=dict)  # submissions that await an answer; emptied by it
-    attempt: int = -1
+    # Submissions that await an answer; emptied by it.
+    unanswered_submissions: dict[int, None] = field(default_factory=dict)
+    dispatch_number: int = -1
     machine: str = ""  # where a dispatch is outstanding, or where the guest is placed
     sent: bool = False  # the offer was sent
     sent_at: int = 0
@@ -100,7 +101,7 @@
     """A dispatch that was given up although its machine may have accepted it."""
 
     record: GuestRecord
-    attempt: int
+    dispatch_number: int
     machine: str
     sent_at: int
     accepted: bool = False  # the machine has reported that it accepted the guest
@@ -151,10 +152,11 @@
 class Claims(Protocol):
     """Agreement on claims for guests that must not run twice (`hazelhold.replica.gate`).
 
-    `begin` is called once before any other method. `may_dispatch` returns whether a dispatch may be sent now; if
-    not, its claim is proposed, and `proposal_ended` returns the verdicts that follow. `mine` returns whether a
-    claim is of this run of the planner. `report_fact` and `release` inform the other planners of what became of
-    a guest, and of a claim under which nothing ran. `query` requests the agreed value for a guest.
+    `begin` is called once before any other method. `may_dispatch` returns whether a dispatch may be sent now;
+    if not, its claim is proposed, and `proposal_ended` returns the verdicts that follow. `mine` returns
+    whether a claim is of this run of the planner. `report_fact` and `release` inform the other planners of
+    what became of a guest, and of a claim under which nothing ran. `query` requests the agreed value for a
+    guest.
     """
 
     wanted: list  # proposals to make; emptied by the engine
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -107,7 +107,7 @@
         # By guest: the machine that reported on it while it was not held; emptied by its handover and by
         # number.
         self.recently_reported: OrderedDict[str, str] = OrderedDict()
-        self.list_taken = True  # whether the scheduler was last told that the list is current
+        self.list_taken = True  # whether the scheduler was last informed that the list is current
         self.monitor = RuleMonitor(self.deployment.max_dispatches)
         # By name: guests handed over on machines that the list lacks while it is not confirmed.
         # Emptied by the list, the owner and the guest's end.
@@ -161,7 +161,7 @@
     def _report_fact(self, now: int, record: GuestRecord, state: str, how: str = "") -> None:
         """Reports to the other planners what became of a claimed guest."""
         if self._needs_claim(record):
-            self.claims.report_fact(now, record.guest, record.ask, state, record.machine, how)
+            self.claims.report_fact(now, record.guest, record.submission_number, state, record.machine, how)
             self._take_proposals()
 
     def _release(self, now: int, guest: str, claim: bytes) -> None:
@@ -171,7 +171,7 @@
 
     def _set_dispatch_timeout(self, due: int, record: GuestRecord) -> None:
         record.due_at = due
-        heappush(self.overdue, (due, record.name, record.attempt))
+        heappush(self.overdue, (due, record.name, record.dispatch_number))
 
     def _submission(self, record: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
         s = record.submit
@@ -199,7 +199,7 @@
     # Log events and run-time checks.
 
     def _guest_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
-        self.events.append(GuestEvent(change, record.guest, record.attempt, record.machine, reason))
+        self.events.append(GuestEvent(change, record.guest, record.dispatch_number, record.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
         self.events.append(MachineEvent(change, machine, reason))
--- a/hazelhold/engine/verification.py
+++ b/hazelhold/engine/verification.py
@@ -68,10 +68,10 @@
             if self.records[name].placed and name not in self.verifications:
                 self._verify_after_reset(now + 1, self.records[name], VerificationCause.RESET)
 
-    def _unknown_guest_reported(self, machine: str, task: str) -> None:
+    def _unknown_guest_reported(self, machine: str, guest: str) -> None:
         """A machine has reported on a guest that is not held, and that may be handed over next."""
-        self.recently_reported[task] = machine
-        self.recently_reported.move_to_end(task)
+        self.recently_reported[guest] = machine
+        self.recently_reported.move_to_end(guest)
         if len(self.recently_reported) > MAX_RECENTLY_REPORTED:
             self.recently_reported.popitem(last=False)
 
@@ -115,7 +115,9 @@
         self.counts["found_unvouched"] += 1
         self._guest_event("unvouched", record)
         self._send_about_guest(
-            now, record.machine, m.Stop(guest=record.guest, ask=record.ask, attempt=record.attempt)
+            now,
+            record.machine,
+            m.Stop(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
         )
         self._guest_gone(now, record, "lost")
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -334,7 +334,7 @@
     first = [offer.guest for offer in harness.sent(m.Offer)]
     harness.run(500 * MS)
     assert (
-        first[0] == "h" and harness.engine.records["g/0"].attempt == 1
+        first[0] == "h" and harness.engine.records["g/0"].dispatch_number == 1
     )  # g was decided again, knowing of old
 
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -28,7 +28,7 @@
         0,
         m.Submit(guest="g", product="p", service="s", cores=1.0, memory=1.0, patience=1),
     )
-    made.sent, made.attempt, made.due_at = True, 0, 100
+    made.sent, made.dispatch_number, made.due_at = True, 0, 100
     for name, value in changes.items():
         setattr(made, name, value)
     return made
@@ -43,13 +43,13 @@
 
 
 @pytest.mark.parametrize(
-    "held,attempt,of,where,list_holds,denial",
+    "held,dispatch_number,of,where,list_holds,denial",
     [
         (record(), 0, EXCLUSIVE, listed(), True, None),
         (None, 0, EXCLUSIVE, listed(), True, Denial.OVER),
         (record(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
         (record(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
-        (record(attempt=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(dispatch_number=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
         (record(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
         (record(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
         (record(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
@@ -64,13 +64,13 @@
 )
 def test_an_offer_is_sent_only_if_all_its_preconditions_still_hold(
     held: GuestRecord | None,
-    attempt: int,
+    dispatch_number: int,
     of: Product,
     where: RosterMachine | None,
     list_holds: bool,
     denial: Denial | None,
 ) -> None:
-    assert offer_denied(50, held, attempt, of, 4, where, list_holds) is denial
+    assert offer_denied(50, held, dispatch_number, of, 4, where, list_holds) is denial
 
 
 def test_a_deduplicated_guest_is_not_repeated_after_its_window() -> None:
