--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -1,8 +1,8 @@
 """A server's process dies and restarts at once under its name and address; the list shows it later.
 
 Guests sent to the old process are over and have to be released, those sent to the new one are placed. The
-planner distinguished them by the start time in the list and the wall clock of its own machine. With a clock 5
-s behind, all guests sent to the new process before the list showed it were released while they ran; with a
+planner distinguished them by the start time in the list and the wall clock of its own machine. With a clock that
+is 5 s behind, all guests sent to the new process before the list showed it were released while they ran; with a
 clock that is ahead, those of the old process were never released. Nor were guests that a client handed over:
 they counted as sent at their handover, after the restart.
 """
@@ -40,18 +40,18 @@
         if self.stepped:
             self.schedule.shims = [ShimPlan(1, [ClockStep(-1000.0, self.stepped)], [])]
 
-    async def place(self, tasks: int) -> None:
-        """Waits until `tasks` guests that their clients know as placed are on the first server."""
+    async def place(self, guests: int) -> None:
+        """Waits until so many guests that their clients know as placed are on the first server."""
         for server in self.servers:
             server.task_life = LONG_RUN
-        await until(lambda: placed_on(self.servers[0], self) >= tasks)
+        await until(lambda: placed_on(self.servers[0], self) >= guests)
 
     async def restart_server(self) -> float:
         """Restarts the first server; returns the Unix time of its new start."""
         await self.servers[0].restart()
         return time.time()
 
-    def tell_restart(self, born: float) -> None:
+    def report_restart(self, born: float) -> None:
         server: Server = self.servers[0]
         server.started_wall = born
         server.life.told_restart = time.monotonic()
@@ -83,7 +83,7 @@
         born = await incident.restart_server()
         await until(lambda: placed_on(incident.servers[0], incident) >= 3)
         await trio.sleep(max(0.0, born + NOTICE - time.time()))
-        incident.tell_restart(born)
+        incident.report_restart(born)
         await incident.until_all_is_due()
         assert released(incident) >= 5 and placed_on(incident.servers[0], incident) >= 3
 
@@ -104,12 +104,12 @@
         incident.its_clients.planner_died()
         born = await incident.restart_server()
         if shown == "before the start":
-            incident.tell_restart(born)
+            incident.report_restart(born)
         incident.planner.start(incident.servers)
         assert await incident.planner.until_ready()
         await incident.its_clients.hand_over()
         if shown == "after the handover":
-            incident.tell_restart(born)
+            incident.report_restart(born)
         await incident.until_all_is_due()
         assert released(incident) >= 5
         assert sum(placed_on(server, incident) for server in incident.servers[1:]) >= 5
@@ -131,7 +131,7 @@
         incident.planner.start(incident.servers)
         assert await incident.planner.until_ready()
         await incident.its_clients.hand_over()
-        incident.tell_restart(born)
+        incident.report_restart(born)
         await incident.until_all_is_due()
         assert released(incident) >= 5
 
