--- a/tests/test_fault_server_restart.py
+++ b/tests/test_fault_server_restart.py
@@ -1,10 +1,10 @@
 """A server's process dies and restarts at once under its name and address; the list shows it later.
 
 Guests sent to the old process are over and have to be released, those sent to the new one are placed. The
-planner distinguished them by the start time in the list and the wall clock of its own machine. With a clock that
-is 5 s behind, all guests sent to the new process before the list showed it were released while they ran; with a
-clock that is ahead, those of the old process were never released. Nor were guests that a client handed over:
-they counted as sent at their handover, after the restart.
+planner distinguished them by the start time in the list and the wall clock of its own machine. With a clock
+that is 5 s behind, all guests sent to the new process before the list showed it were released while they ran;
+with a clock that is ahead, those of the old process were never released. Nor were guests that a client handed
+over: they counted as sent at their handover, after the restart.
 """
 
 import time
