--- a/hazelhold/engine/admission.py
+++ b/hazelhold/engine/admission.py
@@ -23,10 +23,10 @@
 
 
 class RetryAdvisor:
-    """Advises refused guests when to return. `least` and `most` bound the waits, in microseconds."""
+    """Advises refused guests when to return. `min_wait` and `max_wait` bound the waits, in microseconds."""
 
-    def __init__(self, least: int, most: int, random: Random) -> None:
-        self.least, self.most, self.random = least, most, random
+    def __init__(self, min_wait: int, max_wait: int, random: Random) -> None:
+        self.min_wait, self.max_wait, self.random = min_wait, max_wait, random
         self.bins = [0] * BIN_COUNT
         self.at = 0
         # By guest: when it may return; emptied by age.
@@ -64,10 +64,10 @@
             delay = self.assigned_until - now
         else:
             delay = INITIAL_WAIT * self.random.uniform(0.8, 1.2)
-        if delay > self.most:  # more guests than slots: a random time in the later half
-            self.assigned_until = min(self.assigned_until, now + self.most)
-            delay = self.most * self.random.uniform(0.5, 1.0)
-        wait = int(max(self.least * self.random.uniform(1.0, 1.2), delay))
+        if delay > self.max_wait:  # more guests than slots: a random time in the later half
+            self.assigned_until = min(self.assigned_until, now + self.max_wait)
+            delay = self.max_wait * self.random.uniform(0.5, 1.0)
+        wait = int(max(self.min_wait * self.random.uniform(1.0, 1.2), delay))
         self.return_times[guest] = now + wait
         self.return_times.move_to_end(guest)
         if len(self.return_times) > KNOWN:
@@ -125,18 +125,18 @@
     Connections refused together so return at the rate at which they can be admitted.
     """
 
-    def __init__(self, rate: float, burst: int, at_once: int, most: int, random: Random) -> None:
+    def __init__(self, rate: float, burst: int, max_greeting: int, max_wait: int, random: Random) -> None:
         self.gap = SECOND / rate
-        self.burst, self.at_once, self.most, self.random = burst, at_once, most, random
+        self.burst, self.max_greeting, self.max_wait, self.random = burst, max_greeting, max_wait, random
         self.full_at = 0.0  # when the rate budget of all admitted connections is used up
         self.assigned_until = 0.0  # up to when return times are assigned
 
-    def window(self, least: int, owners: int) -> int:
+    def window(self, min_window: int, owners: int) -> int:
         """Microseconds over which so many owners should spread their return to be admitted as they come.
 
         Twice what the rate needs, since some reach the planner only at their second try.
         """
-        return max(least, int(2 * owners * self.gap))
+        return max(min_window, int(2 * owners * self.gap))
 
     def admits(self, now: int, greeting: int = 0) -> int:
         """0 if the connection is admitted, else the microseconds after which to return.
@@ -144,11 +144,11 @@
         `greeting` is how many other connections have not sent Hello yet.
         """
         start = max(self.full_at, now)
-        if greeting < self.at_once and start - now <= (self.burst - 1) * self.gap:
+        if greeting < self.max_greeting and start - now <= (self.burst - 1) * self.gap:
             self.full_at = start + self.gap
             return 0
         self.assigned_until = max(self.assigned_until, now + self.gap * self.burst) + self.gap
-        if self.assigned_until - now > self.most:  # more connections than return times: a random time
-            self.assigned_until = now + self.most
-            return max(1, int(self.random.uniform(self.gap, self.most)))
+        if self.assigned_until - now > self.max_wait:  # more connections than return times: a random time
+            self.assigned_until = now + self.max_wait
+            return max(1, int(self.random.uniform(self.gap, self.max_wait)))
         return max(1, int(self.assigned_until - now))
