--- a/bench/capacity/outage.py
+++ b/bench/capacity/outage.py
@@ -11,15 +11,15 @@
 from bench import throughput
 from bench.capacity import workers
 from hazelhold.config.planner import LimitsConfig
-from hazelhold.engine.cases import Dial, Send
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.terms import Peers, terms_of
+from hazelhold.engine.records import Dial, Send
+from hazelhold.engine.settings import PeerCapabilities, engine_settings
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
 START = 3600 * SECOND  # when the outage begins; no worker is cold then
 ROUND_TRIP = 1000  # microseconds until a dial is refused or answered
-OWN_PROTOCOL = Peers()
+OWN_PROTOCOL = PeerCapabilities()
 HELLO_BYTES = len(m.encode(m.Hello(role="planner", name="planner-000")))
 
 
@@ -43,8 +43,10 @@
     """An engine whose first `away` workers stop answering. `refuses`: their machines are up and refuse
     connections, as after the end of a process; else dials are answered by nobody."""
 
-    def __init__(self, listed: int, away: int, peers: Peers = OWN_PROTOCOL, refuses: bool = True) -> None:
-        terms = terms_of(throughput.planner_config())._replace(limits=LimitsConfig(), peers=peers)
+    def __init__(
+        self, listed: int, away: int, peers: PeerCapabilities = OWN_PROTOCOL, refuses: bool = True
+    ) -> None:
+        terms = engine_settings(throughput.planner_config())._replace(limits=LimitsConfig(), peers=peers)
         self.engine = Engine(terms, 1, START)
         self.names = [workers.name(number) for number in range(away)]
         self.refuses, self.now, self.version = refuses, START, 1
@@ -55,7 +57,7 @@
         self.failing: list[tuple[int, str]] = []  # dials that will be refused, and when
         self.processor = 0.0  # seconds inside the engine
         self._list(True, workers.entries(listed))
-        if peers.rolls:
+        if peers.reports_inventory:
             for number in range(listed):
                 self._answer(workers.name(number), [stand(number)] if number < away else [])
         else:
@@ -88,13 +90,13 @@
 
     def placed(self) -> int:
         """Tasks that stand on workers."""
-        return sum(case.placed for case in self.engine.cases.values())
+        return sum(case.placed for case in self.engine.records.values())
 
     def _answer(self, name: str, stands: list[m.InventoryItem]) -> None:
         """The worker takes a connection: hello, welcome, roll call, what it has."""
         if name not in self.engine.links or self.engine.links[name].state != "dialling":
             return
-        if not self.engine.peers.rolls:
+        if not self.engine.peers.reports_inventory:
             self._call(self.engine.link_up, name)
             return
         welcome = m.Welcome(name=name, incarnation=self.lives.get(name, 1), up_for=SECOND)
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -1,75 +1,87 @@
-"""Tasks that were sent to an address which another machine had by then.
+"""Guests that were sent to an address which another machine had by then.
 
-A machine that has gone may leave its address to a new one. What is sent on a connection that is younger than
-the list's last confirmation may have come to that one; the list tells later.
+The address of a machine that has gone may pass to a new one. What is sent on a connection that was opened
+after the list's last confirmation may reach the new machine; the list shows that later.
 """
 
-from hazelhold.engine.cases import Case
-from hazelhold.engine.doubts import DoubtedTasks
-from hazelhold.engine.machines import Fellow, Link, News
+from hazelhold.engine.machines import Link, RosterChanges, RosterMachine
+from hazelhold.engine.records import GuestRecord
+from hazelhold.engine.verification import GuestVerification
 from hazelhold.interface import Mode
 
 
-class AddressReuse(DoubtedTasks):
-    """Moves tasks to the machine that has the address they were sent to."""
+class AddressReuse(GuestVerification):
+    """Moves guests to the machine that has the address they were sent to."""
 
-    def _inherit(self, now: int, news: News) -> set[str]:
-        """Machines have left the list or come to it. What was sent on a connection younger than the list's
-        last confirmation came to whoever had that address by then, and stands there. Returns the machines
-        that have got such tasks."""
+    def _move_to_successors(self, now: int, changes: RosterChanges) -> set[str]:
+        """Handles machines that left the list or were added to it; returns those that got guests this way.
+
+        What was sent on a connection opened after the list's last confirmation reached the machine that had
+        the address by then, and is placed there.
+        """
         inherited = set()
-        for name in news.gone:
+        for name in changes.gone:
             link = self.links.get(name)
-            if link is None or not self._awaits_heir(link):
+            if link is None or not self._awaits_successor(link):
                 continue
-            self.orphans[link.address] = name
-            heir = next((f for f in self.roster.fellows.values() if f.address == link.address), None)
-            if heir is not None:
-                self._move_tasks(now, link, heir)
-                inherited.add(heir.name)
-        for name in news.fresh:
-            fellow = self.roster.fellows.get(name)
-            if fellow is not None and (orphan := self.links.get(self.orphans.get(fellow.address, ""))):
-                self._move_tasks(now, orphan, fellow)
-                inherited.add(fellow.name)
+            self.orphaned_links[link.address] = name
+            successor = next((f for f in self.roster.machines.values() if f.address == link.address), None)
+            if successor is not None:
+                self._move_guests(now, link, successor)
+                inherited.add(successor.name)
+        for name in changes.added:
+            listed = self.roster.machines.get(name)
+            if listed is not None and (orphan := self.links.get(self.orphaned_links.get(listed.address, ""))):
+                self._move_guests(now, orphan, listed)
+                inherited.add(listed.name)
         return inherited
 
-    def _move_tasks(self, now: int, link: Link, heir: Fellow) -> None:
-        """What was sent to this address before the list confirmed it stands at the machine that has it now;
-        what awaits its answer does once it is accepted."""
-        self.orphans.pop(link.address, None)
-        link.heir = heir.name
-        for case in [self.cases[name] for name in link.holds]:
-            if case.placed and case.sent_unconfirmed:
-                self._move_task(now, case, heir.name)
-        new = self._dial(now, heir)
+    def _move_guests(self, now: int, link: Link, successor: RosterMachine) -> None:
+        """Guests sent to this address before the list confirmed it are placed on the machine that has it now.
+
+        Outstanding dispatches follow once they are accepted.
+        """
+        self.orphaned_links.pop(link.address, None)
+        link.successor = successor.name
+        for record in [self.records[name] for name in link.guests]:
+            if record.placed and record.sent_unconfirmed:
+                self._move_guest(now, record, successor.name)
+        new = self._dial(now, successor)
         new.heard_at = new.heard_at or now
 
-    def _move_task(self, now: int, case: Case, machine: str) -> None:
-        """A placed task stands at another machine than it was sent to. Where the connection on which it was
-        sent has ended since, it may have been to the machine before, which has gone: a machine that goes ends
-        its connections. Then the one that has the address now has to speak of the task."""
-        before = case.machine
-        ended = any(each.by_machine and each.ended_at >= case.sent_at for each in self.links[before].past)
-        self._unhold(case)
-        case.machine = machine
-        self._hold(case)
-        self.brain.guest_found(now, machine, self._ask(case, 0))
-        self._task_event("moved", case, f"from {before}, whose address it has")
+    def _move_guest(self, now: int, record: GuestRecord, machine: str) -> None:
+        """A placed guest is on another machine than it was sent to.
+
+        Where the connection on which it was sent has ended since, it may have been to the previous machine,
+        which has gone: a machine that goes ends its connections. Then the machine that has the address now
+        has to confirm the guest.
+        """
+        previous = record.machine
+        ended = any(
+            each.by_machine and each.ended_at >= record.sent_at
+            for each in self.links[previous].past_connections
+        )
+        self._detach(record)
+        record.machine = machine
+        self._attach(record)
+        self.brain.guest_found(now, machine, self._submission(record, 0))
+        self._guest_event("moved", record, f"from {previous}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
-            self._doubt_reused(now, case)
+            self._verify_address_reuse(now, record)
+
+    def _confirm_connections(self, as_of: int) -> None:
+        """Confirms connections whose machine the list still shows as ready after they were opened.
 
-    def _identify(self, as_of: int) -> None:
-        """Connections that were not confirmed are to the machines that the list still shows as ready since.
-        One that drains may have gone before the list tells it."""
+        A draining machine may have gone before the list shows it.
+        """
         for name in list(self.unconfirmed_links):
             link = self.links.get(name)
             if link is not None and link.opened_at > as_of:
                 continue
             del self.unconfirmed_links[name]
-            fellow = self.roster.fellows.get(name)
-            if link is not None and fellow is not None and fellow.mode is Mode.READY:
+            listed = self.roster.machines.get(name)
+            if link is not None and listed is not None and listed.mode is Mode.READY:
                 link.unconfirmed = False
-                for each in link.holds:
-                    self.cases[each].sent_unconfirmed = False
+                for each in link.guests:
+                    self.records[each].sent_unconfirmed = False
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -1,97 +1,108 @@
-"""What an engine does with claims that are agreed among the planners, and with those that are not.
+"""How an engine acts on claims that the planners agreed on, and on those that they did not.
 
-Claims are decided in `hazelhold.replica`; nothing of that is loaded unless a host hands one in by `claim_by`.
+Claims are decided in `hazelhold.replica`, which is loaded only if a host passes it to `use_claims`.
 """
 
-from hazelhold.engine.cases import Case, Claimed, Claims, Verdict
 from hazelhold.engine.dispatches import Dispatches
+from hazelhold.engine.records import Claimed, Claims, GuestRecord, Verdict
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
 
 class Claiming(Dispatches):
-    """The side of an engine that the other planners answer."""
+    """The part of an engine that depends on agreement with the other planners."""
 
-    def claim_by(self, now: int, claims: Claims) -> None:
-        """From now on no offer of an exclusive or ticketed guest leaves without an agreed claim. Before any
-        other input but `keep`."""
+    def use_claims(self, now: int, claims: Claims) -> None:
+        """Sends no offer of an at-most-once or deduplicated guest without an agreed claim from now on.
+
+        To be called before any other input but `keep`.
+        """
         self.claims = claims
         claims.begin(now)
-        self._wanted()
+        self._take_proposals()
 
     def agreed(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> None:
-        """How an `Agree` ended: agreed, with the value that stands; refused, or open, with the reason."""
-        for verdict in self.claims.told(now, no, outcome, value, reason):
+        """A `ProposeChange` ended: agreed, with the agreed value; refused or open, with the reason."""
+        for verdict in self.claims.proposal_ended(now, no, outcome, value, reason):
             if verdict.what == "looked":
-                self._looked(now, verdict)
+                self._query_answered(now, verdict)
                 continue
-            case = self.cases.get(verdict.name)
-            waits = case is not None and bool(case.machine) and not case.sent and not case.placed
+            record = self.records.get(verdict.name)
+            waits = record is not None and bool(record.machine) and not record.sent and not record.placed
             if verdict.what == "theirs":
-                if case is not None and not case.placed and not case.sent:
-                    self._elsewhere(now, case, verdict.claim)
+                if record is not None and not record.placed and not record.sent:
+                    self._claimed_elsewhere(now, record, verdict.claim)
             elif verdict.what == "mine":
-                if case is None:  # answered meanwhile: nothing of it left
+                if record is None:  # answered meanwhile: no offer of it was sent
                     self._release(now, verdict.name.rpartition("/")[0], verdict.value)
                 else:
-                    case.claim = verdict.value
+                    record.claim = verdict.value
             elif verdict.what == "not_agreed" and waits:
-                self._unclaimed(now, case, verdict.value, verdict.reason)
+                self._claim_not_agreed(now, record, verdict.value, verdict.reason)
             if verdict.what in ("mine", "again") and waits:
-                link = self.links[case.machine]
-                if link.state == "up" and link.rolled:
-                    self._offer(now, case)
-        self._wanted()
+                link = self.links[record.machine]
+                if link.state == "up" and link.inventory_known:
+                    self._offer(now, record)
+        self._take_proposals()
+
+    def _claim_not_agreed(self, now: int, record: GuestRecord, open_: bytes, reason: str) -> None:
+        """The claim was not agreed in time.
 
-    def _unclaimed(self, now: int, case: Case, open_: bytes, reason: str) -> None:
-        """No claim in time. A guest of which nothing can have run goes back with an advised wait; of another,
-        what may be said is the Brain's."""
+        A guest that cannot have run is refused with an advised wait; for any other the scheduler decides.
+        """
         self.counts["not_agreed_" + reason[:20]] += 1
-        if case.unsure or self.loose.get(case.guest):
-            self._not_sent(now, case, Ending.NOT_SENT)
+        if record.unsettled_machine or self.abandoned.get(record.guest):
+            self._not_sent(now, record, Ending.NOT_SENT)
             return
-        self._release(now, case.guest, open_ or case.claim)
-        self._drop(now, case)
-        later = self._later(now, case.guest, 1_000_000)
+        self._release(now, record.guest, open_ or record.claim)
+        self._drop_guest(now, record)
+        later = self._retry_after(now, record.guest, 1_000_000)
         self._answer(
             now,
-            case,
-            m.GuestRefused(guest=case.guest, ask=case.ask, reason=reason, again_after=later),
-            case.asks,
+            record,
+            m.GuestRefused(
+                guest=record.guest, ask=record.submission_number, reason=reason, again_after=later
+            ),
+            record.unanswered_submissions,
         )
-        self._forget(case)
+        self._forget(record)
+
+    def _claimed_elsewhere(self, now: int, record: GuestRecord, claim: Claimed) -> None:
+        """Another planner has the guest, or an earlier run of this one that is not remembered.
 
-    def _elsewhere(self, now: int, case: Case, claim: Claimed) -> None:
-        """Another planner has the guest, or a life of this one that is not remembered: its claim is what is
-        known of it."""
+        All that is known of the guest is that claim.
+        """
         self.counts["claimed_elsewhere"] += 1
-        self._drop(now, case)
-        guest, ask, owner = case.guest, case.ask, case.owner
+        self._drop_guest(now, record)
+        guest, ask, owner = record.guest, record.submission_number, record.owner
         who = claim.planner
         if claim.state in ("placed", "over"):
             self._answer(
-                now, case, m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who), case.asks
+                now,
+                record,
+                m.Placed(guest=guest, ask=ask, machine=claim.machine, planner=who),
+                record.unanswered_submissions,
             )
             if claim.state == "over":
-                self._keep_end(now, guest, claim.how)
+                self._record_end(now, guest, claim.how)
                 self._send_owner(
                     owner, m.GuestEnded(guest=guest, ask=ask, how=claim.how, machine=claim.machine)
                 )
         else:
-            said = m.GuestFailed(guest=guest, ask=ask, reason="claimed", planner=who)
-            self._answer(now, case, said, case.asks)
-        self._forget(case)
+            answer = m.GuestFailed(guest=guest, ask=ask, reason="claimed", planner=who)
+            self._answer(now, record, answer, record.unanswered_submissions)
+        self._forget(record)
 
-    def _drop(self, now: int, case: Case) -> None:
-        """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
-        self._unhold(case)
-        self.brain.guest_left(now, case.name)
-        if case.machine:
-            self.brain.dispatch_ended(now, case.name, Ending.NOT_SENT, True, Remark.NONE)
-        case.machine = ""
+    def _drop_guest(self, now: int, record: GuestRecord) -> None:
+        """Takes the guest from the scheduler: the claim, or the lack of one, is its answer."""
+        self._detach(record)
+        self.brain.guest_left(now, record.name)
+        if record.machine:
+            self.brain.dispatch_ended(now, record.name, Ending.NOT_SENT, True, Remark.NONE)
+        record.machine = ""
 
-    def _looked(self, now: int, verdict: Verdict) -> None:
-        """Answers an owner's query by the agreed value, unless the guest came into hand meanwhile."""
+    def _query_answered(self, now: int, verdict: Verdict) -> None:
+        """Answers an owner's query by the agreed value, unless the guest was submitted meanwhile."""
         owner, guest, ask = verdict.name.split("\0")
         message, claim = m.Query(guest=guest, ask=int(ask)), verdict.claim
         if verdict.reason:
@@ -99,7 +110,10 @@
                 owner, m.State(guest=guest, ask=int(ask), state="unsettled", reason=verdict.reason)
             )
         elif (
-            guest in self.newest or claim is None or claim.state == "free" or self.claims.mine(verdict.value)
+            guest in self.newest_records
+            or claim is None
+            or claim.state == "free"
+            or self.claims.mine(verdict.value)
         ):
             self._send_owner(owner, self._state(message))
         else:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,64 +1,79 @@
-"""Dispatches of guests, from the decision to their end: offers, time-outs, what was given up, answers."""
+"""Dispatches of guests, from the decision to their end: offers, timeouts, abandoned dispatches, answers."""
 
 from hazelhold.brain import NEVER_RAN
 from hazelhold.config.planner import to_microseconds
-from hazelhold.engine.cases import Case, Loose
+from hazelhold.engine.records import AbandonedDispatch, GuestRecord
 from hazelhold.engine.tables import OutstandingProbe, Tables
 from hazelhold.interface import Ending, Remark
 from hazelhold.protocol import messages as m
 
-CROSSED = 1_000_000  # a word written so long before a connection ended may not have been read
+# Microseconds: a message written so shortly before a connection ended may not have been read.
+CROSSING_WINDOW = 1_000_000
 
 
 class Dispatches(Tables):
-    """A guest's way to a machine and back."""
-
-    def _dispatch(self, now: int, case: Case, machine: str, span: int) -> None:
-        case.attempt, case.machine, case.sent, case.called_off = case.attempt + 1, machine, False, False
-        case.sent_at = now
-        self._overdue(now + span, case)
-        self._hold(case)
-        fellow = self.roster.fellows.get(machine)
-        if fellow is None:
-            self._not_sent(now, case, Ending.NO_CONNECTION)
+    """Sends guests to machines and handles the ends of their dispatches."""
+
+    def _dispatch(self, now: int, record: GuestRecord, machine: str, timeout: int) -> None:
+        record.dispatch_number, record.machine, record.sent, record.withdrawn = (
+            record.dispatch_number + 1,
+            machine,
+            False,
+            False,
+        )
+        record.sent_at = now
+        self._set_dispatch_timeout(now + timeout, record)
+        self._attach(record)
+        listed = self.roster.machines.get(machine)
+        if listed is None:
+            self._not_sent(now, record, Ending.NO_CONNECTION)
             return
-        link = self._dial(now, fellow)
-        if link.state == "up" and link.rolled:
-            self._offer(now, case)
+        link = self._dial(now, listed)
+        if link.state == "up" and link.inventory_known:
+            self._offer(now, record)
         else:
-            link.queue[case.name] = None
+            link.queue[record.name] = None
 
-    def _offer(self, now: int, case: Case) -> None:
-        link, submit = self.links[case.machine], case.submit
-        if self._claimed(case) and not self.claims.clear(
-            now, case.name, case.guest, case.ask, case.attempt, case.machine, case.claim
+    def _offer(self, now: int, record: GuestRecord) -> None:
+        link, submit = self.links[record.machine], record.submit
+        if self._needs_claim(record) and not self.claims.may_dispatch(
+            now,
+            record.name,
+            record.guest,
+            record.submission_number,
+            record.dispatch_number,
+            record.machine,
+            record.claim,
         ):
-            link.queue[case.name] = None  # it leaves once its claim is agreed
-            self._wanted()
+            link.queue[record.name] = None  # it is sent once its claim is agreed
+            self._take_proposals()
             return
-        if (loose := self.loose.get(case.guest, {}).get(case.machine)) and loose.case.ask == case.ask:
-            self._settled(case.guest, case.machine)  # the machine takes a new dispatch of it for the old one
-        link.queue.pop(case.name, None)
+        if (
+            abandoned := self.abandoned.get(record.guest, {}).get(record.machine)
+        ) and abandoned.record.submission_number == record.submission_number:
+            # The machine treats a new dispatch of it as the old one.
+            self._forget_abandoned(record.guest, record.machine)
+        link.queue.pop(record.name, None)
         link.used_at = now
-        case.sent, case.sent_at, case.incarnation = True, now, link.incarnation
-        case.sent_claim, case.sent_unconfirmed = case.claim, link.unconfirmed
-        self._mark("guest", case.name)
-        host = self.brain.machines.get(case.machine)
-        if host and now - host.cold_at < self.facts.cold_for:
-            self._mark("cold", case.machine)
+        record.sent, record.sent_at, record.incarnation = True, now, link.incarnation
+        record.sent_claim, record.sent_unconfirmed = record.claim, link.unconfirmed
+        self._mark_changed("guest", record.name)
+        host = self.brain.machines.get(record.machine)
+        if host and now - host.cold_at < self.deployment.cold_for:
+            self._mark_changed("cold", record.machine)
         self.counts["dispatches"] += 1
         self._send_machine(
-            case.machine,
+            record.machine,
             m.Offer(
-                guest=case.guest,
-                ask=case.ask,
-                attempt=case.attempt,
+                guest=record.guest,
+                ask=record.submission_number,
+                attempt=record.dispatch_number,
                 product=submit.product,
                 service=submit.service,
                 cores=submit.cores,
                 memory=submit.memory,
                 customer=submit.customer,
-                owner=case.owner,
+                owner=record.owner,
                 life=getattr(submit, "life", 0),
                 key=getattr(submit, "key", ""),
                 description=getattr(submit, "description", b""),
@@ -66,178 +81,219 @@
             ),
         )
 
-    def _not_sent(self, now: int, case: Case, ending: Ending) -> None:
-        """An offer that never left: this proves that it did not run."""
-        if link := self.links.get(case.machine):
-            link.queue.pop(case.name, None)
-        self._ended(now, case, ending, Remark.NONE)
-
-    def _ended(self, now: int, case: Case, ending: Ending, remark: Remark) -> None:
-        """The dispatch that was out is over and the guest is held again, or answered by what follows."""
-        self._unhold(case)
-        self.monitor.attempt_ended(case.name, ending not in NEVER_RAN)
-        self._task_event("ended", case, f"{ending.name.lower()} {remark.name.lower()}")
+    def _not_sent(self, now: int, record: GuestRecord, ending: Ending) -> None:
+        """An offer was never sent, which proves that it did not run."""
+        if link := self.links.get(record.machine):
+            link.queue.pop(record.name, None)
+        self._dispatch_ended(now, record, ending, Remark.NONE)
+
+    def _dispatch_ended(self, now: int, record: GuestRecord, ending: Ending, remark: Remark) -> None:
+        """The outstanding dispatch is over; the guest is held again, or answered by what follows."""
+        self._detach(record)
+        self.monitor.dispatch_ended(record.name, ending not in NEVER_RAN)
+        self._guest_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
         if ending not in NEVER_RAN:
-            case.unsure, case.ran_from = case.machine, case.ran_from or case.sent_at
-        case.machine = ""
-        self._mark("guest", case.name)
-        self.brain.dispatch_ended(now, case.name, ending, False, remark)
-        self._adopt(now, case.guest)
-
-    def _gone(
-        self, now: int, case: Case, how: str, ending: Ending = Ending.CUT_OFF, remark: Remark = Remark.NONE
+            record.unsettled_machine, record.may_have_run_since = (
+                record.machine,
+                record.may_have_run_since or record.sent_at,
+            )
+        record.machine = ""
+        self._mark_changed("guest", record.name)
+        self.brain.dispatch_ended(now, record.name, ending, False, remark)
+        self._settle_copies(now, record.guest)
+
+    def _guest_gone(
+        self,
+        now: int,
+        record: GuestRecord,
+        how: str,
+        ending: Ending = Ending.CUT_OFF,
+        remark: Remark = Remark.NONE,
     ) -> None:
-        """A placed guest's end, or a dispatch whose machine is lost."""
-        if not case.placed:
-            self._give_up(now, case)
-            self._ended(now, case, Ending.CUT_OFF if case.sent else Ending.NOT_SENT, remark)
+        """A placed guest has ended, or the machine of an outstanding dispatch is lost."""
+        if not record.placed:
+            self._withdraw_dispatch(now, record)
+            self._dispatch_ended(now, record, Ending.CUT_OFF if record.sent else Ending.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
-        self._task_event("released", case, how)
-        if how != "lost":  # one that is out of reach may run on
-            self._fact(now, case, "over", how)
-        self._unhold(case)
-        self.brain.dispatch_ended(now, case.name, ending, True, remark)
-        self._forget(case)
-        if self.peers.asks_again:
-            self._keep_end(now, case.guest, how)
+        self._guest_event("released", record, how)
+        if how != "lost":  # one that cannot be reached may run on
+            self._report_fact(now, record, "over", how)
+        self._detach(record)
+        self.brain.dispatch_ended(now, record.name, ending, True, remark)
+        self._forget(record)
+        if self.peers.owners_resubmit:
+            self._record_end(now, record.guest, how)
         self._send_owner(
-            case.owner, m.GuestEnded(guest=case.guest, ask=case.ask, how=how, machine=case.machine)
+            record.owner,
+            m.GuestEnded(guest=record.guest, ask=record.submission_number, how=how, machine=record.machine),
         )
 
-    def _give_up(self, now: int, case: Case) -> None:
-        """Takes back a dispatch that is waited for no longer; until its machine speaks, its fate is open."""
-        if not case.sent:
+    def _withdraw_dispatch(self, now: int, record: GuestRecord) -> None:
+        """Withdraws a dispatch that is no longer awaited; its outcome is open until its machine reports."""
+        if not record.sent:
             return
-        self._task_event("given_up", case)
-        link = self.links.get(case.machine)
-        if self.peers.rolls:
-            self._loosen(now, case)
+        self._guest_event("given_up", record)
+        link = self.links.get(record.machine)
+        if self.peers.reports_inventory:
+            self._abandon_dispatch(now, record)
         if link and link.state == "up":
-            self._send_machine(case.machine, m.Withdraw(guest=case.guest, ask=case.ask, attempt=case.attempt))
+            self._send_machine(
+                record.machine,
+                m.Withdraw(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
+            )
 
-    def _loosen(self, now: int, case: Case) -> None:
-        self.loose.setdefault(case.guest, {})[case.machine] = Loose(
-            case, case.attempt, case.machine, case.sent_at, roll_at=now + 1_000_000
+    def _abandon_dispatch(self, now: int, record: GuestRecord) -> None:
+        self.abandoned.setdefault(record.guest, {})[record.machine] = AbandonedDispatch(
+            record, record.dispatch_number, record.machine, record.sent_at, recheck_at=now + 1_000_000
         )
-        self._mark("loose", case.guest, case.machine)
+        self._mark_changed("loose", record.guest, record.machine)
 
-    def _call_off(self, now: int, name: str, machine: str) -> None:
-        case = self.cases.get(name)
+    def _withdraw(self, now: int, name: str, machine: str) -> None:
+        record = self.records.get(name)
         link = self.links.get(machine)
         up = link is not None and link.state == "up"
-        if case and case.machine == machine:
-            if not case.placed and not case.sent:
-                self._not_sent(now, case, Ending.NOT_SENT)
+        if record and record.machine == machine:
+            if not record.placed and not record.sent:
+                self._not_sent(now, record, Ending.NOT_SENT)
             elif up:
-                kind = m.Stop if case.placed else m.Withdraw
-                self._send_machine(machine, kind(guest=case.guest, ask=case.ask, attempt=case.attempt))
-                case.called_off = True
+                kind = m.Stop if record.placed else m.Withdraw
+                self._send_machine(
+                    machine,
+                    kind(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
+                )
+                record.withdrawn = True
             return
-        guest = case.guest if case else name.rpartition("/")[0]
-        if (loose := self.loose.get(guest, {}).get(machine)) and up:
-            self._send_machine(machine, m.Stop(guest=guest, ask=loose.case.ask, attempt=loose.attempt))
+        guest = record.guest if record else name.rpartition("/")[0]
+        if (abandoned := self.abandoned.get(guest, {}).get(machine)) and up:
+            self._send_machine(
+                machine,
+                m.Stop(
+                    guest=guest, ask=abandoned.record.submission_number, attempt=abandoned.dispatch_number
+                ),
+            )
 
-    def _final(self, now: int, case: Case, message: m.GuestRefused | m.GuestFailed) -> None:
-        """A final answer; a dispatch that is still out becomes a loose one."""
+    def _final_answer(self, now: int, record: GuestRecord, message: m.GuestRefused | m.GuestFailed) -> None:
+        """Gives the final answer; a dispatch that is still outstanding is abandoned."""
         if (
             self.claims is not None
             and isinstance(message, m.GuestRefused)
-            and not case.unsure
-            and not (case.machine and case.sent)
-            and not self.loose.get(case.guest)
+            and not record.unsettled_machine
+            and not (record.machine and record.sent)
+            and not self.abandoned.get(record.guest)
         ):
-            self._release(now, case.guest, case.claim)
-        if case.machine:
-            self._give_up(now, case)
-            self._unhold(case)
-            self.brain.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
-            self.monitor.attempt_ended(case.name, may_have_run=case.sent)
-            case.machine = ""
-        self._answer(now, case, message, case.asks)
-        self._forget(case)
-
-    def _answer(self, now: int, case: Case, message: m.Message, asks: list[int] | dict[int, None]) -> None:
-        """Gives each ask that awaits one its answer, and keeps it for an owner that was away."""
+            self._release(now, record.guest, record.claim)
+        if record.machine:
+            self._withdraw_dispatch(now, record)
+            self._detach(record)
+            self.brain.dispatch_ended(now, record.name, Ending.OVERDUE, True, Remark.NONE)
+            self.monitor.dispatch_ended(record.name, may_have_run=record.sent)
+            record.machine = ""
+        self._answer(now, record, message, record.unanswered_submissions)
+        self._forget(record)
+
+    def _answer(
+        self, now: int, record: GuestRecord, message: m.Message, asks: list[int] | dict[int, None]
+    ) -> None:
+        """Answers each waiting submission, and keeps the answer for an owner that was disconnected."""
         self.counts["answers_" + message.__struct_config__.tag] += 1
-        self._task_event(
-            "answered", case, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
+        self._guest_event(
+            "answered", record, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
-        if not self.peers.asks_again:
-            self._violated(self.monitor.answered(case.name, self.facts.products[case.product].effect), case)
+        if not self.peers.owners_resubmit:
+            self._violated(
+                self.monitor.answered(record.name, self.deployment.products[record.product].effect), record
+            )
         keep = now + to_microseconds(self.limits.keep_answers_ms)
         for ask in list(asks):
-            told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
-            if self.peers.asks_again:
-                self.answers[case.guest, ask] = told, keep
-                self.answers.move_to_end((case.guest, ask))
-                self._mark("answer", case.guest, ask)
-            self._send_owner(case.owner, told)
-        case.asks = {}
-        self._mark("guest", case.name)
-
-    def _stands(self, now: int, loose: Loose) -> None:
-        """A dispatch that was given up was accepted: the Brain says whose it is, or that it goes."""
-        loose.stands = True
-        self._mark("loose", loose.case.guest, loose.machine)
+            answer = type(message)(
+                **{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask}
+            )
+            if self.peers.owners_resubmit:
+                self.answers[record.guest, ask] = answer, keep
+                self.answers.move_to_end((record.guest, ask))
+                self._mark_changed("answer", record.guest, ask)
+            self._send_owner(record.owner, answer)
+        record.unanswered_submissions = {}
+        self._mark_changed("guest", record.name)
+
+    def _late_acceptance(self, now: int, abandoned: AbandonedDispatch) -> None:
+        """A machine accepted an abandoned dispatch: the scheduler decides whether it is kept or ended."""
+        abandoned.accepted = True
+        self._mark_changed("loose", abandoned.record.guest, abandoned.machine)
         self.counts["late_copies"] += 1
-        self._adopt(now, loose.case.guest)
-
-    def _adopt(self, now: int, guest: str) -> None:
-        """Tells the Brain of copies of a guest that stand though their dispatch was given up; one that it
-        takes for the guest itself is the guest's place from here on, any other is called off by a
-        decision."""
-        for loose in list(self.loose.get(guest, {}).values()):
-            if not loose.stands:
+        self._settle_copies(now, abandoned.record.guest)
+
+    def _settle_copies(self, now: int, guest: str) -> None:
+        """Reports accepted copies of a guest, whose dispatch was abandoned, to the scheduler.
+
+        A copy that it takes for the guest itself becomes the guest's placement; any other is withdrawn by a
+        decision.
+        """
+        for abandoned in list(self.abandoned.get(guest, {}).values()):
+            if not abandoned.accepted:
                 continue
-            held = self.newest.get(guest)
-            case = held or loose.case
-            self.brain.copy_stands(now, loose.machine, self._ask(case, 0))
-            mine = self.brain.guests.get(case.name)
+            held = self.newest_records.get(guest)
+            record = held or abandoned.record
+            self.brain.copy_stands(now, abandoned.machine, self._submission(record, 0))
+            mine = self.brain.guests.get(record.name)
             if held and held.machine or not (mine and mine.placed):
                 continue
-            self._settled(guest, loose.machine)
-            case.ask, case.machine, case.attempt = loose.case.ask, loose.machine, loose.attempt
-            case.sent, case.placed, case.sent_at = True, True, loose.sent_at
-            self._fact(now, case, "placed")
-            self.cases[case.name] = self.newest[guest] = case
-            self._hold(case)
-            self._mark("guest", case.name)
-            if case.asks:
-                self._answer(now, case, m.Placed(guest=guest, ask=case.ask, machine=case.machine), case.asks)
-            if case.cancelled:
-                self.brain.guest_cancelled(now, case.name)
-
-    def _tell(self, now: int, machine: str, message: m.Message) -> None:
-        """Sends a word on what stands at a machine; without a connection, with the next; once more if its
-        connection ends so soon that the word may have crossed that."""
+            self._forget_abandoned(guest, abandoned.machine)
+            record.submission_number, record.machine, record.dispatch_number = (
+                abandoned.record.submission_number,
+                abandoned.machine,
+                abandoned.dispatch_number,
+            )
+            record.sent, record.placed, record.sent_at = True, True, abandoned.sent_at
+            self._report_fact(now, record, "placed")
+            self.records[record.name] = self.newest_records[guest] = record
+            self._attach(record)
+            self._mark_changed("guest", record.name)
+            if record.unanswered_submissions:
+                self._answer(
+                    now,
+                    record,
+                    m.Placed(guest=guest, ask=record.submission_number, machine=record.machine),
+                    record.unanswered_submissions,
+                )
+            if record.cancelled:
+                self.brain.guest_cancelled(now, record.name)
+
+    def _send_about_guest(self, now: int, machine: str, message: m.Message) -> None:
+        """Sends a message about a placed guest, on the next connection if none is open.
+
+        It is sent once more if the connection ends so soon that the message may have crossed that end.
+        """
         link = self.links.get(machine)
         if link is not None:
-            self._rested(now, link)
+            self._close_if_idle(now, link)
         if link is None or link.state == "up":
             self._send_machine(machine, message)
-            if link is not None and not self.peers.rolls:
-                link.told = [each for each in link.told if each[0] > now] + [(now + CROSSED, message)]
-        elif fellow := self.roster.fellows.get(machine):
-            link.words.append((now + to_microseconds(self.limits.keep_answers_ms), message))
-            self._dial(now, fellow)
+            if link is not None and not self.peers.reports_inventory:
+                link.recent_messages = [each for each in link.recent_messages if each[0] > now] + [
+                    (now + CROSSING_WINDOW, message)
+                ]
+        elif listed := self.roster.machines.get(machine):
+            link.pending_messages.append((now + to_microseconds(self.limits.keep_answers_ms), message))
+            self._dial(now, listed)
 
     # Probes.
 
     def _probe(self, now: int, machine: str) -> None:
         if link := self.links.get(machine):
-            self._rested(now, link)
+            self._close_if_idle(now, link)
         self.probe_number += 1
         self.counts["probes"] += 1
         self.probes[machine] = OutstandingProbe(
             self.probe_number, now + to_microseconds(self.limits.probe_ms)
         )
-        fellow = self.roster.fellows.get(machine)
-        if fellow is None:
+        listed = self.roster.machines.get(machine)
+        if listed is None:
             self._probe_over(now, machine, False)
             return
-        link = self._dial(now, fellow)
-        if link.state == "up" and link.rolled:
+        link = self._dial(now, listed)
+        if link.state == "up" and link.inventory_known:
             link.used_at = now
             self._send_machine(machine, m.Probe(number=self.probe_number))
 
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -1,23 +1,23 @@
-"""One planner without its sockets: what peers say goes in, what to do comes out, one Brain decides.
+"""One planner without its sockets: messages of peers go in, actions come out, one scheduler decides.
 
-How it is called: the host reports what happened through the input methods, each with the moment in whole
-microseconds, then calls `pump(now)`, which lets the Brain decide until it has nothing more, and carries out
-`actions` in their order. `next_at(now)` says when to pump again if nothing happens. The same calls with the
-same seed give the same actions.
+The host reports what happened through the input methods, each with the time in whole microseconds, then calls
+`pump(now)`, which lets the scheduler decide until it has no more decisions, and carries out `actions` in
+order. `next_at(now)` returns when to pump again if nothing happens. The same calls with the same seed give
+the same actions.
 
-What the engine itself keeps is bookkeeping that no ranking may touch: attempt numbers, time-outs of
-dispatches, one dispatch out at a time, which offers were surely never sent, and what a machine may still
-hold of dispatches that were given up. Every choice, time-out and final answer is the Brain's.
+The engine itself does the bookkeeping that no ranking may influence: dispatch numbers, timeouts of
+dispatches, at most one outstanding dispatch of a guest, which offers were certainly never sent, and what a
+machine may still hold of abandoned dispatches. Every choice, timeout and final answer is the scheduler's.
 """
 
 from heapq import heappop
 
 from hazelhold.config.planner import to_microseconds
-from hazelhold.engine.cases import AskList, HangUp
 from hazelhold.engine.claiming import Claiming
-from hazelhold.engine.keep import Keeping, recover
 from hazelhold.engine.links import Links
 from hazelhold.engine.owners import Owners
+from hazelhold.engine.persistence import StatePersistence, recover
+from hazelhold.engine.records import FetchList, HangUp
 from hazelhold.interface import Decision, Ending, Remark, Step
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
@@ -25,44 +25,56 @@
 
 
 class Engine(Owners, Links, Claiming):
-    """All that one planner does."""
+    """The complete engine of one planner."""
 
-    # What outlives the process.
+    # Persistence.
 
     def keep(self, now: int, epoch: int, state_table: StateTable, complete: bool) -> dict[str, int]:
-        """From now on `flush` tells what is to be kept; begins where the images in the ledger left off.
-        Before any other input. Returns counts of what was recovered; ValueError if an image cannot be
-        read."""
-        self.keeping = Keeping(epoch)
+        """Restores the state in `ledger` and persists changes from now on through `flush`.
+
+        To be called before any other input. Returns counts of what was recovered; ValueError if an image
+        cannot be read.
+        """
+        self.persistence = StatePersistence(epoch)
         return recover(self, now, state_table, complete)
 
     def flush(self, now: int) -> list[Change]:
-        """What must be safe before the actions of this moment are carried out."""
-        return self.keeping.flush(self, now)
+        """The changes that must be stored before the current actions are carried out."""
+        return self.persistence.flush(self, now)
 
     def state_kept(self, now: int, well: bool) -> None:
-        """The disk fails, or works again. While it fails no guest is taken or sent whose second run could do
-        harm."""
-        self.kept_well = well
+        """The disk has failed, or works again (`well`).
+
+        While it fails, no guest is accepted or sent whose second run could do harm.
+        """
+        self.persistence_healthy = well
         self.counts["state_failures"] += not well
         self.brain.state_kept(now, well)
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
-        """An offer did not leave, since what it rests on could not be made safe."""
-        case = self.cases.get(f"{offer.guest}/{offer.ask}") or self.newest.get(offer.guest)
-        if case and case.sent and not case.placed and (case.ask, case.attempt) == (offer.ask, offer.attempt):
-            if self.facts.list_lease:
-                self.brain.dispatch_held_back(now, case.name)
-            self._not_sent(now, case, Ending.NOT_SENT)
-
-    # The passing of time.
+        """An offer was not sent, since the state that it depends on could not be stored."""
+        record = self.records.get(f"{offer.guest}/{offer.ask}") or self.newest_records.get(offer.guest)
+        if (
+            record
+            and record.sent
+            and not record.placed
+            and (record.submission_number, record.dispatch_number) == (offer.ask, offer.attempt)
+        ):
+            if self.deployment.list_lease:
+                self.brain.dispatch_held_back(now, record.name)
+            self._not_sent(now, record, Ending.NOT_SENT)
+
+    # Time.
 
     def pump(self, now: int) -> None:
-        """Time-outs that are due, then decisions until there is none or so many are made that peers have
-        waited long enough to be read; `next_at` says then to pump again at once."""
-        self._time_outs(now)
-        self._tell_lease(now)
-        for _ in range(self.at_once):
+        """Handles timeouts that are due, then makes decisions until none is left.
+
+        After `decision_batch` decisions it returns, so that peers do not wait too long to be read; `next_at`
+        then requests another pump at once.
+        """
+        self._handle_timeouts(now)
+        self._report_lease(now)
+        for _ in range(self.decision_batch):
             decision = self.brain.decide(now)
             self.more = decision is not None
             if decision is None:
@@ -77,44 +89,44 @@
         if self.overdue:
             times.append(self.overdue[0][0])
         times += [probe.due for probe in self.probes.values()]
-        for link in self._restless():
+        for link in self._active_links():
             times += [
                 t
                 for t in (
                     link.dial_at,
                     link.dial_due if link.state == "dialling" else 0,
-                    link.roll_due if link.state == "up" and not link.rolled else 0,
+                    link.inventory_due if link.state == "up" and not link.inventory_known else 0,
                 )
                 if t
             ]
-        times += [l.roll_at for by in self.loose.values() for l in by.values()]
-        if not self.peers.rolls and self.links:
-            times.append(self.idle_at)  # silence is looked for though nothing happens
+        times += [l.recheck_at for by in self.abandoned.values() for l in by.values()]
+        if not self.peers.reports_inventory and self.links:
+            times.append(self.idle_check_at)  # silence is checked for although nothing happens
         return min(times, default=None)
 
-    def _time_outs(self, now: int) -> None:
-        self._leave_out_stop(now)
+    def _handle_timeouts(self, now: int) -> None:
+        self._exclude_pause(now)
         while self.overdue and self.overdue[0][0] <= now:
-            _, name, attempt = heappop(self.overdue)
-            case = self.cases.get(name)
-            if case and case.machine and not case.placed and case.attempt == attempt:
-                if case.sent:
-                    self._give_up(now, case)
-                    self._ended(now, case, Ending.OVERDUE, Remark.NONE)
-                else:  # on a link that is up it waited for its claim
-                    link = self.links.get(case.machine)
-                    waited = link is not None and link.state == "up" and link.rolled
-                    self._not_sent(now, case, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
+            _, name, dispatch_number = heappop(self.overdue)
+            record = self.records.get(name)
+            if record and record.machine and not record.placed and record.dispatch_number == dispatch_number:
+                if record.sent:
+                    self._withdraw_dispatch(now, record)
+                    self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
+                else:  # on a link that is up, it was waiting for its claim
+                    link = self.links.get(record.machine)
+                    waited = link is not None and link.state == "up" and link.inventory_known
+                    self._not_sent(now, record, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
-                self._unheard(now, machine, probe.due - to_microseconds(self.limits.probe_ms))
+                self._probe_unanswered(now, machine, probe.due - to_microseconds(self.limits.probe_ms))
                 self._probe_over(now, machine, False)
-        for link in self._restless():
-            if link.settled():
-                self.restless.pop(link.machine, None)
+        for link in self._active_links():
+            if link.is_idle():
+                self.active_links.pop(link.machine, None)
                 continue
-            if link.state == "up" and not link.rolled and link.roll_due <= now:
-                self.counts["rolls_unanswered"] += 1  # it is mute: as good as a broken link
+            if link.state == "up" and not link.inventory_known and link.inventory_due <= now:
+                self.counts["rolls_unanswered"] += 1  # no inventory came: the same as a broken link
                 self.actions.append(HangUp(link.machine))
                 self._link_lost(now, link)
                 link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
@@ -129,70 +141,86 @@
                 self._forget_machine(now, link)
             if link.state == "down" and link.dial_at and link.dial_at <= now:
                 link.dial_at = 0
-                if fellow := self.roster.fellows.get(link.machine):
-                    self._dial(now, fellow)
-        for by in list(self.loose.values()):
-            for loose in list(by.values()):
-                if loose.roll_at <= now:
-                    self._ask_loose(now, loose)
+                if listed := self.roster.machines.get(link.machine):
+                    self._dial(now, listed)
+        for by in list(self.abandoned.values()):
+            for abandoned in list(by.values()):
+                if abandoned.recheck_at <= now:
+                    self._recheck_abandoned(now, abandoned)
         if self.list_due and now >= self.list_due:
             self.list_failed(now)
         for table in (self.answers, self.ends):
             while table and next(iter(table.values()))[1] <= now:
                 table.popitem(last=False)
-        if now < self.idle_at:
+        if now < self.idle_check_at:
             return
         idle = to_microseconds(self.limits.idle_close_ms)
-        self.idle_at = now + min(500_000, idle // 8)  # four fifths of the far side's time, and a tenth of it
-        self._settle_doubts(now)
-        if not self.peers.rolls:
+        # `idle` is four fifths of the far side's limit, so this is a tenth of that.
+        self.idle_check_at = now + min(500_000, idle // 8)
+        self._decide_verifications(now)
+        if not self.peers.reports_inventory:
             for link in list(self.links.values()):
-                self._watch_silence(now, link)
+                self._check_silence(now, link)
         for link in [l for l in self.links.values() if l.state == "up" and now - l.used_at > idle]:
-            if not link.holds and not link.queue and link.machine not in self.probes:
+            if not link.guests and not link.queue and link.machine not in self.probes:
                 self.actions.append(HangUp(link.machine))
                 link.close(now)
 
     def _carry_out(self, now: int, decision: Decision) -> None:
-        step, name, machine, span = decision
+        step, name, machine, timeout = decision
         if step is Step.DISPATCH:
-            self._dispatch(now, self.cases[name], machine, span)
+            self._dispatch(now, self.records[name], machine, timeout)
         elif step is Step.TURN_BACK:
-            case = self.cases[name]
-            why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
-            later = 0 if case.cancelled else self._later(now, case.guest, span)
-            self._final(
-                now, case, m.GuestRefused(guest=case.guest, ask=case.ask, reason=why, again_after=later)
+            record = self.records[name]
+            why = "cancelled" if record.cancelled else "stopping" if self.stopping else "no_machine"
+            later = 0 if record.cancelled else self._retry_after(now, record.guest, timeout)
+            self._final_answer(
+                now,
+                record,
+                m.GuestRefused(
+                    guest=record.guest, ask=record.submission_number, reason=why, again_after=later
+                ),
             )
         elif step is Step.BREAK_OFF:
-            case = self.cases[name]
-            why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
-            self._final(now, case, m.GuestFailed(guest=case.guest, ask=case.ask, reason=why))
+            record = self.records[name]
+            why = (
+                "cancelled"
+                if record.cancelled
+                else "may_have_run"
+                if record.dispatch_number >= 0
+                else "no_machine"
+            )
+            self._final_answer(
+                now, record, m.GuestFailed(guest=record.guest, ask=record.submission_number, reason=why)
+            )
         elif step is Step.CALL_OFF:
-            self._call_off(now, name, machine)
+            self._withdraw(now, name, machine)
         elif step is Step.PROBE:
             self._probe(now, machine)
         elif step is Step.FOLLOW_LIST:
             self.list_due = now + 2_000_000
-            self.actions.append(AskList(self.list_version))
+            self.actions.append(FetchList(self.list_version))
 
     # Stopping.
 
     def stop(self, now: int) -> None:
-        """Takes nothing more. What is held is answered by the Brain at once; what is out is called off, and
-        answered when its machine has said whether it ran. Running guests run on."""
+        """Accepts no more guests.
+
+        Held guests are answered by the scheduler at once; outstanding dispatches are withdrawn, and answered
+        when their machine has reported whether they ran. Placed guests run on.
+        """
         self.stopping = True
-        for case in list(self.cases.values()):
-            if not case.placed:
-                self.brain.guest_cancelled(now, case.name)
+        for record in list(self.records.values()):
+            if not record.placed:
+                self.brain.guest_cancelled(now, record.name)
         self._pump_all(now)
 
     def stop_now(self, now: int) -> None:
-        """The time for a stop is over: what is still out goes to the Brain as unknown, and is answered so."""
-        for case in list(self.cases.values()):
-            if case.machine and not case.placed:
-                self._give_up(now, case)
-                self._ended(now, case, Ending.OVERDUE, Remark.NONE)
+        """The time for a stop is over: outstanding dispatches are answered as possibly run."""
+        for record in list(self.records.values()):
+            if record.machine and not record.placed:
+                self._withdraw_dispatch(now, record)
+                self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
         self._pump_all(now)
 
     def _pump_all(self, now: int) -> None:
@@ -201,5 +229,5 @@
             self.pump(now)
 
     def unanswered(self) -> int:
-        """Guests taken and not yet answered."""
-        return sum(not c.placed for c in self.cases.values())
+        """The number of guests accepted and not yet answered."""
+        return sum(not c.placed for c in self.records.values())
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -1,11 +1,11 @@
-"""The connections to machines, and what machines say on them."""
+"""Connections to machines, and the messages that machines send on them."""
 
 from hazelhold.config.planner import to_microseconds
-from hazelhold.engine.cases import Case, HangUp, Loose, Lost
-from hazelhold.engine.dispatches import CROSSED
-from hazelhold.engine.list_news import ListNews
+from hazelhold.engine.dispatches import CROSSING_WINDOW
+from hazelhold.engine.list_updates import ListUpdates
+from hazelhold.engine.liveness import LivenessChecks
 from hazelhold.engine.machines import Link
-from hazelhold.engine.silence import Silence
+from hazelhold.engine.records import AbandonedDispatch, Disconnect, GuestRecord, HangUp
 from hazelhold.interface import Ending, Load, Remark
 from hazelhold.protocol import messages as m
 
@@ -19,7 +19,7 @@
     "withdrawn": (Ending.TURNED_BACK, Remark.NONE),
     "not_sent": (Ending.NOT_SENT, Remark.NONE),
 }
-STOOD = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
+ENDS_AFTER_ACCEPTANCE = ("evicted", "pushed_out", "sent_away")  # ends of guests that were accepted
 REMARKS = {
     "no_cores": Remark.NO_CORES,
     "no_memory": Remark.NO_MEMORY,
@@ -28,25 +28,28 @@
 }
 
 
-class Links(ListNews, Silence):
-    """The machines' side of an engine."""
+class Links(ListUpdates, LivenessChecks):
+    """The part of an engine that deals with machines."""
 
     # Connections.
 
     def link_up(self, now: int, machine: str, welcome: m.Welcome | None = None) -> None:
-        """A dialled machine has answered. What it holds is asked before anything is offered, where machines
-        tell that; else what waits for the connection leaves at once."""
+        """A dialled machine has answered.
+
+        Where machines report their guests, that inventory is requested before anything is offered; elsewhere
+        what waits for the connection is sent at once.
+        """
         link = self.links.get(machine)
         if link is None or link.state != "dialling":
             self.actions.append(HangUp(machine))
             return
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             self._opened(now, link)
             return
         if welcome.name != machine:
             self.counts["wrong_machine"] += 1
             self.actions.append(
-                Lost(
+                Disconnect(
                     "machine",
                     machine,
                     "wrong_machine",
@@ -55,90 +58,96 @@
             )
             self.link_failed(now, machine)
             return
-        link.state, link.rolled = "up", False
-        self.restless[machine] = None
-        link.roll_due = now + to_microseconds(self.limits.reconnect_ms)
-        link.before, link.incarnation = link.incarnation, welcome.incarnation
+        link.state, link.inventory_known = "up", False
+        self.active_links[machine] = None
+        link.inventory_due = now + to_microseconds(self.limits.reconnect_ms)
+        link.previous_incarnation, link.incarnation = link.incarnation, welcome.incarnation
         link.used_at = now
         self._send_machine(machine, m.InventoryRequest())
 
     def _opened(self, now: int, link: Link) -> None:
-        """A connection stands to a machine that tells nothing of what it holds."""
-        link.state, link.rolled, link.dial_at = "up", True, 0
+        """A connection to a machine that does not report its guests is open."""
+        link.state, link.inventory_known, link.dial_at = "up", True, 0
         link.used_at = link.opened_at = now
-        if self.facts.list_lease:  # until the list shows the machine there at a later moment
+        if self.deployment.list_lease:  # until the list shows the machine at a later time
             link.unconfirmed = True
             self.unconfirmed_links[link.machine] = None
-        if link.lost_at and self._heard_lately(now, link):
+        if link.lost_at and self._is_recently_heard(now, link):
             link.lost_at = 0
         link.heard_at = link.heard_at or now
-        if link.lost_at:  # whether the machine that had those guests is still there, its answer shows
+        if link.lost_at:  # the answer shows whether the machine that had those guests is still there
             self.probe_number += 1
             self._send_machine(link.machine, m.Probe(number=self.probe_number))
-        self.restless[link.machine] = None
-        words, link.words = link.words, []
-        for until, message in words:
+        self.active_links[link.machine] = None
+        messages, link.pending_messages = link.pending_messages, []
+        for until, message in messages:
             if until > now:
                 self._send_machine(link.machine, message)
-                link.told.append((now + CROSSED, message))
+                link.recent_messages.append((now + CROSSING_WINDOW, message))
         for name in list(link.queue):
-            self._offer(now, self.cases[name])
+            self._offer(now, self.records[name])
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
-    def _heard_lately(self, now: int, link: Link) -> bool:
-        """Whether a machine that takes a new connection need not be asked if it is still there: it has said
-        something in the time for which it may say nothing on a standing one, and owes no answer since. Each
-        probe is paid for, and some machines close a connection after half a second of quiet."""
-        asked = link.unanswered or link.asked_at > link.heard_at
-        return not asked and now - link.heard_at <= to_microseconds(self.limits.silent_ms)
+    def _is_recently_heard(self, now: int, link: Link) -> bool:
+        """Whether a machine that accepts a new connection need not be probed first.
+
+        It has sent something within the time for which an open connection may be silent, and owes no answer
+        since. Each probe has a cost, and some machines close a connection after half a second of silence.
+        """
+        awaits_answer = link.unanswered or link.probed_at > link.heard_at
+        return not awaits_answer and now - link.heard_at <= to_microseconds(self.limits.silent_ms)
 
     def link_failed(self, now: int, machine: str, refused: bool = False) -> None:
-        """A dial failed or took too long: offers that waited for it surely never ran. `refused`: nobody
-        listens there, so the machine's process is gone."""
+        """A dial failed or timed out: offers that waited for it certainly never ran.
+
+        `refused`: nothing listens there, so the machine's process is gone.
+        """
         link = self.links.get(machine)
         if link is None:
             return
-        if refused and not self.peers.rolls and link.lost_at:
+        if refused and not self.peers.reports_inventory and link.lost_at:
             link.lost_at = now - to_microseconds(self.limits.reconnect_ms)
         self.counts["dials_failed"] += 1
-        self.restless[machine] = None
+        self.active_links[machine] = None
         link.state = "down"
         self._drop_queue(now, link)
         if link.lost_at and now - link.lost_at >= to_microseconds(self.limits.reconnect_ms):
             self._forget_machine(now, link)
         elif link.lost_at:
             link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
-        elif any(until > now for until, _ in link.words):
+        elif any(until > now for until, _ in link.pending_messages):
             link.dial_at = now + to_microseconds(self.limits.reconnect_ms) // 10
-        elif machine in self.unheard:
+        elif machine in self.unreported_machines:
             link.dial_at = now + 1_000_000
 
     def link_down(self, now: int, machine: str, reset: bool = False) -> None:
-        """A connection that stood broke. What it carried is not lost yet: the machine is asked first.
-        `reset`: it was not closed in order, so its machine's process may have died."""
+        """An open connection broke. Its guests are not lost yet: the machine is queried first.
+
+        `reset`: it was not closed in order, so the machine's process may have died.
+        """
         if link := self.links.get(machine):
             self._link_lost(now, link, by_machine=True)
             if reset:
-                self._doubt_all_on(now, link)
+                self._verify_all_on(now, link)
 
-    # What machines say.
+    # Messages of machines.
 
     def machine_said(self, now: int, machine: str, message: m.Message) -> None:
-        """Any message of a machine but its Welcome."""
+        """Handles any message of a machine but its Welcome."""
         link = self.links.get(machine)
         if link is None or link.state != "up":
             return
         link.heard_at, link.unanswered = now, 0
-        if not self.peers.rolls:
+        if not self.peers.reports_inventory:
             link.lost_at = 0
         if isinstance(message, m.Inventory):
-            self._rolled(now, link, message)
+            self._inventory_received(now, link, message)
             return
         if isinstance(message, m.Report):
             self.brain.machine_reported(now, machine, load(message.load))
             if machine in self.probes and self.probes[machine].number == message.number:
-                self._tested(now, link, message.well)
+                self._probe_answered(now, link, message.well)
                 self._probe_over(now, machine, message.well)
             return
         if isinstance(message, m.MemoryPressure):
@@ -148,213 +157,237 @@
             return
         if (report := getattr(message, "load", None)) is not None:
             self.brain.machine_reported(now, machine, load(report))
-        for case in (self.newest.get(message.guest), self.cases.get(f"{message.guest}/{message.ask}")):
+        for record in (
+            self.newest_records.get(message.guest),
+            self.records.get(f"{message.guest}/{message.ask}"),
+        ):
             if (
-                case
-                and case.machine
-                and case.machine in (machine, link.heir)
-                and case.sent
+                record
+                and record.machine
+                and record.machine in (machine, link.successor)
+                and record.sent
                 and (
-                    not self.peers.names_attempts
-                    or (case.ask, case.attempt) == (message.ask, message.attempt)
+                    not self.peers.identifies_dispatches
+                    or (record.submission_number, record.dispatch_number) == (message.ask, message.attempt)
                 )
             ):
-                self._heard(now, case, message)
+                self._dispatch_message(now, record, message)
                 return
-        self._heard_loose(now, machine, message)
+        self._abandoned_message(now, machine, message)
 
-    def _heard(self, now: int, case: Case, message: m.DispatchMessage) -> None:
-        """News of the dispatch that is out, or of the placed guest."""
-        case.spoken_at = now
+    def _dispatch_message(self, now: int, record: GuestRecord, message: m.DispatchMessage) -> None:
+        """A message about the outstanding dispatch or the placed guest."""
+        record.confirmed_at = now
         if (
             isinstance(message, m.OfferAccepted)
-            and not case.placed
-            and case.called_off
-            and not self.peers.rolls
+            and not record.placed
+            and record.withdrawn
+            and not self.peers.reports_inventory
         ):
-            # The taking back ends what was taken, and no word follows that an owner could be told.
-            self._ended(now, case, Ending.CALLED_OFF, Remark.NONE)
-        elif isinstance(message, m.OfferAccepted) and not case.placed:
-            case.placed = True
-            self._mark("guest", case.name)
-            self._fact(now, case, "placed")
-            self.brain.dispatch_taken(now, case.name, now - case.sent_at)
-            if self.peers.advised:
-                self.advice.placed(now, case.guest)
+            # The withdrawal ends what was accepted, and no message follows that could be passed to the owner.
+            self._dispatch_ended(now, record, Ending.CALLED_OFF, Remark.NONE)
+        elif isinstance(message, m.OfferAccepted) and not record.placed:
+            record.placed = True
+            self._mark_changed("guest", record.name)
+            self._report_fact(now, record, "placed")
+            self.brain.dispatch_taken(now, record.name, now - record.sent_at)
+            if self.peers.advises_retry:
+                self.retry_advisor.placed(now, record.guest)
             self._answer(
                 now,
-                case,
+                record,
                 m.Placed(
-                    guest=case.guest,
-                    ask=case.ask,
-                    machine=case.machine,
+                    guest=record.guest,
+                    ask=record.submission_number,
+                    machine=record.machine,
                     description=getattr(message, "description", b""),
                 ),
-                case.asks,
+                record.unanswered_submissions,
             )
-            if case.sent_unconfirmed and (link := self.links.get(case.machine)) and link.heir:
-                self._move_task(now, case, link.heir)
-        elif isinstance(message, m.OfferRefused) and not case.placed:
+            if record.sent_unconfirmed and (link := self.links.get(record.machine)) and link.successor:
+                self._move_guest(now, record, link.successor)
+        elif isinstance(message, m.OfferRefused) and not record.placed:
             self.counts["refused_" + message.remark[:20]] += 1
-            self._ended(now, case, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+            self._dispatch_ended(now, record, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
         elif isinstance(message, m.Started):
-            self.brain.guest_runs(now, case.name)
+            self.brain.guest_runs(now, record.name)
         elif isinstance(message, m.ResourceUse):
             if message.cores is not None:
-                self.brain.cores_used(now, case.name, message.cores)
+                self.brain.cores_used(now, record.name, message.cores)
             if message.memory is not None:
-                self.brain.memory_used(now, case.name, message.memory)
+                self.brain.memory_used(now, record.name, message.memory)
         elif isinstance(message, m.ServiceLevel):
-            self.brain.guest_served(now, case.name, message.share)
+            self.brain.guest_served(now, record.name, message.share)
         elif isinstance(message, m.Ended):
             ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
-            if case.placed:
-                self._gone(now, case, message.how, ending, remark)
+            if record.placed:
+                self._guest_gone(now, record, message.how, ending, remark)
             else:
-                self._ended(now, case, ending, remark)
+                self._dispatch_ended(now, record, ending, remark)
                 if self._had_accepted(message.how):
-                    self._over_before_its_answer(now, case)
+                    self._ended_before_acceptance(now, record)
 
     def _had_accepted(self, how: str) -> bool:
-        """Whether only a machine that had accepted a task can end it so. One that accepts a task when it runs
-        may push it out before. Where machines roll, their answer always comes first."""
-        if self.peers.rolls:
+        """Whether only a machine that had accepted a guest can end it with `how`.
+
+        A machine that accepts a guest when it starts to run may preempt it before. Where machines report
+        their inventory, their answer always comes first.
+        """
+        if self.peers.reports_inventory:
             return False
-        return how == "done" or how in STOOD and not self.facts.confirms_running
+        return how == "done" or how in ENDS_AFTER_ACCEPTANCE and not self.deployment.confirms_running
+
+    def _ended_before_acceptance(self, now: int, record: GuestRecord) -> None:
+        """The machine's answer is late, and the guest that it accepted is over.
 
-    def _over_before_its_answer(self, now: int, case: Case) -> None:
-        """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
-        attempt under the same name would be answered "placed" after the end of what was placed."""
+        The owner is informed now: another dispatch under the same name would be answered "placed" after the
+        end of what was placed.
+        """
         self.counts["over_before_answer"] += 1
-        case.cancelled = True
-        self._mark("guest", case.name)
-        self.brain.guest_cancelled(now, case.name)
+        record.cancelled = True
+        self._mark_changed("guest", record.name)
+        self.brain.guest_cancelled(now, record.name)
 
-    def _heard_loose(self, now: int, machine: str, message: m.DispatchMessage) -> None:
-        """News of a dispatch that was given up."""
-        loose = self.loose.get(message.guest, {}).get(machine)
-        if loose is None or loose.case.ask != message.ask:
-            if isinstance(message, m.Ended) and (stand := self.waiting_stands.pop(message.guest, None)):
+    def _abandoned_message(self, now: int, machine: str, message: m.DispatchMessage) -> None:
+        """A message about a dispatch that was abandoned, or about an unknown guest."""
+        abandoned = self.abandoned.get(message.guest, {}).get(machine)
+        if abandoned is None or abandoned.record.submission_number != message.ask:
+            if isinstance(message, m.Ended) and (item := self.waiting_handovers.pop(message.guest, None)):
                 self.counts["found_ended"] += 1
-                if not stand.ended:
-                    told = m.GuestEnded(guest=message.guest, how=message.how, machine=stand.machine)
-                    self._send_owner(stand.owner, told)
+                if not item.ended:
+                    ended = m.GuestEnded(guest=message.guest, how=message.how, machine=item.machine)
+                    self._send_owner(item.owner, ended)
                 return
             self.counts["stray_messages"] += 1
-            if self.peers.tells_use and isinstance(message, m.Started | m.ResourceUse | m.ServiceLevel):
-                self._spoke_of_unknown(machine, message.guest)
-            if isinstance(message, m.Ended) and not self.peers.asks_again:
-                self._keep_end(now, message.guest, message.how)
+            if self.peers.reports_use and isinstance(message, m.Started | m.ResourceUse | m.ServiceLevel):
+                self._unknown_guest_reported(machine, message.guest)
+            if isinstance(message, m.Ended) and not self.peers.owners_resubmit:
+                self._record_end(now, message.guest, message.how)
             return
         if isinstance(message, m.OfferRefused | m.Ended):
-            self._settled(message.guest, machine)
+            self._forget_abandoned(message.guest, machine)
         elif (
             isinstance(message, m.OfferAccepted | m.Started | m.ResourceUse | m.ServiceLevel)
-            and not loose.stands
+            and not abandoned.accepted
         ):
-            self._stands(now, loose)
+            self._late_acceptance(now, abandoned)
 
-    def _rolled(self, now: int, link: Link, running: m.Inventory) -> None:
-        """What a machine has of ours, against what is thought to be there."""
-        self.unheard.discard(link.machine)
-        if link.rolled:  # nobody asked: it cannot tell what is on its way there
+    def _inventory_received(self, now: int, link: Link, running: m.Inventory) -> None:
+        """Compares the inventory that a machine reported with what this planner has recorded there."""
+        self.unreported_machines.discard(link.machine)
+        if link.inventory_known:  # not requested: it cannot cover what is on its way there
             return
-        link.rolled, link.lost_at, link.dial_at = True, 0, 0
+        link.inventory_known, link.lost_at, link.dial_at = True, 0, 0
         there = {(s.guest, s.ask): s for s in running.guests}
-        same_life = not link.before or link.before == link.incarnation
-        link.before = link.incarnation
-        for name in list(link.holds):
-            case = self.cases[name]
-            stand = there.pop((case.guest, case.ask), None)
-            if not case.sent:
+        same_incarnation = not link.previous_incarnation or link.previous_incarnation == link.incarnation
+        link.previous_incarnation = link.incarnation
+        for name in list(link.guests):
+            record = self.records[name]
+            item = there.pop((record.guest, record.submission_number), None)
+            if not record.sent:
                 continue
-            if stand and stand.state == "line" and case.cancelled:
-                self._call_off(now, name, link.machine)
-            if stand and stand.state == "ended":
-                if not case.placed and stand.how != "withdrawn":  # accepted while nobody listened
-                    self._heard(now, case, m.OfferAccepted(guest=case.guest, ask=case.ask))
-                self._heard(now, case, m.Ended(guest=case.guest, ask=case.ask, how=stand.how))
+            if item and item.state == "line" and record.cancelled:
+                self._withdraw(now, name, link.machine)
+            if item and item.state == "ended":
+                if not record.placed and item.how != "withdrawn":  # accepted while no planner was connected
+                    self._dispatch_message(
+                        now, record, m.OfferAccepted(guest=record.guest, ask=record.submission_number)
+                    )
+                self._dispatch_message(
+                    now, record, m.Ended(guest=record.guest, ask=record.submission_number, how=item.how)
+                )
             elif (
-                stand
-                and stand.state != "line"
-                and not case.placed
-                and not (stand.state == "accepted" and self.facts.confirms_running)
+                item
+                and item.state != "line"
+                and not record.placed
+                and not (item.state == "accepted" and self.deployment.confirms_running)
             ):
-                self._heard(now, case, m.OfferAccepted(guest=case.guest, ask=case.ask))
-            if stand and stand.state == "runs":
+                self._dispatch_message(
+                    now, record, m.OfferAccepted(guest=record.guest, ask=record.submission_number)
+                )
+            if item and item.state == "runs":
                 self.brain.guest_runs(now, name)
-            if stand is None and case.placed:
-                self._gone(now, case, "lost")
-            elif stand is None and same_life and running.complete:
-                self._never_arrived(now, case)
-            elif stand is None:
-                self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
-        for guest in [g for g, by in self.loose.items() if link.machine in by]:
-            loose = self.loose[guest][link.machine]
-            stand = there.pop((guest, loose.case.ask), None)
-            if stand is None or stand.state == "ended":
-                self._settled(guest, link.machine)
-            elif stand.state == "line":
-                loose.roll_at = now  # taken back once more
-            elif not loose.stands and (
-                stand.state == "runs" or stand.state == "accepted" and not self.facts.confirms_running
+            if item is None and record.placed:
+                self._guest_gone(now, record, "lost")
+            elif item is None and same_incarnation and running.complete:
+                self._never_arrived(now, record)
+            elif item is None:
+                self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
+        for guest in [g for g, by in self.abandoned.items() if link.machine in by]:
+            abandoned = self.abandoned[guest][link.machine]
+            item = there.pop((guest, abandoned.record.submission_number), None)
+            if item is None or item.state == "ended":
+                self._forget_abandoned(guest, link.machine)
+            elif item.state == "line":
+                abandoned.recheck_at = now  # withdrawn once more
+            elif not abandoned.accepted and (
+                item.state == "runs" or item.state == "accepted" and not self.deployment.confirms_running
             ):
-                self._stands(now, loose)
-        for stand in there.values():
-            if stand.state in ("runs", "accepted"):
-                self._found(now, link, stand)
-            elif stand.state == "ended" and stand.how != "withdrawn" and stand.guest not in self.newest:
-                # It ended while no planner listened: its owner will ask, and must not hear that it is
-                # unknown.
-                self._keep_end(now, stand.guest, stand.how)
-        # What was to go there was decided without the guests that were found: their services are decided
-        # anew.
+                self._late_acceptance(now, abandoned)
+        for item in there.values():
+            if item.state in ("runs", "accepted"):
+                self._guest_found(now, link, item)
+            elif item.state == "ended" and item.how != "withdrawn" and item.guest not in self.newest_records:
+                # It ended while no planner was connected: its owner will query it, and must not get
+                # "unknown" as the answer.
+                self._record_end(now, item.guest, item.how)
+        # What was to be sent there was decided without the guests that were found: guests of their services
+        # are decided again.
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
         for name in list(link.queue):
-            if self.cases[name].submit.service in found:
-                self._not_sent(now, self.cases[name], Ending.NOT_SENT)
+            if self.records[name].submit.service in found:
+                self._not_sent(now, self.records[name], Ending.NOT_SENT)
             else:
-                self._offer(now, self.cases[name])
+                self._offer(now, self.records[name])
         if link.machine in self.probes:
             self._send_probe(link.machine)
 
-    def _never_arrived(self, now: int, case: Case) -> None:
-        """A complete roll without it, in the life that it was sent to: it never arrived, and cannot any more.
-        That rests on what this planner last knew. If an earlier life made its claim, the kept state may be
-        older than what that life saw, so the claim is not gone on with."""
-        if case.claim and self.claims is not None and not self.claims.mine(case.claim):
-            case.claim = case.sent_claim = b""
-        self._ended(now, case, Ending.NOT_SENT, Remark.NONE)
+    def _never_arrived(self, now: int, record: GuestRecord) -> None:
+        """A complete inventory of the incarnation it was sent to lacks the guest: it cannot arrive any more.
+
+        That holds for what this planner last knew. If an earlier run of it made the claim, the persisted
+        state may be older than what that run saw, so the claim is not reused.
+        """
+        if record.claim and self.claims is not None and not self.claims.mine(record.claim):
+            record.claim = record.sent_claim = b""
+        self._dispatch_ended(now, record, Ending.NOT_SENT, Remark.NONE)
 
-    def _found(self, now: int, link: Link, stand: m.InventoryItem) -> None:
-        """A guest of ours that runs and that this planner does not know: from before its start."""
-        if stand.product not in self.products:
+    def _guest_found(self, now: int, link: Link, item: m.InventoryItem) -> None:
+        """A guest of this planner runs that it does not know: it is from before its start."""
+        if item.product not in self.products:
             self.counts["found_unknown_product"] += 1
             return
-        name = f"{stand.guest}/{stand.ask}"
+        name = f"{item.guest}/{item.ask}"
         self.counts["found"] += 1
-        case = Case(name, stand.guest, stand.ask, stand.owner, self.products[stand.product], stand)
-        case.attempt, case.sent_at = stand.attempt, now
-        held = self.newest.get(stand.guest)
-        if held and held.machine or name in self.cases:  # out or placed elsewhere: one copy too many
-            loose = Loose(case, stand.attempt, link.machine, now, roll_at=now + 1_000_000)
-            self._mark("loose", stand.guest, link.machine)
-            self.loose.setdefault(stand.guest, {})[link.machine] = loose
-            self._stands(now, loose)
+        record = GuestRecord(name, item.guest, item.ask, item.owner, self.products[item.product], item)
+        record.dispatch_number, record.sent_at = item.attempt, now
+        held = self.newest_records.get(item.guest)
+        # Outstanding or placed elsewhere: one copy too many.
+        if held and held.machine or name in self.records:
+            abandoned = AbandonedDispatch(record, item.attempt, link.machine, now, recheck_at=now + 1_000_000)
+            self._mark_changed("loose", item.guest, link.machine)
+            self.abandoned.setdefault(item.guest, {})[link.machine] = abandoned
+            self._late_acceptance(now, abandoned)
             return
-        case.machine, case.sent, case.placed = link.machine, True, True
-        if held:  # asked again while its planner was away: what runs is the answer
+        record.machine, record.sent, record.placed = link.machine, True, True
+        if held:  # submitted again while its planner was away: the running guest is the answer
             self.brain.guest_left(now, held.name)
-            self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
-            del self.cases[held.name]
-            self._mark("guest", held.name)
-        self.cases[name] = self.newest[stand.guest] = case
-        case.incarnation = link.incarnation
-        self._hold(case)
-        self._mark("guest", name)
-        self.brain.guest_found(now, link.machine, self._ask(case, 0))
-        self._fact(now, case, "placed")
+            self._answer(
+                now,
+                held,
+                m.Placed(guest=held.guest, ask=held.submission_number, machine=link.machine),
+                held.unanswered_submissions,
+            )
+            del self.records[held.name]
+            self._mark_changed("guest", held.name)
+        self.records[name] = self.newest_records[item.guest] = record
+        record.incarnation = link.incarnation
+        self._attach(record)
+        self._mark_changed("guest", name)
+        self.brain.guest_found(now, link.machine, self._submission(record, 0))
+        self._report_fact(now, record, "placed")
 
 
 def load(report: m.Load | None) -> Load | None:
+    """The scheduler's form of a load that a machine reported, if it did."""
     return None if report is None else Load(report.cores_free, report.memory_free, report.busy)
--- /dev/null
+++ b/hazelhold/engine/list_updates.py
@@ -0,0 +1,147 @@
+"""Updates of the machine list: which machines exist, which accept guests, whether the list is current."""
+
+from collections.abc import Callable
+
+from hazelhold.engine.address_reuse import AddressReuse
+from hazelhold.engine.events import ListEvent
+from hazelhold.engine.list_lease import Lapse
+from hazelhold.engine.machine_incarnations import previous_incarnation_ended
+from hazelhold.engine.machines import Link, RosterChanges
+from hazelhold.engine.records import HangUp, VerificationCause
+from hazelhold.interface import Ending
+from hazelhold.protocol import messages as m
+
+
+class ListUpdates(AddressReuse):
+    """The part of an engine that deals with the list service."""
+
+    _resolve_handovers: Callable[..., None]  # defined by Owners
+
+    def list_said(self, now: int, message: m.Message) -> None:
+        """Handles a Listing or ListRefused of the list service."""
+        self.list_due = 0
+        if not isinstance(message, m.Listing):
+            self.list_failed(now)
+            return
+        first, self.list_heard = not self.list_heard, True
+        self.list_version = message.version
+        changes = self.roster.update(now, message)
+        if self.persistence is not None:
+            self.persistence.listing_received(message)
+        self.counts["list_entries"] += len(message.entries)
+        self.counts["list_faults"] += len(changes.faults)
+        self.brain.machines_listed(now, changes.listed, message.whole)
+        if not first:  # the whole list at a start is one log line, written there
+            self._log_changes(now, changes)
+        for name in changes.draining:  # what was not sent yet must not go there any more
+            if link := self.links.get(name):
+                for record_name in list(link.queue):
+                    self._not_sent(now, self.records[record_name], Ending.NOT_SENT)
+        for name in changes.moved:
+            if name in self.links:
+                self.actions.append(HangUp(name))
+                self._link_lost(now, self.links[name])
+        inherited = self._move_to_successors(now, changes)
+        for name in changes.gone:
+            self.unreported_machines.discard(name)
+            if (link := self.links.get(name)) and (
+                not link.state == "up"
+                and not self._awaits_successor(link)
+                or not self.peers.reports_inventory
+                and not link.guests
+            ):
+                if link.state == "up":
+                    self.actions.append(HangUp(name))
+                    link.close(now)
+                self._forget_machine(now, link)
+        self._resolve_handovers(now, list_is_whole=False)
+        if not self.peers.reports_inventory:
+            for name in changes.added:
+                if (link := self.links.get(name)) and link.machine not in inherited:
+                    self._machine_restarted(now, link, self.roster.machines[name].started)
+            return
+        if first:
+            self.unreported_machines = {f.name for f in self.roster.machines.values()}
+        for name in changes.added:  # each is queried once for its guests of this planner
+            self._dial(now, self.roster.machines[name])
+
+    def _machine_restarted(self, now: int, link: Link, started: int) -> None:
+        """The list shows a new incarnation of a machine: guests sent to the previous one are over.
+
+        Where the clocks may differ, a guest sent before a connection ended has to be reported on a later one.
+        """
+        ended_at, reset_at = previous_incarnation_ended(now, link, started)
+        for name in list(link.guests):
+            record = self.records[name]
+            if record.handed_over_at and not record.confirmed_at:
+                self._verify_handed_over(record)
+            if (
+                not record.sent
+                or record.sent_at >= max(ended_at, reset_at)
+                or record.confirmed_at > reset_at > 0
+            ):
+                continue
+            if record.sent_at < ended_at:
+                self._guest_gone(now, record, "lost")
+            else:
+                self._verify_after_reset(reset_at, record, VerificationCause.RESTARTED)
+
+    def _log_changes(self, now: int, changes: RosterChanges) -> None:
+        for name in changes.added:
+            self._machine_event("listed", name)
+        for name in changes.draining:
+            reason = "gone" if name in changes.gone else "draining"
+            link = self.links.get(name)
+            # Beside when that was reported, this shows whether it broke the rule.
+            if link is not None and link.offered_at:
+                reason += f", last offer {(now - link.offered_at) // 1000} ms ago"
+            self._machine_event("closed", name, reason)
+
+    # Whether the list is current.
+
+    def list_confirmed(self, now: int, as_of: int) -> bool:
+        """The list was current at `as_of`, since the service answered a call made then.
+
+        True if that changes anything but the end of the lease.
+        """
+        changes = not self.list_taken or bool(self.waiting_handovers or self.unconfirmed_links)
+        self.lease.confirm(as_of)
+        if self.lease.holds(now):
+            self._resolve_handovers(now, list_is_whole=True)
+            self._confirm_connections(as_of)
+        self._report_lease(now)
+        return changes
+
+    def list_unchanged(self, now: int) -> None:
+        """The list service answered that nothing changed."""
+        self.list_due = 0
+        self.brain.list_heard(now)
+
+    def list_call_failed(self, now: int) -> None:
+        """A call to the list service failed, so it does not renew the lease."""
+        self.lease.note(Lapse.FAILED)
+        self.list_failed(now)
+
+    def list_address_changed(self, now: int) -> None:
+        """The list service has a new address, from which nothing was received yet."""
+        self.lease.end(Lapse.MOVED)
+        self._report_lease(now)
+
+    def _report_lease(self, now: int) -> None:
+        """Reports to the scheduler and the log if the list has become current or stopped being so."""
+        holds = self.lease.holds(now)
+        if holds is self.list_taken:
+            return
+        self.list_taken = holds
+        self.brain.list_taken(now, holds)
+        as_of, lapse = self.lease.confirmed_as_of, self.lease.lapse
+        self.events.append(
+            ListEvent(holds, lapse.value if lapse else "confirmed", -1 if as_of is None else now - as_of)
+        )
+        self.counts["list_lapses"] += not holds
+
+    def list_failed(self, now: int) -> None:
+        """The list service refused, did not answer in time, or its connection broke."""
+        self.list_due = 0
+        self.counts["list_failures"] += 1
+        self.brain.list_failed(now)
--- /dev/null
+++ b/hazelhold/engine/machine_incarnations.py
@@ -0,0 +1,50 @@
+"""Determines when the previous incarnation of a restarted machine ended.
+
+Guests sent to the previous incarnation are over, those sent to the new one are placed. The list dates the
+start of the new incarnation by its own wall clock, and this machine's clock may have been stepped against it.
+A process that dies has its connections reset, so each connection ends at the death or was opened after it:
+that needs no clock but this planner's own.
+"""
+
+from typing import NamedTuple
+
+from hazelhold.engine.machines import Link
+
+MAX_LIST_DELAY = 8_000_000
+"""Microseconds: how late the list may show a new incarnation."""
+
+CLOCK_TOLERANCE = 1_000_000
+"""Microseconds between a connection's end and a start by the list's clock within which both are one event."""
+
+
+class PreviousIncarnation(NamedTuple):
+    """When the previous incarnation ended, in microseconds of this planner's clock.
+
+    `ended_at`: guests sent before this are over; 0 if nothing shows that any is. `reset_at`: when the machine
+    last ended a connection; 0 if it did not lately.
+    """
+
+    ended_at: int
+    reset_at: int
+
+
+def previous_incarnation_ended(now: int, link: Link, started: int) -> PreviousIncarnation:
+    """When the incarnation before the one that started at `started` ended.
+
+    `started` comes from the list's clock, converted to this planner's; a time that is not in the past shows
+    that the clocks differ.
+    """
+    ends = [
+        each for each in link.past_connections if each.by_machine and now - each.ended_at <= MAX_LIST_DELAY
+    ]
+    if not ends:
+        return PreviousIncarnation(started if started < now else 0, 0)
+    last = ends[-1].ended_at
+    if started >= now:
+        return PreviousIncarnation(last, last)
+    nearest = min(ends, key=lambda each: abs(each.ended_at - started)).ended_at
+    if abs(nearest - started) <= CLOCK_TOLERANCE:
+        return PreviousIncarnation(nearest, last)
+    outlived = any(each.opened_at <= started < each.ended_at for each in ends)
+    active_since = link.state == "up" and link.opened_at <= started < link.heard_at
+    return PreviousIncarnation(last if outlived or active_since else started, last)
--- /dev/null
+++ b/hazelhold/engine/settings.py
@@ -0,0 +1,49 @@
+"""Settings of an engine: the scheduler's deployment settings, names, limits, and what its peers can do."""
+
+from typing import NamedTuple
+
+from hazelhold.config.planner import LimitsConfig, PlannerConfig, deployment_settings
+from hazelhold.interface import Deployment
+
+
+class PeerCapabilities(NamedTuple):
+    """What owners, machines and the list service can do. The defaults fit this project's own protocol."""
+
+    # Machines report on each connection which guests they hold. If not, a lost connection ends its
+    # outstanding dispatches as possibly run, and placed guests stay placed until the machine is known to be
+    # gone.
+    reports_inventory: bool = True
+    identifies_dispatches: bool = True  # messages of machines name the dispatch they are about
+    # Owners repeat a submission under its name: repeats join the held guest, and answers are kept for them.
+    owners_resubmit: bool = True
+    acknowledges_submission: bool = True  # owners are sent an acknowledgement of a submission
+    # Refusals advise how long to wait, and guests that cannot be placed in time are refused at once.
+    advises_retry: bool = True
+    # The list service regularly confirms that nothing changed. If so, a list that was not confirmed lately
+    # proves nothing about a machine: each is probed before guests are sent there.
+    list_confirms: bool = False
+    # Machines report what each guest uses: when a planner starts, and as it changes.
+    reports_use: bool = False
+
+
+class EngineSettings(NamedTuple):
+    """What an engine needs of a configuration. Names are in the order of the deployment settings."""
+
+    deployment: Deployment
+    products: tuple[str, ...]
+    customers: tuple[str, ...]
+    kinds: tuple[str, ...]
+    limits: LimitsConfig
+    peers: PeerCapabilities = PeerCapabilities()
+
+
+def engine_settings(config: PlannerConfig) -> EngineSettings:
+    """The engine's settings from a planner's configuration."""
+    estate = config.estate
+    return EngineSettings(
+        deployment_settings(config),
+        tuple(p.name for p in estate.products),
+        tuple(estate.customers),
+        tuple(k.name for k in estate.kinds),
+        config.limits,
+    )
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -1,4 +1,4 @@
-"""The tables of one engine, with what each empties and the small steps that every part of it takes."""
+"""The tables of one engine, what empties each of them, and small steps that all its parts share."""
 
 from collections import Counter, OrderedDict, deque
 from heapq import heappush
@@ -7,42 +7,52 @@
 
 from hazelhold.brain import Brain
 from hazelhold.config.planner import PlannerConfig, to_microseconds
-from hazelhold.engine.advice import Advice
-from hazelhold.engine.cases import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
-from hazelhold.engine.events import Event, MachineEvent, RuleEvent, TaskEvent
+from hazelhold.engine.admission import RetryAdvisor
+from hazelhold.engine.events import Event, GuestEvent, MachineEvent, RuleEvent
 from hazelhold.engine.list_lease import ListLease
-from hazelhold.engine.machines import Fellow, Link, Roster
+from hazelhold.engine.machines import Link, Roster, RosterMachine
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import Denial
-from hazelhold.engine.terms import Terms, terms_of
+from hazelhold.engine.records import (
+    AbandonedDispatch,
+    Action,
+    Claims,
+    Dial,
+    GuestRecord,
+    HangUp,
+    ProposeChange,
+    Send,
+    Verification,
+)
+from hazelhold.engine.settings import EngineSettings, engine_settings
 from hazelhold.interface import Ask, Earlier, Effect
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
 
 
 class OutstandingProbe(NamedTuple):
-    """A test that a machine was asked for by a decision. Moments in microseconds."""
+    """A probe that was sent to a machine by a decision. `due` in microseconds."""
 
     number: int
     due: int
 
 
-class WaitingStand(NamedTuple):
-    """A task that its owner says stands on a machine that is not known yet."""
+class WaitingHandover(NamedTuple):
+    """A guest that its owner hands over on a machine that is not listed yet."""
 
     owner: str
     machine: str
     submit: m.Submit
-    ended: bool = False  # its owner has ended it meanwhile: the machine is to stop it
+    ended: bool = False  # its owner has ended it meanwhile: the machine has to stop it
 
 
-class Marks(Protocol):
-    """Who is told of what changes here, if it is to outlive the process (`keep.Keeping`)."""
+class ChangeTracker(Protocol):
+    """Collects what has to be persisted (`persistence.StatePersistence`)."""
 
     epoch: int
-    marks: dict[tuple[str, str], None]
+    changed_keys: dict[tuple[str, str], None]
 
-    def told(self, listing: m.Listing) -> None: ...
+    def listing_received(self, listing: m.Listing) -> None: ...
 
     def flush(self, tables: "Tables", now: int) -> list[Change]: ...
 
@@ -50,113 +60,126 @@
 
 
 class Tables:
-    """What one planner knows, and the steps on it that decide nothing."""
-
-    def __init__(self, config: PlannerConfig | Terms, seed: int, now: int) -> None:
-        terms = config if isinstance(config, Terms) else terms_of(config)
-        self.limits, self.peers, self.facts = terms.limits, terms.peers, terms.facts
-        self.brain = Brain(seed, self.facts)
-        self.at_once = self.limits.decisions_at_once  # decisions of a pump; a host that is behind lowers it
+    """The state of one planner, and steps on it that make no decisions."""
+
+    def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
+        settings = config if isinstance(config, EngineSettings) else engine_settings(config)
+        self.limits, self.peers, self.deployment = settings.limits, settings.peers, settings.deployment
+        self.brain = Brain(seed, self.deployment)
+        # Decisions in one pump; a host that is behind lowers it.
+        self.decision_batch = self.limits.decisions_at_once
         self.actions: list[Action] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
-        self.products = {name: at for at, name in enumerate(terms.products)}
-        self.customers = {name: at for at, name in enumerate(terms.customers)}
-        self.roster = Roster({name: at for at, name in enumerate(terms.kinds)})
-        self.cases: dict[str, Case] = {}  # by the Brain's name; emptied by the last word on a guest
-        self.newest: dict[str, Case] = {}  # by guest; emptied with cases
-        # Final answers that owners may still ask for; emptied by age.
+        self.products = {name: at for at, name in enumerate(settings.products)}
+        self.customers = {name: at for at, name in enumerate(settings.customers)}
+        self.roster = Roster({name: at for at, name in enumerate(settings.kinds)})
+        # By the scheduler's name; emptied by a guest's end or final answer.
+        self.records: dict[str, GuestRecord] = {}
+        self.newest_records: dict[str, GuestRecord] = {}  # by guest; emptied with records
+        # Final answers that owners may still request again; emptied by age.
         self.answers: OrderedDict[tuple[str, int], tuple[m.Message, int]] = OrderedDict()
         self.ends: OrderedDict[str, tuple[str, int]] = OrderedDict()  # how guests ended; emptied by age
-        # By guest, then machine; emptied by the machine's word, its new life or its leaving the list.
-        self.loose: dict[str, dict[str, Loose]] = {}
+        # By guest, then machine; emptied by the machine's report, its new incarnation or its leaving the
+        # list.
+        self.abandoned: dict[str, dict[str, AbandonedDispatch]] = {}
         self.links: dict[str, Link] = {}  # emptied as machines go
-        # Links with something to wait for; settled ones are passed over, so that a pump does not look at all.
-        self.restless: dict[str, None] = {}  # emptied as they settle
-        self.pumped_at = now  # when time-outs were looked at last
-        self.ran_on_at = 0  # when the process ran on after it had not for a while; 0: it always did
-        self.idle_at = 0  # when links that nobody uses are looked for next
-        self.overdue: list[tuple[int, str, int]] = []  # a heap of time-outs: moment, case, attempt
+        # Links that wait for something; idle ones are skipped, so that a pump does not check all links.
+        self.active_links: dict[str, None] = {}  # emptied as they become idle
+        self.pumped_at = now  # when timeouts were last checked
+        self.resumed_at = 0  # when the process last resumed after a pause; 0: it never paused
+        self.idle_check_at = 0  # when unused links are checked next
+        self.overdue: list[tuple[int, str, int]] = []  # a heap of timeouts: time, record, dispatch number
         self.list_version = 0
-        self.list_due = 0  # by when the list service must have answered; 0: nothing is asked
-        self.probes: dict[str, OutstandingProbe] = {}  # by machine; emptied by its answer or time-out
+        self.list_due = 0  # deadline for the list service to answer; 0: no request is open
+        self.probes: dict[str, OutstandingProbe] = {}  # by machine; emptied by its answer or timeout
         self.probe_number = 0
-        self.unheard: set[str] = set()  # machines listed at the start that have not told what they hold
+        # Machines listed at the start that have not reported their guests.
+        self.unreported_machines: set[str] = set()
         self.list_heard = self.stopping = False
-        self.keeping: Marks | None = None  # set if what changes here is to outlive the process
-        self.claims: Claims | None = None  # set if offers that must not leave twice are agreed among planners
-        self.sure = False  # all that this planner took in earlier lives is known
-        self.kept_well = True  # what is sent is sure to be known after a crash
-        self.lease = ListLease(self.facts.list_lease)
-        # Tasks that stand, as far as is known, and whose machine has to speak of them; by the Brain's name.
-        self.doubted: dict[str, Doubt] = {}  # emptied by that and by time
-        # Machines that spoke of a task that is not in hand, by task; emptied by its hand-over and by number.
-        self.spoken_of: OrderedDict[str, str] = OrderedDict()
-        self.list_taken = True  # what the module was last told of the list: whether it is current
-        self.monitor = RuleMonitor(self.facts.max_dispatches)
-        # Tasks handed over on machines that the list lacks while it is not confirmed, by name; see handover.
-        self.waiting_stands: dict[str, WaitingStand] = {}  # emptied by the list, the owner and the task's end
-        # Links with tasks to machines that have left the list, by address, where another may have taken their
-        # place before the connection was opened; emptied as links are forgotten.
-        self.orphans: dict[str, str] = {}
-        self.unconfirmed_links: dict[
-            str, None
-        ] = {}  # opened since the list was confirmed last; emptied by that
-        self.denials: Counter[Denial] = Counter()  # what the last check kept back, by reason
-        self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that gives it room, emptied by it
-        self.more = False  # the last pump ended at its limit
-        self.advice = Advice(
+        self.persistence: ChangeTracker | None = None  # set if changes have to be persisted
+        # Set if offers that must not be sent twice are agreed among planners.
+        self.claims: Claims | None = None
+        self.recovery_complete = False  # all that this planner accepted in earlier runs is known
+        self.persistence_healthy = True  # what is sent is certain to be known after a crash
+        self.lease = ListLease(self.deployment.list_lease)
+        # Guests that count as placed and that their machine has to confirm; by the scheduler's name.
+        self.verifications: dict[str, Verification] = {}  # emptied by that and by timeout
+        # By guest: the machine that reported on it while it was not held; emptied by its handover and by
+        # number.
+        self.recently_reported: OrderedDict[str, str] = OrderedDict()
+        self.list_taken = True  # whether the scheduler was last informed that the list is current
+        self.monitor = RuleMonitor(self.deployment.max_dispatches)
+        # By name: guests handed over on machines that the list lacks while it is not confirmed.
+        # Emptied by the list, the owner and the guest's end.
+        self.waiting_handovers: dict[str, WaitingHandover] = {}
+        # By address: machines that have left the list and whose link has guests, where another machine may
+        # have taken the address before the connection was opened; emptied as links are forgotten.
+        self.orphaned_links: dict[str, str] = {}
+        # Opened since the list was last confirmed; emptied by that.
+        self.unconfirmed_links: dict[str, None] = {}
+        self.denials: Counter[Denial] = Counter()  # offers that the final check held back, by reason
+        self.events: deque[Event] = deque(maxlen=0)  # for the log of a host that sets a length; emptied by it
+        self.more = False  # the last pump ended at its limit of decisions
+        self.retry_advisor = RetryAdvisor(
             to_microseconds(self.limits.again_least_ms),
             to_microseconds(self.limits.again_most_ms),
             Random(f"advice/{seed}"),
         )
 
-    def share(self, planners: int, slot: int) -> None:
-        """From now on this planner is that one of so many."""
-        self.facts = self.brain.deployment = self.facts._replace(planners=planners, slot=slot)
+    def set_planner_share(self, planners: int, slot: int) -> None:
+        """Makes this planner number `slot` of `planners` that share the fleet."""
+        self.deployment = self.brain.deployment = self.deployment._replace(planners=planners, slot=slot)
+
+    def reconfigure(self, settings: EngineSettings) -> None:
+        """Continues with new settings.
 
-    def reconfigure(self, terms: Terms) -> None:
-        """Works on by these terms. Products that are here keep their places and whatever tasks in hand were
-        judged by; others may follow them. Kinds are the same, and so is this planner's share of the fleet.
-        New tasks are taken by the new terms; limits on dispatches hold for all at once."""
-        facts = terms.facts._replace(planners=self.facts.planners, slot=self.facts.slot)
-        self.facts = self.brain.deployment = facts
-        self.products = {name: at for at, name in enumerate(terms.products)}
-        self.customers = {name: at for at, name in enumerate(terms.customers)}
+        Existing guest classes keep their positions and what held guests were decided by; new ones may follow
+        them. Machine kinds and this planner's share of the fleet stay the same. New guests are accepted by
+        the new settings; limits on dispatches apply to all guests at once.
+        """
+        deployment = settings.deployment._replace(
+            planners=self.deployment.planners, slot=self.deployment.slot
+        )
+        self.deployment = self.brain.deployment = deployment
+        self.products = {name: at for at, name in enumerate(settings.products)}
+        self.customers = {name: at for at, name in enumerate(settings.customers)}
 
-    def _mark(self, kind: str, *key: object) -> None:
-        if self.keeping is not None:
-            self.keeping.marks[kind, "\0".join(str(part) for part in key)] = None
+    def _mark_changed(self, kind: str, *key: object) -> None:
+        if self.persistence is not None:
+            self.persistence.changed_keys[kind, "\0".join(str(part) for part in key)] = None
 
     # Claims.
 
-    def _claimed(self, case: Case) -> bool:
-        """Whether offers of this guest need a claim."""
-        return self.claims is not None and (self.facts.products[case.product].effect is not Effect.RERUNNABLE)
+    def _needs_claim(self, record: GuestRecord) -> bool:
+        """Whether offers of this guest need an agreed claim."""
+        return self.claims is not None and (
+            self.deployment.products[record.product].effect is not Effect.RERUNNABLE
+        )
 
-    def _wanted(self) -> None:
+    def _take_proposals(self) -> None:
         wanted, self.claims.wanted = self.claims.wanted, []
-        self.actions += [Agree(*each) for each in wanted]
+        self.actions += [ProposeChange(*each) for each in wanted]
 
-    def _fact(self, now: int, case: Case, state: str, how: str = "") -> None:
-        """Lets the other planners know what became of a claimed guest."""
-        if self._claimed(case):
-            self.claims.fact(now, case.guest, case.ask, state, case.machine, how)
-            self._wanted()
+    def _report_fact(self, now: int, record: GuestRecord, state: str, how: str = "") -> None:
+        """Reports to the other planners what became of a claimed guest."""
+        if self._needs_claim(record):
+            self.claims.report_fact(now, record.guest, record.submission_number, state, record.machine, how)
+            self._take_proposals()
 
     def _release(self, now: int, guest: str, claim: bytes) -> None:
         if claim:
             self.claims.release(now, guest, claim)
-            self._wanted()
+            self._take_proposals()
 
-    def _overdue(self, due: int, case: Case) -> None:
-        case.due_at = due
-        heappush(self.overdue, (due, case.name, case.attempt))
+    def _set_dispatch_timeout(self, due: int, record: GuestRecord) -> None:
+        record.due_at = due
+        heappush(self.overdue, (due, record.name, record.dispatch_number))
 
-    def _ask(self, case: Case, patience: int, earlier: Earlier | None = None) -> Ask:
-        s = case.submit
+    def _submission(self, record: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
+        s = record.submit
         return Ask(
-            case.name,
-            case.product,
+            record.name,
+            record.product,
             self.customers.get(s.customer, 0),
             s.service,
             s.cores,
@@ -165,58 +188,64 @@
             earlier,
         )
 
-    def _hold(self, case: Case) -> None:
-        if case.machine not in self.links:
-            self.links[case.machine] = Link(case.machine)
-        self.links[case.machine].holds[case.name] = None
+    def _attach(self, record: GuestRecord) -> None:
+        if record.machine not in self.links:
+            self.links[record.machine] = Link(record.machine)
+        self.links[record.machine].guests[record.name] = None
 
-    def _unhold(self, case: Case) -> None:
-        if link := self.links.get(case.machine):
-            link.holds.pop(case.name, None)
-            link.queue.pop(case.name, None)
+    def _detach(self, record: GuestRecord) -> None:
+        if link := self.links.get(record.machine):
+            link.guests.pop(record.name, None)
+            link.queue.pop(record.name, None)
 
-    # What is told to the log, and what is checked at run time.
+    # Log events and run-time checks.
 
-    def _task_event(self, change: str, case: Case, reason: str = "") -> None:
-        self.events.append(TaskEvent(change, case.guest, case.attempt, case.machine, reason))
+    def _guest_event(self, change: str, record: GuestRecord, reason: str = "") -> None:
+        self.events.append(GuestEvent(change, record.guest, record.dispatch_number, record.machine, reason))
 
     def _machine_event(self, change: str, machine: str, reason: str = "") -> None:
         self.events.append(MachineEvent(change, machine, reason))
 
-    def _violated(self, found: list[Violation], case: Case) -> None:
+    def _violated(self, found: list[Violation], record: GuestRecord) -> None:
         for each in found:
             self.counts["rule_violations"] += 1
-            self.events.append(RuleEvent(each.value, case.guest, case.machine))
-
-    def _forget(self, case: Case) -> None:
-        self.cases.pop(case.name, None)
-        self.monitor.forget(case.name)
-        self._mark("guest", case.name)
-        if self.newest.get(case.guest) is case:
-            del self.newest[case.guest]
+            self.events.append(RuleEvent(each.value, record.guest, record.machine))
+
+    def _forget(self, record: GuestRecord) -> None:
+        self.records.pop(record.name, None)
+        self.monitor.forget(record.name)
+        self._mark_changed("guest", record.name)
+        if self.newest_records.get(record.guest) is record:
+            del self.newest_records[record.guest]
+
+    def _retry_after(self, now: int, guest: str, fallback: int = 0) -> int:
+        """The wait in microseconds that a refusal advises: admission control's, or the decision's own."""
+        return (
+            self.retry_advisor.wait(now, guest, len(self.brain.waiting))
+            if self.peers.advises_retry
+            else fallback
+        )
 
-    def _later(self, now: int, guest: str, span: int = 0) -> int:
-        """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
-        return self.advice.wait(now, guest, len(self.brain.waiting)) if self.peers.advised else span
+    def _may_have_unknown_guests(self) -> bool:
+        """Whether guests may run that this planner does not know of, so it must not report any as unknown.
 
-    def _blind(self) -> bool:
-        """Whether guests may run that this planner has not heard of: it has just started, and has no list
-        yet or waits for machines on it. What it does not know it must not call unknown."""
-        return not self.sure and (not self.list_heard or bool(self.unheard))
+        It has just started, and has no list yet or waits for the reports of listed machines.
+        """
+        return not self.recovery_complete and (not self.list_heard or bool(self.unreported_machines))
 
-    def _keep_end(self, now: int, guest: str, how: str) -> None:
+    def _record_end(self, now: int, guest: str, how: str) -> None:
         if len(self.ends) >= self.limits.open_guests:
             self.ends.popitem(last=False)
         self.ends[guest] = how, now + to_microseconds(self.limits.keep_answers_ms)
         self.ends.move_to_end(guest)
-        self._mark("end", guest)
+        self._mark_changed("end", guest)
 
-    def _settled(self, guest: str, machine: str) -> None:
-        if by := self.loose.get(guest):
+    def _forget_abandoned(self, guest: str, machine: str) -> None:
+        if by := self.abandoned.get(guest):
             by.pop(machine, None)
-            self._mark("loose", guest, machine)
+            self._mark_changed("loose", guest, machine)
             if not by:
-                del self.loose[guest]
+                del self.abandoned[guest]
 
     def _send_owner(self, owner: str, message: m.Message) -> None:
         self.actions.append(Send("owner", owner, message))
@@ -224,61 +253,66 @@
     def _send_machine(self, machine: str, message: m.Message) -> None:
         self.actions.append(Send("machine", machine, message))
 
-    def _restless(self) -> list[Link]:
-        for name in [n for n in self.restless if n not in self.links]:
-            del self.restless[name]
-        return [self.links[name] for name in self.restless]
+    def _active_links(self) -> list[Link]:
+        for name in [n for n in self.active_links if n not in self.links]:
+            del self.active_links[name]
+        return [self.links[name] for name in self.active_links]
 
-    def _dial(self, now: int, fellow: Fellow) -> Link:
-        link = self.links.get(fellow.name)
+    def _dial(self, now: int, listed: RosterMachine) -> Link:
+        link = self.links.get(listed.name)
         if link is None:
-            link = self.links[fellow.name] = Link(fellow.name)
-        self._rested(now, link)
-        self.restless[fellow.name] = None
-        if link.state == "down" and not self._room_for_link(now):
-            link.dial_at = now + 100_000  # what waits for it stays here, and is tried again or ends unsent
+            link = self.links[listed.name] = Link(listed.name)
+        self._close_if_idle(now, link)
+        self.active_links[listed.name] = None
+        if link.state == "down" and not self._ensure_link_slot(now):
+            link.dial_at = now + 100_000  # what waits for it stays queued, and is tried again or ends unsent
         elif link.state == "down":
-            link.state, link.dial_at, link.address = "dialling", 0, fellow.address
+            link.state, link.dial_at, link.address = "dialling", 0, listed.address
             link.dial_due = now + to_microseconds(self.limits.connect_ms)
-            self.actions.append(Dial(fellow.name, fellow.address, to_microseconds(self.limits.connect_ms)))
+            self.actions.append(Dial(listed.name, listed.address, to_microseconds(self.limits.connect_ms)))
         return link
 
-    def _rested(self, now: int, link: Link) -> None:
-        """Leaves a connection that has been quiet for so long that its machine may be closing it: what would
-        be written now could cross that, and nobody could tell whether it ran."""
+    def _close_if_idle(self, now: int, link: Link) -> None:
+        """Closes a connection that has been idle for so long that its machine may be closing it.
+
+        An offer written now could cross that close, and nobody could tell whether it ran.
+        """
         if (
-            self.peers.rolls
+            self.peers.reports_inventory
             or link.state != "up"
             or link.queue
             or link.machine in self.probes
-            or (link.machine not in self.roster.fellows)
-            or (  # it could not be dialled again
+            or (link.machine not in self.roster.machines)  # it could not be dialled again
+            or (
                 now - max(link.used_at, link.heard_at, link.opened_at)
                 <= to_microseconds(self.limits.idle_close_ms)
             )
         ):
             return
-        if all(self.cases[name].placed or not self.cases[name].sent for name in link.holds):
+        if all(self.records[name].placed or not self.records[name].sent for name in link.guests):
             self.counts["links_rested"] += 1
             self.actions.append(HangUp(link.machine))
             link.close(now)
             link.lost_at = 0
 
-    def _room_for_link(self, now: int) -> bool:
-        """Keeps connections within their bound: the one that was used longest ago is closed, those without
-        guests first. What stands outlives it and its machine is asked again before it counts as silent; one
-        with an open set-up stays. False if there is none to close."""
+    def _ensure_link_slot(self, now: int) -> bool:
+        """Keeps the number of connections within its limit; False if none can be closed.
+
+        The least recently used connection is closed, those without guests first. Placed guests outlive it,
+        and their machine is queried again before it counts as silent. A connection with an outstanding
+        dispatch stays.
+        """
         if len(self.links) <= self.limits.links:
             return True
         opened = [l for l in self.links.values() if l.state != "down"]
         if len(opened) < self.limits.links:
             return True
-        for link in sorted(opened, key=lambda l: (bool(l.holds), max(l.used_at, l.heard_at, l.opened_at))):
+        for link in sorted(opened, key=lambda l: (bool(l.guests), max(l.used_at, l.heard_at, l.opened_at))):
             if (
                 link.state == "up"
                 and not link.queue
                 and link.machine not in self.probes
-                and all(self.cases[name].placed for name in link.holds)
+                and all(self.records[name].placed for name in link.guests)
             ):
                 self.counts["links_closed_for_others"] += 1
                 self.actions.append(HangUp(link.machine))
--- /dev/null
+++ b/hazelhold/engine/verification.py
@@ -0,0 +1,141 @@
+"""Verification of guests that count as placed and may have ended, which only their machine knows.
+
+A guest may have ended before its owner handed it over, or its machine's process may have died and restarted
+before the list shows it. No message queries a machine for one guest. But where machines report what guests
+use, they report on each running guest now and then, and on all of them when a planner has started. So a guest
+on which its machine reports nothing, while it sends other messages, may be over. That is acted on only where
+the guest may have reached another process than the one that answers there now: everywhere else its end was or
+will be reported.
+"""
+
+from hazelhold.config.planner import to_microseconds
+from hazelhold.engine.link_loss import LinkLoss
+from hazelhold.engine.machines import Link
+from hazelhold.engine.records import GuestRecord, Verification, VerificationCause
+from hazelhold.protocol import messages as m
+
+CONFIRMATION_TIMEOUT = 2_500_000
+"""Microseconds for which a machine's report on a guest that was handed over is awaited. A planner that dies
+meanwhile leaves the next one as much, of the 8 s within which an end has to be reported."""
+
+PROBE_LEAD = 1_000_000
+"""Microseconds before a decision at which a machine that has sent nothing at all is probed."""
+
+RECENT_RESTART = 8_000_000
+"""Microseconds before a handover: what ended earlier could no longer be reported in time."""
+
+LIST_DELAY = 1_000_000
+"""Microseconds within which a current list shows that a machine's process has died."""
+
+MAX_RECENTLY_REPORTED = 4096  # guests that machines reported on while they were not held
+
+
+class GuestVerification(LinkLoss):
+    """Verifies placed guests, and ends those that their machine does not confirm."""
+
+    def _verify_handed_over(self, record: GuestRecord) -> None:
+        """Its owner reports it as placed, and may not know of its end."""
+        at = record.handed_over_at
+        self.verifications[record.name] = Verification(
+            VerificationCause.HANDED_OVER, at, at + CONFIRMATION_TIMEOUT, at
+        )
+
+    def _verify_address_reuse(self, now: int, record: GuestRecord) -> None:
+        """It counts as placed on the machine that has the address now, and its connection has ended."""
+        if self.peers.reports_use:
+            self.verifications[record.name] = Verification(
+                VerificationCause.ADDRESS_REUSED, now, now + CONFIRMATION_TIMEOUT, now
+            )
+
+    def _verify_after_reset(self, reset_at: int, record: GuestRecord, cause: VerificationCause) -> None:
+        """Its machine ended a connection after it was sent, as a process that dies does.
+
+        Machines report on a guest every few seconds, so they get the same time as a silent machine.
+        """
+        if self.peers.reports_use:
+            decided_at = reset_at + to_microseconds(self.limits.lost_ms)
+            self.verifications[record.name] = Verification(cause, reset_at, decided_at, reset_at + LIST_DELAY)
+
+    def _verify_all_on(self, now: int, link: Link) -> None:
+        """A connection was reset: a process that dies resets its connections and ends its guests.
+
+        A process that lives may have lost only that connection. The list shows which it was, unless the list
+        service is silent.
+        """
+        if not self.deployment.list_lease:
+            return
+        for name in link.guests:
+            if self.records[name].placed and name not in self.verifications:
+                self._verify_after_reset(now + 1, self.records[name], VerificationCause.RESET)
+
+    def _unknown_guest_reported(self, machine: str, guest: str) -> None:
+        """A machine has reported on a guest that is not held, and that may be handed over next."""
+        self.recently_reported[guest] = machine
+        self.recently_reported.move_to_end(guest)
+        if len(self.recently_reported) > MAX_RECENTLY_REPORTED:
+            self.recently_reported.popitem(last=False)
+
+    def _decide_verifications(self, now: int) -> None:
+        """Ends guests on which their machine reports nothing.
+
+        They are stopped at the machine too: one that is still there must not run on without an owner.
+        """
+        for name, verification in list(self.verifications.items()):
+            record = self.records.get(name)
+            link = self.links.get(record.machine) if record else None
+            if link is None or record.confirmed_at >= verification.since:
+                del self.verifications[name]
+                continue
+            if now < verification.decided_at - PROBE_LEAD:
+                continue
+            may_be_over = self._may_be_over(link, record, verification)
+            if may_be_over and link.heard_at <= verification.since:
+                self._probe_for_report(now, link, verification.since)
+            elif now >= verification.decided_at:
+                del self.verifications[name]
+                if may_be_over:
+                    self._end_guest(now, record)
+
+    def _postpone_verifications(self, now: int, duration: int) -> None:
+        """Postpones the decision on all present verifications by so many microseconds."""
+        for name, verification in self.verifications.items():
+            delay = min(duration, now - verification.since)
+            self.verifications[name] = verification._replace(decided_at=verification.decided_at + delay)
+
+    def _probe_for_report(self, now: int, link: Link, since: int) -> None:
+        """Makes a machine send a message: without one, its silence about a guest shows nothing."""
+        if link.state == "up" and link.probed_at <= since:
+            link.probed_at = now
+            self.probe_number += 1
+            self._send_machine(link.machine, m.Probe(number=self.probe_number))
+        elif link.state == "down" and (listed := self.roster.machines.get(link.machine)):
+            self._dial(now, listed)
+
+    def _end_guest(self, now: int, record: GuestRecord) -> None:
+        self.counts["found_unvouched"] += 1
+        self._guest_event("unvouched", record)
+        self._send_about_guest(
+            now,
+            record.machine,
+            m.Stop(guest=record.guest, ask=record.submission_number, attempt=record.dispatch_number),
+        )
+        self._guest_gone(now, record, "lost")
+
+    def _may_be_over(self, link: Link, record: GuestRecord, verification: Verification) -> bool:
+        """Whether the process that answers for a machine may be another than the one that the guest reached.
+
+        It may have the address of a machine that went, or be the same machine's process after a restart.
+
+        Where machines do not report what guests use, their silence shows nothing. Then only a machine that
+        has just started counts, by its age: ending all placed guests while the list is out would cost owners
+        more than the few guests that may be over.
+        """
+        if verification.cause in (VerificationCause.RESTARTED, VerificationCause.ADDRESS_REUSED):
+            return True
+        listed = self.roster.machines.get(link.machine)
+        restarted = listed is not None and listed.incarnation > 0
+        if not self.peers.reports_use:
+            return restarted and record.handed_over_at - listed.started < RECENT_RESTART
+        as_of = self.lease.confirmed_as_of
+        unconfirmed = bool(self.deployment.list_lease) and (as_of is None or as_of < verification.listed_at)
+        return unconfirmed or restarted and verification.cause is VerificationCause.HANDED_OVER
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -13,16 +13,16 @@
 
 from hazelhold.config.load import ConfigError, read_text, split_address
 from hazelhold.config.planner import LimitsConfig
-from hazelhold.engine.terms import Peers, Terms
+from hazelhold.engine.settings import EngineSettings, PeerCapabilities
 from hazelhold.interface import Deployment
 from hazelhold.simhost import Pairs, WireError, read_deployment, truth
 
-PLATFORM = Peers(
-    rolls=False,
-    names_attempts=False,
-    asks_again=False,
-    hears_held=False,
-    advised=False,
+PLATFORM = PeerCapabilities(
+    reports_inventory=False,
+    identifies_dispatches=False,
+    owners_resubmit=False,
+    acknowledges_submission=False,
+    advises_retry=False,
     list_confirms=True,
 )
 # Decisions between reads of peers. One takes up to some 10 ms, and a drain has to be read within its grace of
@@ -73,7 +73,7 @@
     bounds: ResourceLimits
     bulletin: str
     known: KnownEvents
-    engine_settings: Terms
+    engine_settings: EngineSettings
     zones: dict[str, int]  # zone numbers by name
     max_resources: tuple[float, float]  # total cores and memory that the largest machine can have requested
     max_time_left: tuple[int, ...]  # the longest time left by guest class, in microseconds
@@ -165,7 +165,7 @@
         try:
             deployment = read_deployment(pairs)
             deployment = deployment._replace(
-                dispatches_named=PLATFORM.names_attempts,
+                dispatches_named=PLATFORM.identifies_dispatches,
                 ages_by_clock=True,
                 list_lease=list_lease(pairs) if PLATFORM.list_confirms else 0,
             )
@@ -176,13 +176,13 @@
     limits = _limits(pairs, bounds, faults)
     if faults or deployment is None:
         raise ConfigError(file, faults or [("settings", "are empty")])
-    engine_settings = Terms(
+    engine_settings = EngineSettings(
         deployment,
         item_names(settings, "classes"),
         item_names(settings, "tenants"),
         item_names(settings, "kinds"),
         limits,
-        PLATFORM._replace(tells_use=truth(pairs.values.get("family-info.use-notes", ""))),
+        PLATFORM._replace(reports_use=truth(pairs.values.get("family-info.use-notes", ""))),
     )
     max_resources = (
         max(k.cores for k in deployment.kinds) * deployment.cores_multiple,
--- a/hazelhold/platform/event_log.py
+++ b/hazelhold/platform/event_log.py
@@ -12,7 +12,7 @@
 import trio
 
 from hazelhold.engine.engine import Engine
-from hazelhold.engine.events import Event, ListEvent, MachineEvent, RuleEvent, TaskEvent
+from hazelhold.engine.events import Event, GuestEvent, ListEvent, MachineEvent, RuleEvent
 
 COUNTS_EVERY = 10.0  # seconds
 MAX_PENDING_EVENTS = 4096  # events that wait to be written; the oldest are dropped
@@ -40,7 +40,7 @@
             self._write(events.popleft())
 
     def _write(self, event: Event) -> None:
-        if isinstance(event, TaskEvent):
+        if isinstance(event, GuestEvent):
             self._write_guest_event(event)
         elif isinstance(event, MachineEvent):
             self.log.info("machine_" + event.change, machine=event.machine, reason=event.reason)
@@ -48,17 +48,17 @@
             change = "list_current" if event.current else "list_in_doubt"
             self.log.info(change, reason=event.reason, age_ms=event.age // 1000, no=self.engine.list_version)
         elif isinstance(event, RuleEvent):
-            self.log.error("rule_violated", rule=event.rule, task=event.task, machine=event.machine)
+            self.log.error("rule_violated", rule=event.rule, task=event.guest, machine=event.machine)
 
-    def _write_guest_event(self, event: TaskEvent) -> None:
+    def _write_guest_event(self, event: GuestEvent) -> None:
         is_bad = event.change == "held_back" or event.reason.partition(" ")[0] in BAD_OUTCOMES
         write = self.log.info if is_bad and self._take_info_line() else self.log.debug
         if write == self.log.debug and not self.log.is_enabled_for(logging.DEBUG):
             return
         write(
             "task_" + event.change,
-            task=event.task,
-            attempt=event.attempt,
+            task=event.guest,
+            attempt=event.dispatch_number,
             machine=event.machine,
             reason=event.reason.strip(),
         )
--- a/hazelhold/platform/machine_links.py
+++ b/hazelhold/platform/machine_links.py
@@ -11,8 +11,8 @@
 import structlog
 import trio
 
-from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Dial
 from hazelhold.platform import translation
 from hazelhold.platform.codec import CodecError, Line
 from hazelhold.platform.peer import MachinePeer
@@ -102,7 +102,7 @@
         name, peer, refused = dial.machine, None, False
         with scope:
             try:
-                with trio.fail_after(dial.span / 1e6):
+                with trio.fail_after(dial.timeout / 1e6):
                     stream = await self.net.dial(dial.address)
                 if not self._is_current(name, scope):  # closed while the dial completed
                     await trio.aclose_forcefully(stream)
@@ -159,7 +159,7 @@
 
     def _resume(self, guest: str) -> None:
         """Resumes the deferred offer of a guest, if it has one."""
-        record = self.engine.newest.get(guest)
+        record = self.engine.newest_records.get(guest)
         if record and (peer := self.peer(record.machine)):
             peer.resume(guest)
 
@@ -182,7 +182,7 @@
             self.waiting_for_owner.setdefault(offer.owner, []).append(offer.guest)
             return -1
         if left:
-            self.engine.offer_leaves(now, offer.guest)
+            self.engine.offer_sent(now, offer.guest)
         else:
             self.counts["offers_held_back"] += 1
             self.engine.offer_held_back(now, offer)
@@ -203,7 +203,7 @@
     def _message_received(self, machine: str, line: Line) -> None:
         if self.log_frames:
             self.log.debug("machine_said", machine=machine, line=repr(line))
-        message = translation.from_machine(line, not self.engine.out(line.call))
+        message = translation.from_machine(line, not self.engine.is_outstanding(line.call))
         if message is None:
             return
         self.engine.machine_said(self.net.now(), machine, message)
--- a/hazelhold/platform/machine_summary.py
+++ b/hazelhold/platform/machine_summary.py
@@ -6,11 +6,11 @@
 def machine_summaries(engine: Engine, now: int) -> dict[str, str]:
     """Returns one line per listed machine, by name. `now` is in microseconds of the engine's clock."""
     summaries = {}
-    for name, listed in engine.roster.fellows.items():
+    for name, listed in engine.roster.machines.items():
         known, link = engine.brain.machines.get(name), engine.links.get(name)
         if known is None:
             continue
-        cores, memory = known.room(engine.facts)
+        cores, memory = known.room(engine.deployment)
         summaries[name] = (
             f"{listed.mode.name} room={cores:.1f}/{memory:.1f} used={known.used} "
             f"guests={len(known.guests)} strikes={known.strikes} mute={known.mute} "
--- a/hazelhold/platform/owner_server.py
+++ b/hazelhold/platform/owner_server.py
@@ -232,7 +232,7 @@
 
         If so, the refusal of a second set-up with its id would be read there as the guest's own answer or
         end."""
-        record = self.engine.newest.get(guest)
+        record = self.engine.newest_records.get(guest)
         return guest in peer.open or (record is not None and record.owner == peer.name)
 
     # Input of owners.
@@ -261,9 +261,9 @@
         An open guest belongs to the connection on which it was submitted, but its owner may have lost that
         one. If the end comes on another, nothing more is started for the guest, and the answer goes to its
         own connection. An end that precedes its set-up is remembered for EARLY_END seconds."""
-        if self.engine.out(guest) and guest not in peer.open:
+        if self.engine.is_outstanding(guest) and guest not in peer.open:
             self.counts["ends_of_others"] += 1
-            self.engine.give_up(now, guest)
+            self.engine.withdraw_guest(now, guest)
             return
         peer.open.pop(guest, None)
         if self.engine.owner_left(now, guest):
@@ -294,7 +294,7 @@
         elif ended:
             peer.send(translation.released(binary.id, translation.FULL))
         else:
-            if binary.id not in self.engine.newest:
+            if binary.id not in self.engine.newest_records:
                 peer.open[binary.id] = None
             peer.sent_valid = True
             self.engine.owner_said(now, peer.name, self._since_sent(peer, submit))
@@ -324,7 +324,7 @@
         if self.releases.send_waiting_for(peer, submit.guest):
             peer.sent_valid = peer.was_sent_message = True
             return
-        if error := self.engine.guest_stands(now, peer.name, at, submit):
+        if error := self.engine.adopt_guest(now, peer.name, at, submit):
             self.counts["found_" + error] += 1
             peer.send(translation.released(submit.guest, translation.RESET))
             return
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -13,8 +13,8 @@
 import trio
 
 from hazelhold.config.load import ConfigError
-from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, Dial, Disconnect, FetchList, HangUp, Send
 from hazelhold.interface import Mode
 from hazelhold.platform import translation
 from hazelhold.platform.configuration import StartSettings, read_start
@@ -72,7 +72,7 @@
             net,
             start.bulletin,
             start.known,
-            self.engine.facts.list_lease / 1e6,
+            self.engine.deployment.list_lease / 1e6,
             self._event,
             self._discovery_answered,
             self._discovery_failed,
@@ -114,8 +114,8 @@
                 "up",
                 address=self.address,
                 known=self.start.known.no,
-                ready=sum(listed.mode is Mode.READY for listed in self.engine.roster.fellows.values()),
-                machines=len(self.engine.roster.fellows),
+                ready=sum(listed.mode is Mode.READY for listed in self.engine.roster.machines.values()),
+                machines=len(self.engine.roster.machines),
                 sockets=self.start.bounds.sockets,
                 memory_mb=self.start.bounds.memory_mb,
                 cores=self.start.bounds.cores,
@@ -156,12 +156,12 @@
         self.counts["reloads"] += 1
         # Only the number of planners that share the fleet's budgets, and this planner's slot, may change in a
         # run.
-        deployment = reloaded.engine_settings.facts
-        self.engine.share(deployment.planners, deployment.slot)
+        deployment = reloaded.engine_settings.deployment
+        self.engine.set_planner_share(deployment.planners, deployment.slot)
         self.log.info(
             "configuration_read",
             bulletin=reloaded.bulletin,
-            settings_same=reloaded.engine_settings.facts == self.start.engine_settings.facts,
+            settings_same=reloaded.engine_settings.deployment == self.start.engine_settings.deployment,
         )
         try:
             items = self.follower.new_events(reloaded.known.items)
@@ -169,7 +169,7 @@
             items = []  # missing events come from the discovery service itself
         if items:  # applied without confirming the list: the file does not show that discovery still answers
             self._apply_listings(items)
-        self.engine.list_moved(self.net.now())  # the old address is no longer polled
+        self.engine.list_address_changed(self.net.now())  # the old address is no longer polled
         self.follower.move(reloaded.bulletin)
         return ""
 
@@ -209,10 +209,10 @@
         self.engine.pump(now)
         self._carry_out()
         took, limit = self.net.now() - now, self.limits.decisions_at_once
-        self.engine.at_once = (
-            max(1, self.engine.at_once // 2)
+        self.engine.decision_batch = (
+            max(1, self.engine.decision_batch // 2)
             if took > MAX_BATCH_DURATION * 1e6
-            else min(limit, self.engine.at_once + 1)
+            else min(limit, self.engine.decision_batch + 1)
         )
 
     def _progress(self) -> None:
@@ -235,9 +235,9 @@
                 self.links.send(action.peer, action.message)
         elif isinstance(action, Dial) and not self.closing:
             self.links.dial(action)
-        elif isinstance(action, HangUp | Lost):
+        elif isinstance(action, HangUp | Disconnect):
             self.links.hang_up(action.machine if isinstance(action, HangUp) else action.peer)
-        elif isinstance(action, AskList):
+        elif isinstance(action, FetchList):
             self.follower.request_update()
 
     # Discovery.
@@ -301,7 +301,7 @@
             "beliefs",
             waiting=len(engine.brain.waiting),
             out=len(engine.brain.out),
-            cases=len(engine.cases),
+            cases=len(engine.records),
             owners=len(self.owner_server.peers),
             links=len(self.links.by_machine),
             held=len(self.owner_server.releases.waiting),
--- a/hazelhold/replica/gate.py
+++ b/hazelhold/replica/gate.py
@@ -75,7 +75,7 @@
             self.run_number_proposed = True
             self._propose(now, PendingProposal("life", "", c.NextLife()), LIFE + self.planner, self.timeout)
 
-    def clear(
+    def may_dispatch(
         self, now: int, name: str, guest: str, ask: int, attempt: int, machine: str, known: bytes
     ) -> bool:
         """Whether this dispatch may be sent now. If not, its claim has been proposed, and `proposal_ended`
@@ -101,7 +101,9 @@
         claim = c.decode(value)
         return claim is not None and (claim.planner, claim.life) == (self.planner, self.life)
 
-    def fact(self, now: int, guest: str, ask: int, state: c.State, machine: str, how: str = "") -> None:
+    def report_fact(
+        self, now: int, guest: str, ask: int, state: c.State, machine: str, how: str = ""
+    ) -> None:
         """Reports what became of a claimed guest to the other planners; nothing waits for the outcome."""
         self._propose_fact(now, guest, c.Fact(self.planner, ask, state, machine, how))
 
@@ -110,11 +112,11 @@
         if known:
             self._propose_fact(now, guest, c.Release(known))
 
-    def look(self, now: int, guest: str, name: str) -> None:
+    def query(self, now: int, guest: str, name: str) -> None:
         """Queries the claim in force; `proposal_ended` returns it under this name."""
         self._propose(now, PendingProposal("look", name, Read()), CLAIM + guest, self.timeout)
 
-    def told(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
+    def proposal_ended(self, now: int, no: int, outcome: str, value: bytes, reason: str) -> list[Verdict]:
         """Handles the outcome of proposal `no`."""
         proposal = self.in_progress.pop(no, None)
         if proposal is None:
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from hazelhold.capture.tap import Tap
-from hazelhold.engine.cases import Action, Agree
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, ProposeChange
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import frame
 from hazelhold.service.connection import MessageConnection
@@ -92,7 +92,7 @@
     def carry_out(self) -> None:
         """Carries out the engine's actions, including those that result from a failed send."""
         if self.state_writer is not None:
-            while self.engine.actions or self.engine.keeping.marks:
+            while self.engine.actions or self.engine.persistence.changed_keys:
                 actions, self.engine.actions = self._propose_changes(self.engine.actions), []
                 self.state_writer.take(actions, self.engine.flush(self.net.now()))
             return
@@ -106,6 +106,6 @@
         if self.replica_host is None:
             return actions
         for action in actions:
-            if isinstance(action, Agree):
+            if isinstance(action, ProposeChange):
                 self.replica_host.propose(*action)
-        return [a for a in actions if not isinstance(a, Agree)]
+        return [a for a in actions if not isinstance(a, ProposeChange)]
--- a/hazelhold/service/machine_links.py
+++ b/hazelhold/service/machine_links.py
@@ -5,7 +5,7 @@
 import structlog
 import trio
 
-from hazelhold.engine.cases import Dial
+from hazelhold.engine.records import Dial
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.service.connection import MessageConnection
@@ -60,7 +60,7 @@
         name, up = dial.machine, False
         with scope:
             try:
-                with trio.fail_after(dial.span / 1e6):
+                with trio.fail_after(dial.timeout / 1e6):
                     stream = await self.driver.net.dial(dial.address)
                 connection = self.connection_factory.create(stream, CODEC, name)
                 self.connection_factory.begin_capture("machine", name, connection, True)
@@ -69,7 +69,7 @@
                     with connection.scope:
                         try:
                             connection.send(m.Hello(role="planner", name=self.name))
-                            welcome = await connection.first(m.Welcome, dial.span / 1e6)
+                            welcome = await connection.first(m.Welcome, dial.timeout / 1e6)
                             up = True
                             self.machines[name] = scope, connection
                             connection.note("open", None)
--- a/hazelhold/service/owner_server.py
+++ b/hazelhold/service/owner_server.py
@@ -7,7 +7,7 @@
 import trio
 
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.advice import Doorman
+from hazelhold.engine.admission import ConnectionAdmission
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError, frame
 from hazelhold.service.connection import MessageConnection
@@ -38,7 +38,7 @@
         self.counts, self.log = counts, log
         self.owners: dict[str, MessageConnection] = {}
         self.connections = self.handshakes = 0  # open connections, and those of them without a Hello yet
-        self.doorman = Doorman(
+        self.admission = ConnectionAdmission(
             config.limits.handshakes_a_second,
             config.limits.handshake_burst,
             config.limits.handshakes_at_once,
@@ -51,7 +51,7 @@
         connection."""
         connection = self.connection_factory.create(stream, CODEC)
         self.connections += 1
-        retry_after = self.doorman.admits(self.driver.net.now(), self.handshakes)
+        retry_after = self.admission.admits(self.driver.net.now(), self.handshakes)
         self.handshakes += 1
         try:
             async with trio.open_nursery() as nursery:
@@ -73,7 +73,7 @@
     def return_window(self) -> int:
         """Returns the microseconds over which owners should spread their reconnects if this planner goes
         away."""
-        return self.doorman.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
+        return self.admission.window(round(self.limits.return_spread_ms * 1000), len(self.owners))
 
     def _handshake_done(self, connection: MessageConnection) -> None:
         """Counts a handshake as finished, whether it succeeded or not."""
--- a/hazelhold/service/planner.py
+++ b/hazelhold/service/planner.py
@@ -18,8 +18,8 @@
 
 from hazelhold.capture.tap import Tap
 from hazelhold.config.planner import PlannerConfig
-from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, Dial, Disconnect, FetchList, HangUp, Send
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.service.connection import MessageConnection
@@ -189,7 +189,7 @@
 
         self.replica_host.open()
         await nursery.start(self.replica_host.run)
-        self.engine.claim_by(
+        self.engine.use_claims(
             self.net.now(), ClaimGate(self.config.name, round(self.config.copies.claim_ms * 1000))
         )
         self.driver.carry_out()
@@ -215,9 +215,9 @@
             self.links.dial(action, self.nursery)
         elif isinstance(action, HangUp):
             self.links.hang_up(action.machine)
-        elif isinstance(action, AskList):
+        elif isinstance(action, FetchList):
             self.list_link.request(action.since)
-        elif isinstance(action, Lost):
+        elif isinstance(action, Disconnect):
             self.counts["peers_lost"] += 1
             self.log.warning(
                 "peer_lost", role=action.role, machine=action.peer, code=action.code, reason=action.text
--- a/hazelhold/service/shutdown.py
+++ b/hazelhold/service/shutdown.py
@@ -50,10 +50,10 @@
     """Stops reading, writes all state to disk, and closes the connections."""
     driver, engine = planner.driver, planner.engine
     driver.handed_over = True
-    planner.state_writer.take([], [engine.keeping.learned(engine)])
+    planner.state_writer.take([], [engine.persistence.learned(engine)])
     with trio.move_on_after(planner.config.limits.stop_ms / 1000):
         await planner.state_writer.wait_until_idle()
-    spread = planner.owner_server.doorman.window(0, len(planner.owners))
+    spread = planner.owner_server.admission.window(0, len(planner.owners))
     for connection in _connections(planner):
         connection.finish(m.Bye(reason="hand_over", spread=spread))
     await trio.sleep(LINGER_S)
--- a/hazelhold/service/state_writer.py
+++ b/hazelhold/service/state_writer.py
@@ -17,8 +17,8 @@
 import trio
 
 from hazelhold.config.planner import StateConfig, to_microseconds
-from hazelhold.engine.cases import Action, Send
 from hazelhold.engine.engine import Engine
+from hazelhold.engine.records import Action, Send
 from hazelhold.protocol import messages as m
 from hazelhold.service.disk_timeout import run_with_timeout
 from hazelhold.state import frames
@@ -67,7 +67,7 @@
             self._failed(error)
 
     def wall(self) -> int:
-        return self.now() + self.engine.keeping.epoch
+        return self.now() + self.engine.persistence.epoch
 
     def take(self, actions: list[Action], changes: list[Change]) -> None:
         """Carries out the actions once the changes are durable, after all actions that were queued before."""
@@ -177,7 +177,7 @@
     def _must_not_repeat(self, product: str) -> bool:
         """Returns whether a second run of a guest of this class could do harm."""
         engine = self.engine
-        return engine.facts.products[engine.products[product]].effect.name != "RERUNNABLE"
+        return engine.deployment.products[engine.products[product]].effect.name != "RERUNNABLE"
 
     def _hold_until(self, message: m.GuestRefused | m.GuestFailed) -> int:
         """Returns the time until which this answer must be held back; 0 if it may be sent now.
@@ -202,7 +202,7 @@
             now = self.now()
             if not self.failed and now >= save_learned_at:
                 save_learned_at = now + round(self.config.learned_s * 1e6)
-                self.take([], [self.engine.keeping.learned(self.engine)])
+                self.take([], [self.engine.persistence.learned(self.engine)])
             if self.failed:
                 await self._renew()
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -13,7 +13,7 @@
 from hazelhold.client.backoff import ReconnectBackoff, RetryBudget
 from hazelhold.client.core import ClientCore
 from hazelhold.client.types import Connect, Notify, Send
-from hazelhold.engine.advice import Advice, Doorman
+from hazelhold.engine.admission import ConnectionAdmission, RetryAdvisor
 from hazelhold.protocol import messages as m
 from tests.helpers import MS, planner_config
 
@@ -267,7 +267,7 @@
 
 
 def test_advice_follows_placement_rate_and_queue_length_and_is_checked() -> None:
-    advice = Advice(100 * MS, 5 * S, Random(1))
+    advice = RetryAdvisor(100 * MS, 5 * S, Random(1))
     assert 2 * S <= advice.wait(0, "g", 0) <= 3 * S  # nothing is known yet
     for n in range(50):
         advice.placed(n * 100 * MS, f"x{n}")
@@ -276,20 +276,22 @@
         advice.wait(now, f"g{n}", 9) for n in range(30)
     ]  # ten a second are placed: one queue position each
     assert waits == sorted(waits) and all(800 * MS < w < 4 * S for w in waits) and len(set(waits)) == 30
-    assert advice.hopeless(now, 100, 2 * S) and not advice.hopeless(now, 100, 20 * S)
-    assert advice.hopeless(now, 100, 14 * S) and not advice.hopeless(now, 100, 14 * S, kept=True)
-    assert not advice.hopeless(now, 20, 1)
-    assert not advice.came(now, "g2") and advice.came(now + waits[1], "g1")
+    assert advice.cannot_be_served(now, 100, 2 * S) and not advice.cannot_be_served(now, 100, 20 * S)
+    assert advice.cannot_be_served(now, 100, 14 * S) and not advice.cannot_be_served(
+        now, 100, 14 * S, kept=True
+    )
+    assert not advice.cannot_be_served(now, 20, 1)
+    assert not advice.guest_returned(now, "g2") and advice.guest_returned(now + waits[1], "g1")
     advice.placed(now + waits[1], "g1")
     assert advice.counts == {"advised_came": 1, "advised_served": 1, "advised_came_early": 1}
     for n in range(30_000):
         advice.wait(now, f"h{n}", 5)
-    assert len(advice.advised) <= 10_000
+    assert len(advice.return_times) <= 10_000
 
 
 @pytest.mark.parametrize("count", [1_000, 10_000])
 def test_connection_admission_spreads_refused_connections(count: int) -> None:
-    admission = Doorman(500, 100, 1000, 10 * S, Random(1))
+    admission = ConnectionAdmission(500, 100, 1000, 10 * S, Random(1))
     back = sorted(filter(None, (admission.admits(0) for _ in range(count))))
     assert len(back) == count - 100
     bins = Counter(at // (100 * MS) for at in back)
@@ -297,7 +299,7 @@
 
 
 def test_connection_admission_with_many_pending_hellos_spreads_the_rest_too() -> None:
-    admission = Doorman(500, 100, 20, 10 * S, Random(1))
+    admission = ConnectionAdmission(500, 100, 20, 10 * S, Random(1))
     assert admission.admits(0, 19) == 0
     assert len({admission.admits(0, 20) for _ in range(50)} - {0}) == 50
 
@@ -306,7 +308,7 @@
     """Clients that lose their planner together and can reach it again after 2 s, with the real backoff and
     the planner's real admission in virtual time. Returns the peak of dials in 100 ms, the seconds until all
     are connected, and all dials."""
-    admission, random = Doorman(500, 200, 1000, 10 * S, Random(2)), Random(3)
+    admission, random = ConnectionAdmission(500, 200, 1000, 10 * S, Random(2)), Random(3)
     policy = ClientPolicy()
     clients = [ReconnectBackoff(policy.return_base, policy.return_most, Random(n)) for n in range(count)]
     import heapq
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -1,9 +1,8 @@
-"""What may be sent, repeated, started and closed, and the check of it at run time."""
+"""The final checks of what may be sent, repeated, accepted and closed, and the run-time rule monitor."""
 
 import pytest
 
-from hazelhold.engine.cases import Case
-from hazelhold.engine.machines import Fellow
+from hazelhold.engine.machines import RosterMachine
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import (
     Denial,
@@ -11,6 +10,7 @@
     offer_denied,
     start_denied,
 )
+from hazelhold.engine.records import GuestRecord
 from hazelhold.interface import Effect, Mode, Place, Product
 from hazelhold.protocol import messages as m
 
@@ -19,8 +19,8 @@
     return Product(effect, Place.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Place.NOWHERE, 1)
 
 
-def case(**changes: object) -> Case:
-    made = Case(
+def record(**changes: object) -> GuestRecord:
+    made = GuestRecord(
         "g/0",
         "g",
         0,
@@ -28,14 +28,14 @@
         0,
         m.Submit(guest="g", product="p", service="s", cores=1.0, memory=1.0, patience=1),
     )
-    made.sent, made.attempt, made.due_at = True, 0, 100
+    made.sent, made.dispatch_number, made.due_at = True, 0, 100
     for name, value in changes.items():
         setattr(made, name, value)
     return made
 
 
-def fellow(mode: Mode = Mode.READY) -> Fellow:
-    return Fellow("a", "a:1", mode, 0, 0, 0)
+def listed(mode: Mode = Mode.READY) -> RosterMachine:
+    return RosterMachine("a", "a:1", mode, 0, 0, 0)
 
 
 EXCLUSIVE, TICKETED = product(Effect.EXCLUSIVE), product(Effect.TICKETED)
@@ -43,68 +43,68 @@
 
 
 @pytest.mark.parametrize(
-    "in_hand,attempt,of,where,list_holds,denial",
+    "held,dispatch_number,of,where,list_holds,denial",
     [
-        (case(), 0, EXCLUSIVE, fellow(), True, None),
-        (None, 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(placed=True), 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(sent=False), 0, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(attempt=2), 1, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(cancelled=True), 0, EXCLUSIVE, fellow(), True, Denial.CANCELLED),
-        (case(ran_from=1), 0, EXCLUSIVE, fellow(), True, Denial.MAY_HAVE_RUN),
-        (case(ran_from=1, due_at=9000), 0, TICKETED, fellow(), True, None),
-        (case(ran_from=1), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=3), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=4), 0, RERUNNABLE, fellow(), True, Denial.TOO_MANY),
-        (case(due_at=50), 0, RERUNNABLE, fellow(), True, Denial.OUT_OF_TIME),
-        (case(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (case(), 0, RERUNNABLE, fellow(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
-        (case(), 0, RERUNNABLE, fellow(), False, Denial.LIST_NOT_CURRENT),
+        (record(), 0, EXCLUSIVE, listed(), True, None),
+        (None, 0, EXCLUSIVE, listed(), True, Denial.OVER),
+        (record(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
+        (record(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(dispatch_number=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
+        (record(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
+        (record(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
+        (record(may_have_run_since=1), 0, RERUNNABLE, listed(), True, None),
+        (record(offers=3), 0, RERUNNABLE, listed(), True, None),
+        (record(offers=4), 0, RERUNNABLE, listed(), True, Denial.TOO_MANY),
+        (record(due_at=50), 0, RERUNNABLE, listed(), True, Denial.OUT_OF_TIME),
+        (record(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
+        (record(), 0, RERUNNABLE, listed(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (record(), 0, RERUNNABLE, listed(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
-def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
-    in_hand: Case | None,
-    attempt: int,
+def test_an_offer_is_sent_only_if_all_its_preconditions_still_hold(
+    held: GuestRecord | None,
+    dispatch_number: int,
     of: Product,
-    where: Fellow | None,
+    where: RosterMachine | None,
     list_holds: bool,
     denial: Denial | None,
 ) -> None:
-    assert offer_denied(50, in_hand, attempt, of, 4, where, list_holds) is denial
+    assert offer_denied(50, held, dispatch_number, of, 4, where, list_holds) is denial
 
 
-def test_a_repeat_within_its_group_ends_with_its_window() -> None:
-    late = case(ran_from=1, due_at=9000)
-    assert offer_denied(1000, late, 0, TICKETED, 4, fellow(), True) is None
-    assert offer_denied(1001, late, 0, TICKETED, 4, fellow(), True) is Denial.WINDOW_CLOSED
+def test_a_deduplicated_guest_is_not_repeated_after_its_window() -> None:
+    late = record(may_have_run_since=1, due_at=9000)
+    assert offer_denied(1000, late, 0, TICKETED, 4, listed(), True) is None
+    assert offer_denied(1001, late, 0, TICKETED, 4, listed(), True) is Denial.WINDOW_CLOSED
 
 
-def test_requests_and_connections() -> None:
-    assert start_denied(stopping=False, in_hand=False) is None
-    assert start_denied(stopping=True, in_hand=False) is Denial.STOPPING
-    assert start_denied(stopping=False, in_hand=True) is Denial.IN_HAND
+def test_submissions_and_connections() -> None:
+    assert start_denied(stopping=False, is_held=False) is None
+    assert start_denied(stopping=True, is_held=False) is Denial.STOPPING
+    assert start_denied(stopping=False, is_held=True) is Denial.IN_HAND
     assert close_denied(0) is None and close_denied(1) is Denial.OWED
 
 
-# The check at run time.
+# The run-time rule monitor.
 
 
-def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
-    monitor = RuleMonitor(most_attempts=2)
+def test_the_monitor_reports_each_violation_and_no_valid_guest() -> None:
+    monitor = RuleMonitor(max_dispatches=2)
     once = Effect.EXCLUSIVE
-    assert monitor.attempt_leaves("sound", "a", once, list_holds=True) == []
-    monitor.attempt_ended("sound", may_have_run=False)
-    assert monitor.attempt_leaves("sound", "b", once, list_holds=True) == []
+    assert monitor.dispatch_sent("sound", "a", once, list_holds=True) == []
+    monitor.dispatch_ended("sound", may_have_run=False)
+    assert monitor.dispatch_sent("sound", "b", once, list_holds=True) == []
     assert monitor.answered("sound", once) == []
     monitor.forget("sound")
     assert monitor.accounts == {}
 
-    assert monitor.attempt_leaves("t", "a", once, list_holds=False) == [Violation.LIST_NOT_CURRENT]
-    assert monitor.attempt_leaves("t", "b", once, list_holds=True) == [Violation.TWO_OUT]
-    monitor.attempt_ended("t", may_have_run=True)
+    assert monitor.dispatch_sent("t", "a", once, list_holds=False) == [Violation.LIST_NOT_CURRENT]
+    assert monitor.dispatch_sent("t", "b", once, list_holds=True) == [Violation.TWO_OUT]
+    monitor.dispatch_ended("t", may_have_run=True)
     assert monitor.answered("t", once) == []
     assert monitor.answered("t", once) == [Violation.SECOND_ANSWER]
-    assert monitor.attempt_leaves("t", "c", once, list_holds=True) == [
+    assert monitor.dispatch_sent("t", "c", once, list_holds=True) == [
         Violation.REPEATED,
         Violation.AFTER_ANSWER,
         Violation.TOO_MANY,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from hazelhold.engine.cases import Dial
+from hazelhold.engine.records import Dial
 from hazelhold.platform.codec import DESCRIPTION, END, TEST, TESTED, BinaryMessage
 from tests.platform_rig import PLACED, Machine, Owner, Rig, end, event, host, play, set_up
 
@@ -64,7 +64,7 @@
             for line in rig.machines[name].heard
             if line["call"] == f"{1:016x}" and line["op"] != "test"
         ] == [("offer", None), ("end", 16)]
-        assert not rig.planner.engine.cases
+        assert not rig.planner.engine.records
 
     play(test)
 
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -148,7 +148,7 @@
         "rules.tip-after=2000.0"
     )
     start = check_start(file(), "test")
-    assert start.engine_settings.facts == read_deployment(Pairs(wire.split(" ")))._replace(
+    assert start.engine_settings.deployment == read_deployment(Pairs(wire.split(" ")))._replace(
         dispatches_named=False, ages_by_clock=True, list_lease=200_000
     )
     assert (
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -45,7 +45,7 @@
         bulletin.events += [event(2, host("a", "terminating")), event(3, host("a", "terminated"))]
         bulletin.silent = False
         await trio.sleep(2)
-        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.fellows) == {"b"}
+        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.machines) == {"b"}
 
     play(test)
 
@@ -80,7 +80,7 @@
     async def test(rig: Rig) -> None:
         rig.bulletin.events += [{"no": 2, "roster": {"hosts": 7}}, event(3, host("b", "terminated"))]
         await trio.sleep(1)
-        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.fellows) == {"a"}
+        assert rig.planner.follower.last == 3 and set(rig.planner.engine.roster.machines) == {"a"}
         counts = rig.planner.counts
         assert counts["discovery_unreadable"] == 3 and counts["discovery_failures"] == 2
 
@@ -97,10 +97,10 @@
             event(4, host("c", "terminating") | {"class": "no such box"}),
         ]
         await trio.sleep(0.03)  # one poll and the time to process it
-        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.fellows.items()}
+        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.machines.items()}
         assert modes["a"] == modes["b"] == "CORDONED"
         await trio.sleep(0.5)
-        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.fellows.items()}
+        modes = {name: f.mode.name for name, f in rig.planner.engine.roster.machines.items()}
         assert modes == dict.fromkeys("abc", "CORDONED") and rig.planner.follower.last == 4
 
     play(test, machines="abc")
@@ -128,10 +128,14 @@
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
-        assert len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.facts.planners == 1024
+        assert (
+            len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.deployment.planners == 1024
+        )
         rig.bulletin.events += [event(2, *(each | {"health": "terminating"} for each in hosts))]
         await trio.sleep(0.1)
-        assert [f.name for f in rig.planner.engine.roster.fellows.values() if f.mode.name == "READY"] == ["a"]
+        assert [f.name for f in rig.planner.engine.roster.machines.values() if f.mode.name == "READY"] == [
+            "a"
+        ]
         rig.bulletin.events += [event(3, *hosts)]
         await trio.sleep(0.1)
         await owner.say(*(set_up(guest) for guest in range(1, 41)))
--- a/tests/test_platform_owners.py
+++ b/tests/test_platform_owners.py
@@ -18,7 +18,7 @@
         await trio.sleep(0.2)
         await first.say(set_up(1, left="4294967", figures=figures))  # handed over again
         await trio.sleep(0.2)
-        assert first.heard == [] and rig.planner.engine.stands(f"{1:016x}")
+        assert first.heard == [] and rig.planner.engine.is_placed(f"{1:016x}")
         await first.stream.aclose()
         second = await rig.owner()
         await second.say(BinaryMessage(TEST, "00000000000000aa", {17: b"\0"}))
@@ -50,7 +50,7 @@
             for line in rig.machines["a"].heard
             if line["call"] == f"{1:016x}" and line["op"] != "test"
         ]
-        assert sent == ["offer", "end"] and not rig.planner.engine.cases
+        assert sent == ["offer", "end"] and not rig.planner.engine.records
         await rig.machines["a"].end(f"{1:016x}", 31)
         await trio.sleep(0.2)
         assert first.of(1) == PLACED and second.of(1) == []
@@ -66,7 +66,7 @@
         await trio.sleep(0.2)
         await owner.stream.aclose()
         await trio.sleep(0.2)
-        assert not rig.planner.engine.cases
+        assert not rig.planner.engine.records
         assert {line["call"] for line in rig.machines["a"].heard if line["op"] == "end"} == {
             f"{1:016x}",
             f"{2:016x}",
@@ -186,7 +186,7 @@
         owner = await rig.owner()
         await owner.say(set_up(1, left="4294967", figures="cores:1;memory:2;service:s;at:a"))
         await trio.sleep(0.1)
-        assert owner.of(1) == [(END, 16)] and not rig.planner.engine.cases
+        assert owner.of(1) == [(END, 16)] and not rig.planner.engine.records
 
     play(test, machines="a")
 
@@ -220,7 +220,7 @@
         await trio.sleep(0.1)
         await bad.say(set_up(1, figures="cores:2;memory:1;service:x"), end(1))  # in one read
         await trio.sleep(0.1)
-        assert bad.closed_at is not None and rig.planner.engine.out(f"{1:016x}")
+        assert bad.closed_at is not None and rig.planner.engine.is_outstanding(f"{1:016x}")
         await rig.machines["a"].accept(rig.machines["a"].streams[-1], f"{1:016x}")
         await trio.sleep(0.1)
         assert usual.of(1) == PLACED and bad.of(1) == [(END, 47)]  # only its own refusal
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -74,14 +74,14 @@
             on.free_bytes = 20
         else:
             on.error_codes[fault] = code
-        assert await ask("g2", "plain") == "held:" and not planner.engine.kept_well
+        assert await ask("g2", "plain") == "held:" and not planner.engine.persistence_healthy
         assert await ask("g3", "once") == "rejected:not_kept"
         await trio.sleep(3)  # g1 gets its answer in time although it cannot be stored
         assert [a.guest for a in received if isinstance(a, m.GuestRefused)] == ["g1", "g2"]
         on.error_codes.clear()
         on.free_bytes = None
         await trio.sleep(2)
-        assert planner.engine.kept_well and await ask("g4", "once") == "held:"
+        assert planner.engine.persistence_healthy and await ask("g4", "once") == "held:"
         on.crash()
         assert [i.name for i in store.read(on, "p0").state_table.images("guest")] == ["g4/0"]
 
@@ -110,7 +110,7 @@
         second = Planner(planner_config(), 2, planner.net, disk=on)
         async with trio.open_nursery() as nursery:
             await nursery.start(second.run)
-            assert list(second.engine.cases) == ["g1/0"] and second.engine.sure
+            assert list(second.engine.records) == ["g1/0"] and second.engine.recovery_complete
             nursery.cancel_scope.cancel()
 
     run_with_planner(test, on)
@@ -209,7 +209,7 @@
                 await take("g1")
                 on.hang = 0.5
                 await take("g2")
-                assert planner.state_writer.failed and not engine.kept_well
+                assert planner.state_writer.failed and not engine.persistence_healthy
                 await take("g3")  # actions no longer wait for the disk
                 on.hang = 0.0
                 while planner.state_writer.failed:
