--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -8,7 +8,7 @@
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import measurement
 from bench.capacity.target import TASKS_RUNNING
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import deployment
 from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
@@ -22,8 +22,8 @@
 FEW_TASKS = (100, 200, 400, 800)
 
 
-def brain(machines: int, planners: int) -> Brain:
-    made = Brain(1, deployment(throughput.planner_config())._replace(planners=planners))
+def scheduler(machines: int, planners: int) -> Scheduler:
+    made = Scheduler(1, deployment(throughput.planner_config())._replace(planners=planners))
     made.machines_listed(0, [workers.listed(n) for n in range(machines)], True)
     return made
 
@@ -65,7 +65,7 @@
 SERVICES = 20
 
 
-def decide_all(made: Brain, now: int) -> list[str]:
+def decide_all(made: Scheduler, now: int) -> list[str]:
     found = []
     while (decision := made.decide(now)) is not None:
         if decision.step is Step.DISPATCH:
@@ -88,7 +88,7 @@
     rounds=3,
 )
 def after_list_change(size: int) -> Iterator[float]:
-    made, now, number = brain(size, 64), SECOND, 0
+    made, now, number = scheduler(size, 64), SECOND, 0
 
     def a_round() -> float:
         """Processor time of one task for each service."""
@@ -122,7 +122,7 @@
     note="traced by Python's allocator; workers listed, no task",
 )
 def module_memory(size: int) -> Iterator[float]:
-    yield traced_bytes(lambda: brain(size, 64))[0]
+    yield traced_bytes(lambda: scheduler(size, 64))[0]
 
 
 @measurement(
--- a/bench/capacity/rows_probes.py
+++ b/bench/capacity/rows_probes.py
@@ -6,7 +6,7 @@
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.registry import RefusedError, measurement
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import deployment
 from hazelhold.interface import Load, Step
 from hazelhold.protocol import messages as m
@@ -20,7 +20,7 @@
 def probed(machines: int, planners: int, seconds: int = 2) -> tuple[float, float]:
     """Probes a second and processor time a second, after the first second; every probe is answered."""
     facts = deployment(throughput.planner_config())._replace(planners=planners, probing=True)
-    made = Brain(1, facts)
+    made = Scheduler(1, facts)
     made.machines_listed(0, [workers.listed(n) for n in range(machines)], True)
     probes, spent, began = 0, 0.0, time.process_time()
     for now in range(TURN, seconds * SECOND, TURN):
--- a/bench/module.py
+++ b/bench/module.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from bench import throughput
-from hazelhold import brain as today
+from hazelhold import scheduler as today
 from hazelhold.interface import Ask, Decision, Ending, Listed, Load, Mode, Remark, Step
 
 SECOND, MS = 1_000_000, 1000
@@ -29,7 +29,7 @@
 def earlier(revision: str) -> ModuleType:
     """That revision's decision module, under a name of its own."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:hazelhold/brain.py"],
+        ["git", "show", f"{revision}:hazelhold/scheduler.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
@@ -77,7 +77,7 @@
         planners=random.choice([1, 3, 40]),
         confirms_running=random.random() < 0.5,
     )
-    made = module.Brain(seed, facts)
+    made = module.Scheduler(seed, facts)
     names, found, now = 0, [], SECOND
     entries = [
         Listed(f"m{n}", Mode.READY, random.choice([0, SECOND // 2]), n % 2, n // 4, 0, 24.0, 40.0)
@@ -178,11 +178,11 @@
     p99 = dict.fromkeys(best, 1e12)
     for _ in range(rounds):
         for name, module in (("earlier", old), ("today", today)):
-            throughput.Brain = module.Brain
+            throughput.Scheduler = module.Scheduler
             said = throughput.alone(machines, running, guests, planners)
             best[name] = max(best[name], said["guests_a_second"])
             p99[name] = min(p99[name], said["p99_us"])
-    throughput.Brain = today.Brain
+    throughput.Scheduler = today.Scheduler
     return {
         "machines": machines,
         "running": running,
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -39,10 +39,10 @@
 
 def one(seed: int, length: float, revision: str, file: str) -> dict[str, Any]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    today = engine.Brain
+    today = engine.Scheduler
     found = {}
-    for name, brain in (("today", today), ("other", (load(file) if file else earlier(revision)).Brain)):
-        engine.Brain = brain
+    for name, scheduler in (("today", today), ("other", (load(file) if file else earlier(revision)).Scheduler)):
+        engine.Scheduler = scheduler
         said = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
         found[name] = {
             "service": said["service"]["service"],
@@ -50,7 +50,7 @@
             "dispatches": said["counts"].get("dispatches", 0),
             "starts": said["counts"].get("starts", 0),
         }
-    engine.Brain = today
+    engine.Scheduler = today
     return {"seed": seed, **found}
 
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -22,7 +22,7 @@
 from msgspec.structs import replace
 
 from bench import throughput
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.day import Trouble, read_day
 from hazelhold.config.planner import StateConfig
 from hazelhold.engine.engine import Engine
@@ -197,7 +197,7 @@
         troubles=[Trouble(kind="planner_kill", at_s=15.0, for_s=1.0)],
     )
     if mode == "kept, not learned":
-        Brain.remembered = lambda *given: None
+        Scheduler.remembered = lambda *given: None
     with tempfile.TemporaryDirectory() as folder:
         if mode == "nothing kept":
             said = play_virtual(day, seed, Path(folder))
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -19,7 +19,7 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import (
     Estate,
     KindConfig,
@@ -67,7 +67,7 @@
 class Timed:
     """Wraps a Brain's decide and inputs, and sums the CPU time spent inside."""
 
-    def __init__(self, brain: Brain) -> None:
+    def __init__(self, scheduler: Scheduler) -> None:
         self.spent = 0.0
         for name in (
             "decide",
@@ -81,7 +81,7 @@
             "cores_used",
             "memory_used",
         ):
-            setattr(brain, name, self.wrap(getattr(brain, name)))
+            setattr(scheduler, name, self.wrap(getattr(scheduler, name)))
 
     def wrap(self, call: Callable) -> Callable:
         def timed(*args: object) -> object:
@@ -96,8 +96,8 @@
 
 def alone(machines: int, running: int, guests: int, planners: int = 1) -> dict[str, float]:
     """The module with nothing round it: asks come one by one, are taken at once, and the oldest ends."""
-    brain, random = Brain(1, deployment(planner_config())._replace(planners=planners)), Random(1)
-    brain.machines_listed(
+    scheduler, random = Scheduler(1, deployment(planner_config())._replace(planners=planners)), Random(1)
+    scheduler.machines_listed(
         0, [Listed(f"m{n}", Mode.READY, 0, 0, n // 4, 0, 2000.0, 4000.0) for n in range(machines)], True
     )
     held: list[str] = []
@@ -109,19 +109,19 @@
         now += 3000
         service, cores, memory = shape(number)
         began = time.perf_counter()
-        brain.guest_arrived(now, Ask(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
-        while (decision := brain.decide(now)) is not None:
+        scheduler.guest_arrived(now, Ask(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
+        while (decision := scheduler.decide(now)) is not None:
             if decision.step is Step.DISPATCH:
-                brain.dispatch_taken(now, decision.guest, 1000)
-                brain.guest_runs(now, decision.guest)
-                brain.cores_used(now, decision.guest, cores * random.uniform(0.3, 1))
-                brain.memory_used(now, decision.guest, memory * random.uniform(0.3, 1))
+                scheduler.dispatch_taken(now, decision.guest, 1000)
+                scheduler.guest_runs(now, decision.guest)
+                scheduler.cores_used(now, decision.guest, cores * random.uniform(0.3, 1))
+                scheduler.memory_used(now, decision.guest, memory * random.uniform(0.3, 1))
                 held.append(decision.guest)
-        brain.next_look(now)
+        scheduler.next_look(now)
         if number >= running:
             waits.record_value(max(1, round((time.perf_counter() - began) * 1e6)))
         if len(held) > running:
-            brain.dispatch_ended(now, held.pop(0), Ending.DONE, True, Remark.NONE)
+            scheduler.dispatch_ended(now, held.pop(0), Ending.DONE, True, Remark.NONE)
     return {
         "guests_a_second": guests / (time.process_time() - start),
         "median_us": waits.get_value_at_percentile(50),
@@ -206,7 +206,7 @@
         peers = Peers(net, machines)
         lister = await peers.open(nursery, "127.0.0.1")
         planner = Planner(planner_config(lister=lister), 1, net)
-        timed = Timed(planner.engine.brain)
+        timed = Timed(planner.engine.scheduler)
         await nursery.start(planner.run)
         while len(peers.wires) < machines:
             await trio.sleep(0.05)
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -157,22 +157,22 @@
 
     def _state(self, message: dict[str, Any]) -> dict[str, Any]:
         """What the decision was made on, as far as it fits a page."""
-        brain = self.engine.brain
+        scheduler = self.engine.scheduler
         machines = {
             n: {
                 "mode": x.listed.mode.name,
-                "room": x.room(brain.deployment),
+                "room": x.room(scheduler.deployment),
                 "used": x.used,
                 "guests": len(x.guests),
                 "rests": max(0, x.avoid_until - self.engine_now),
             }
-            for n, x in list(brain.machines.items())[:50]
+            for n, x in list(scheduler.machines.items())[:50]
         }
         case = self.engine.newest.get(message.get("guest", ""))
         return {
             "at": self.engine_now,
-            "held": len(brain.waiting),
-            "guests": len(brain.guests),
+            "held": len(scheduler.waiting),
+            "guests": len(scheduler.guests),
             "guest": repr(case) if case else "",
             "machines": machines,
         }
--- a/hazelhold/capture/tap.py
+++ b/hazelhold/capture/tap.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from hazelhold import brain, interface
+from hazelhold import scheduler, interface
 from hazelhold.capture.packets import name
 from hazelhold.capture.read import MAGIC
 from hazelhold.capture.write import NOTE_WAY, CaptureWriter, Trunk
@@ -23,7 +23,7 @@
 
 def module_digest() -> str:
     """Names the text of the decision files."""
-    text = "".join(inspect.getsource(module) for module in (brain, interface))
+    text = "".join(inspect.getsource(module) for module in (scheduler, interface))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -85,9 +85,9 @@
     def _drop(self, now: int, case: Case) -> None:
         """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
         self._unhold(case)
-        self.brain.guest_left(now, case.name)
+        self.scheduler.guest_left(now, case.name)
         if case.machine:
-            self.brain.dispatch_ended(now, case.name, Ending.NOT_SENT, True, Remark.NONE)
+            self.scheduler.dispatch_ended(now, case.name, Ending.NOT_SENT, True, Remark.NONE)
         case.machine = ""
 
     def _looked(self, now: int, verdict: Verdict) -> None:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,6 +1,6 @@
 """Dispatches of guests, from the decision to their end: offers, time-outs, what was given up, answers."""
 
-from hazelhold.brain import NEVER_RAN
+from hazelhold.scheduler import NEVER_RAN
 from hazelhold.config.planner import micros
 from hazelhold.engine.cases import Case, Loose
 from hazelhold.engine.tables import OutstandingProbe, Tables
@@ -43,7 +43,7 @@
         case.sent, case.sent_at, case.incarnation = True, now, link.incarnation
         case.sent_claim, case.sent_unconfirmed = case.claim, link.unconfirmed
         self._mark("guest", case.name)
-        host = self.brain.machines.get(case.machine)
+        host = self.scheduler.machines.get(case.machine)
         if host and now - host.cold_at < self.facts.cold_for:
             self._mark("cold", case.machine)
         self.counts["dispatches"] += 1
@@ -81,7 +81,7 @@
             case.unsure, case.ran_from = case.machine, case.ran_from or case.sent_at
         case.machine = ""
         self._mark("guest", case.name)
-        self.brain.dispatch_ended(now, case.name, ending, False, remark)
+        self.scheduler.dispatch_ended(now, case.name, ending, False, remark)
         self._adopt(now, case.guest)
 
     def _gone(
@@ -97,7 +97,7 @@
         if how != "lost":  # one that is out of reach may run on
             self._fact(now, case, "over", how)
         self._unhold(case)
-        self.brain.dispatch_ended(now, case.name, ending, True, remark)
+        self.scheduler.dispatch_ended(now, case.name, ending, True, remark)
         self._forget(case)
         if self.peers.asks_again:
             self._keep_end(now, case.guest, how)
@@ -151,7 +151,7 @@
         if case.machine:
             self._give_up(now, case)
             self._unhold(case)
-            self.brain.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
+            self.scheduler.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
             self.monitor.attempt_ended(case.name, may_have_run=case.sent)
             case.machine = ""
         self._answer(now, case, message, case.asks)
@@ -192,8 +192,8 @@
                 continue
             held = self.newest.get(guest)
             case = held or loose.case
-            self.brain.copy_stands(now, loose.machine, self._ask(case, 0))
-            mine = self.brain.guests.get(case.name)
+            self.scheduler.copy_stands(now, loose.machine, self._ask(case, 0))
+            mine = self.scheduler.guests.get(case.name)
             if held and held.machine or not (mine and mine.placed):
                 continue
             self._settled(guest, loose.machine)
@@ -206,7 +206,7 @@
             if case.asks:
                 self._answer(now, case, m.Placed(guest=guest, ask=case.ask, machine=case.machine), case.asks)
             if case.cancelled:
-                self.brain.guest_cancelled(now, case.name)
+                self.scheduler.guest_cancelled(now, case.name)
 
     def _tell(self, now: int, machine: str, message: m.Message) -> None:
         """Sends a word on what stands at a machine; without a connection, with the next; once more if its
@@ -241,4 +241,4 @@
 
     def _probe_over(self, now: int, machine: str, well: bool) -> None:
         if self.probes.pop(machine, None):
-            self.brain.probe_answered(now, machine, well)
+            self.scheduler.probe_answered(now, machine, well)
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -68,7 +68,7 @@
         return put("guest", name, self.image(engine, case)) if case else drop("guest", name)
 
     def image(self, engine: Tables, case: Case) -> GuestImage:
-        s, known = case.submit, engine.brain.guests.get(case.name)
+        s, known = case.submit, engine.scheduler.guests.get(case.name)
         unsure = known.window_ends - known.product.window if known and known.may_run else 0
         sent = case.machine if case.sent else ""  # an offer that waits for its link has not left
         return GuestImage(
@@ -119,7 +119,7 @@
         return put("end", guest, EndImage(guest, kept[0]), self.wall(kept[1])) if kept else drop("end", guest)
 
     def _cold(self, engine: Tables, now: int, machine: str) -> Change | None:
-        host, window = engine.brain.machines.get(machine), 2 * engine.facts.cold_window
+        host, window = engine.scheduler.machines.get(machine), 2 * engine.facts.cold_window
         if host is None:
             return None
         times = tuple(self.wall(at) for at in host.offers if at > now - window)
@@ -139,7 +139,7 @@
         return put("list", "", ListImage(engine.list_version, self.wall(now), entries))
 
     def learned(self, engine: Tables) -> Change:
-        return put("learned", "", LearnedImage(self.epoch, engine.brain.learned()))
+        return put("learned", "", LearnedImage(self.epoch, engine.scheduler.learned()))
 
 
 def recover(engine: Tables, now: int, ledger: Ledger, complete: bool) -> dict[str, int]:
@@ -157,15 +157,15 @@
         keeping.told(listing)
         # What the list said last may never have become safe: nothing goes anywhere before it speaks again.
         listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.learn(heard, listing).listed]
-        engine.brain.machines_listed(heard, listed, True)
+        engine.scheduler.machines_listed(heard, listed, True)
         engine.unheard = {f.name for f in engine.roster.fellows.values()}
     past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in ledger.images("learned"):
         past = moved(image.data, image.epoch - epoch)
     if any(counts.values()):
-        engine.brain.remembered(now, past, complete)
+        engine.scheduler.remembered(now, past, complete)
     for image in ledger.images("cold"):
-        engine.brain.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
+        engine.scheduler.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
     cases = [image for image in ledger.images("guest") if image.product in engine.products]
     counts["of_unknown_products"] = ledger.sizes()["guest"] - len(cases)
     for image in sorted(cases, key=lambda i: (i.placed, i.ask, i.name)):
@@ -248,7 +248,7 @@
         engine.counts["held_unsure"] += 1
     ask = engine._ask(case, patience, earlier)._replace(spent=image.spent)
     if not image.machine:
-        engine.brain.guest_arrived(now, ask)
+        engine.scheduler.guest_arrived(now, ask)
     else:
         case.machine, case.sent, case.placed = image.machine, True, image.placed
         case.sent_at = image.sent_at - epoch
@@ -257,11 +257,11 @@
         link.incarnation, link.lost_at = image.incarnation, now
         engine.restless[case.machine] = None
         if image.placed:
-            engine.brain.guest_found(now, case.machine, ask)
+            engine.scheduler.guest_found(now, case.machine, ask)
         else:
-            engine.brain.guest_arrived(now, ask)
-            engine.brain.dispatch_stands(now, case.machine, case.name, case.sent_at)
+            engine.scheduler.guest_arrived(now, ask)
+            engine.scheduler.dispatch_stands(now, case.machine, case.name, case.sent_at)
             due = max(image.due_at - epoch, now + micros(engine.limits.reconnect_ms))
             engine._overdue(due, case)
     if case.cancelled:
-        engine.brain.guest_cancelled(now, case.name)
+        engine.scheduler.guest_cancelled(now, case.name)
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -136,18 +136,18 @@
             self._rolled(now, link, message)
             return
         if isinstance(message, m.Report):
-            self.brain.machine_reported(now, machine, load(message.load))
+            self.scheduler.machine_reported(now, machine, load(message.load))
             if machine in self.probes and self.probes[machine].number == message.number:
                 self._tested(now, link, message.well)
                 self._probe_over(now, machine, message.well)
             return
         if isinstance(message, m.Pressed):
-            self.brain.memory_pressed(now, machine, message.share)
+            self.scheduler.memory_pressed(now, machine, message.share)
             return
         if not isinstance(message, m.Offered):
             return
         if (report := getattr(message, "load", None)) is not None:
-            self.brain.machine_reported(now, machine, load(report))
+            self.scheduler.machine_reported(now, machine, load(report))
         for case in (self.newest.get(message.guest), self.cases.get(f"{message.guest}/{message.ask}")):
             if (
                 case
@@ -173,7 +173,7 @@
             case.placed = True
             self._mark("guest", case.name)
             self._fact(now, case, "placed")
-            self.brain.dispatch_taken(now, case.name, now - case.sent_at)
+            self.scheduler.dispatch_taken(now, case.name, now - case.sent_at)
             if self.peers.advised:
                 self.advice.placed(now, case.guest)
             self._answer(
@@ -193,14 +193,14 @@
             self.counts["refused_" + message.remark[:20]] += 1
             self._ended(now, case, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
         elif isinstance(message, m.Started):
-            self.brain.guest_runs(now, case.name)
+            self.scheduler.guest_runs(now, case.name)
         elif isinstance(message, m.Use):
             if message.cores is not None:
-                self.brain.cores_used(now, case.name, message.cores)
+                self.scheduler.cores_used(now, case.name, message.cores)
             if message.memory is not None:
-                self.brain.memory_used(now, case.name, message.memory)
+                self.scheduler.memory_used(now, case.name, message.memory)
         elif isinstance(message, m.Served):
-            self.brain.guest_served(now, case.name, message.share)
+            self.scheduler.guest_served(now, case.name, message.share)
         elif isinstance(message, m.Ended):
             ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
             if case.placed:
@@ -223,7 +223,7 @@
         self.counts["over_before_answer"] += 1
         case.cancelled = True
         self._mark("guest", case.name)
-        self.brain.guest_cancelled(now, case.name)
+        self.scheduler.guest_cancelled(now, case.name)
 
     def _heard_loose(self, now: int, machine: str, message: m.Offered) -> None:
         """News of a dispatch that was given up."""
@@ -274,7 +274,7 @@
             ):
                 self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
             if stand and stand.state == "runs":
-                self.brain.guest_runs(now, name)
+                self.scheduler.guest_runs(now, name)
             if stand is None and case.placed:
                 self._gone(now, case, "lost")
             elif stand is None and same_life and running.complete:
@@ -336,7 +336,7 @@
             return
         case.machine, case.sent, case.placed = link.machine, True, True
         if held:  # asked again while its planner was away: what runs is the answer
-            self.brain.guest_left(now, held.name)
+            self.scheduler.guest_left(now, held.name)
             self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
             del self.cases[held.name]
             self._mark("guest", held.name)
@@ -344,7 +344,7 @@
         case.incarnation = link.incarnation
         self._hold(case)
         self._mark("guest", name)
-        self.brain.guest_found(now, link.machine, self._ask(case, 0))
+        self.scheduler.guest_found(now, link.machine, self._ask(case, 0))
         self._fact(now, case, "placed")
 
 
--- a/hazelhold/engine/list_news.py
+++ b/hazelhold/engine/list_news.py
@@ -30,7 +30,7 @@
             self.keeping.told(message)
         self.counts["list_entries"] += len(message.entries)
         self.counts["list_faults"] += len(news.faults)
-        self.brain.machines_listed(now, news.listed, message.whole)
+        self.scheduler.machines_listed(now, news.listed, message.whole)
         if not first:  # the whole list of a start is one line, at the start
             self._log_news(now, news)
         for name in news.closed:  # what has not left may not go there any more
@@ -106,7 +106,7 @@
     def list_unchanged(self, now: int) -> None:
         """The list service answered that it has no news."""
         self.list_due = 0
-        self.brain.list_heard(now)
+        self.scheduler.list_heard(now)
 
     def list_call_failed(self, now: int) -> None:
         """A call brought nothing: the lease is not renewed by it."""
@@ -124,7 +124,7 @@
         if holds is self.list_taken:
             return
         self.list_taken = holds
-        self.brain.list_taken(now, holds)
+        self.scheduler.list_taken(now, holds)
         as_of, lapse = self.lease.confirmed_as_of, self.lease.lapse
         self.events.append(
             ListEvent(holds, lapse.value if lapse else "confirmed", -1 if as_of is None else now - as_of)
@@ -135,4 +135,4 @@
         """The list service refused, was silent for too long, or its connection broke."""
         self.list_due = 0
         self.counts["list_failures"] += 1
-        self.brain.list_failed(now)
+        self.scheduler.list_failed(now)
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -68,7 +68,7 @@
             self._send_owner(owner, m.Held(guest=guest, ask=ask))
         earlier = self._earlier(now, submit, old)
         case.unsure = earlier.machine if earlier else ""
-        self.brain.guest_arrived(now, self._ask(case, submit.patience, earlier))
+        self.scheduler.guest_arrived(now, self._ask(case, submit.patience, earlier))
         self._adopt(now, guest)
 
     def _earlier(self, now: int, submit: m.Submit, old: Case | None) -> Earlier | None:
@@ -96,7 +96,7 @@
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.cases) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
-        if self.peers.advised and self.advice.hopeless(now, len(self.brain.waiting), submit.patience, kept):
+        if self.peers.advised and self.advice.hopeless(now, len(self.scheduler.waiting), submit.patience, kept):
             return "overloaded", "the line is longer than this patience"
         return None
 
@@ -121,7 +121,7 @@
         self.counts["cancels"] += 1
         case.owner, case.cancelled = owner, True
         self._mark("guest", case.name)
-        self.brain.guest_cancelled(now, case.name)
+        self.scheduler.guest_cancelled(now, case.name)
 
     def owner_left(self, now: int, guest: str) -> bool:
         """Its owner waits no longer, or ends what stands: no answer and no word of an end is owed. What is
@@ -138,10 +138,10 @@
             self._tell(now, case.machine, m.Stop(guest=guest, ask=case.ask, attempt=case.attempt))
         elif case.machine:
             self._give_up(now, case)
-        self.brain.guest_left(now, case.name)
+        self.scheduler.guest_left(now, case.name)
         if case.machine:
             self._unhold(case)
-            self.brain.dispatch_ended(now, case.name, Ending.CALLED_OFF, True, Remark.NONE)
+            self.scheduler.dispatch_ended(now, case.name, Ending.CALLED_OFF, True, Remark.NONE)
         self._forget(case)
         return True
 
@@ -151,7 +151,7 @@
         if case and not case.placed and not case.cancelled:
             self.counts["given_up"] += 1
             case.cancelled = True
-            self.brain.guest_cancelled(now, case.name)
+            self.scheduler.guest_cancelled(now, case.name)
 
     def guest_stands(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
         """An owner hands over a guest that runs on a machine already; returns what is wrong, or nothing. One
@@ -198,7 +198,7 @@
         self._doubt_handed_over(case)
         self._hold(case)
         self._task_event("handed_over", case)
-        self.brain.guest_found(now, machine, self._ask(case, submit.patience))
+        self.scheduler.guest_found(now, machine, self._ask(case, submit.patience))
         link = self._dial(now, fellow)
         link.heard_at = link.heard_at or now
         return ""
--- a/hazelhold/engine/silence.py
+++ b/hazelhold/engine/silence.py
@@ -46,7 +46,7 @@
             self._machine_event("test_passed" if well else "test_failed", link.machine)
         link.passes_tests = well
         if not well and self.facts.list_lease:
-            self.brain.machine_refuses(now, link.machine)
+            self.scheduler.machine_refuses(now, link.machine)
 
     def _unheard(self, now: int, machine: str, since: int) -> None:
         """A probe was not answered. Where no roll call tells of a dead connection, two in a row with not a
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import PlannerConfig, micros
 from hazelhold.engine.advice import Advice
 from hazelhold.engine.cases import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
@@ -55,7 +55,7 @@
     def __init__(self, config: PlannerConfig | Terms, seed: int, now: int) -> None:
         terms = config if isinstance(config, Terms) else terms_of(config)
         self.limits, self.peers, self.facts = terms.limits, terms.peers, terms.facts
-        self.brain = Brain(seed, self.facts)
+        self.scheduler = Scheduler(seed, self.facts)
         self.at_once = self.limits.decisions_at_once  # decisions of a pump; a host that is behind lowers it
         self.actions: list[Action] = []  # emptied by the host
         self.counts: Counter[str] = Counter()
@@ -110,14 +110,14 @@
 
     def share(self, planners: int, slot: int) -> None:
         """From now on this planner is that one of so many."""
-        self.facts = self.brain.deployment = self.facts._replace(planners=planners, slot=slot)
+        self.facts = self.scheduler.deployment = self.facts._replace(planners=planners, slot=slot)
 
     def reconfigure(self, terms: Terms) -> None:
         """Works on by these terms. Products that are here keep their places and whatever tasks in hand were
         judged by; others may follow them. Kinds are the same, and so is this planner's share of the fleet.
         New tasks are taken by the new terms; limits on dispatches hold for all at once."""
         facts = terms.facts._replace(planners=self.facts.planners, slot=self.facts.slot)
-        self.facts = self.brain.deployment = facts
+        self.facts = self.scheduler.deployment = facts
         self.products = {name: at for at, name in enumerate(terms.products)}
         self.customers = {name: at for at, name in enumerate(terms.customers)}
 
@@ -195,7 +195,7 @@
 
     def _later(self, now: int, guest: str, span: int = 0) -> int:
         """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
-        return self.advice.wait(now, guest, len(self.brain.waiting)) if self.peers.advised else span
+        return self.advice.wait(now, guest, len(self.scheduler.waiting)) if self.peers.advised else span
 
     def _blind(self) -> bool:
         """Whether guests may run that this planner has not heard of: it has just started, and has no list
--- a/hazelhold/platform/beliefs.py
+++ b/hazelhold/platform/beliefs.py
@@ -7,7 +7,7 @@
     """A line for each machine of the list. `now` in microseconds of the engine's clock."""
     found = {}
     for name, fellow in engine.roster.fellows.items():
-        known, link = engine.brain.machines.get(name), engine.links.get(name)
+        known, link = engine.scheduler.machines.get(name), engine.links.get(name)
         if known is None:
             continue
         cores, memory = known.room(engine.facts)
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -292,8 +292,8 @@
         engine = self.engine
         self.log.debug(
             "beliefs",
-            waiting=len(engine.brain.waiting),
-            out=len(engine.brain.out),
+            waiting=len(engine.scheduler.waiting),
+            out=len(engine.scheduler.out),
             cases=len(engine.cases),
             owners=len(self.door.peers),
             links=len(self.links.by_machine),
--- a/hazelhold/brain.py
+++ b/hazelhold/scheduler.py
@@ -163,7 +163,7 @@
     return random.choices(samples, k=ROUNDS) if samples else [(guest.ask.cores, guest.ask.memory)] * ROUNDS
 
 
-class Brain:
+class Scheduler:
     """One planner's knowledge and decisions."""
 
     def __init__(self, seed: int, deployment: interface.Deployment) -> None:
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.interface import (
     Ask,
     Decision,
@@ -194,9 +194,9 @@
 class Instance:
     """One planner: its Brain and the timer that is set for it."""
 
-    def __init__(self, name: str, brain: Brain) -> None:
+    def __init__(self, name: str, scheduler: Scheduler) -> None:
         self.name = name
-        self.brain = brain
+        self.scheduler = scheduler
         self.alarm = 0
         self.token = 0
 
@@ -209,7 +209,7 @@
         self.lists: dict[int, list[Listed]] = {}
         self.touched: dict[str, None] = {}
         self.faults: dict[str, str] = {}
-        self.events: dict[str, Callable[[int, Brain, list[str]], None]] = {
+        self.events: dict[str, Callable[[int, Scheduler, list[str]], None]] = {
             "DISCOVERY": self.discovery,
             "SUBMIT": self.submit,
             "OUTCOME": self.outcome,
@@ -229,7 +229,7 @@
             self.touched[who] = None
             self.faults.pop(who, None)
             try:
-                self.instances[who] = Instance(who, Brain(whole(parts[2]), read_deployment(Pairs(parts[3:]))))
+                self.instances[who] = Instance(who, Scheduler(whole(parts[2]), read_deployment(Pairs(parts[3:]))))
             except (WireError, ValueError) as wrong:
                 self.instances.pop(who, None)
                 self.faults[who] = str(wrong)
@@ -241,67 +241,67 @@
             raise WireError(f"event {name} is not known")
         elif who in self.instances:
             self.touched[who] = None
-            self.events[name](now, self.instances[who].brain, parts)
+            self.events[name](now, self.instances[who].scheduler, parts)
 
-    def nothing(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def nothing(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         """An event that only gives the instance its turn."""
 
-    def discovery(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def discovery(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         how = parts[2]
         if how == "broken":
-            brain.list_failed(now)
+            scheduler.list_failed(now)
         elif how in ("patch", "whole", "stale_copy"):
             if whole(parts[3]) not in self.lists:
                 raise WireError(f"list {parts[3]} was never registered")
-            brain.machines_listed(now, self.lists[whole(parts[3])], how != "patch")
+            scheduler.machines_listed(now, self.lists[whole(parts[3])], how != "patch")
         else:
             raise WireError(f"discovery of kind {how!r} is not known")
 
-    def submit(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def submit(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, product, customer, _unit, left, _life, service, cores, memory, _marks = parts[2:12]
-        brain.guest_arrived(
+        scheduler.guest_arrived(
             now,
             Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
         )
 
-    def found(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def found(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, machine, memory, _life, service, _unit, _marks, left, product, customer, cores = parts[2:13]
-        brain.guest_found(
+        scheduler.guest_found(
             now,
             machine,
             Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
         )
 
-    def outcome(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def outcome(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, _attempt, machine, reason, _took, final, remark, metrics = parts[2:10]
         if reason not in ENDINGS:
             raise WireError(f"outcome {reason!r} is not known")
-        brain.machine_reported(now, machine, read_load(metrics))
-        brain.dispatch_ended(now, call, ENDINGS[reason], truth(final), read_remark(remark))
+        scheduler.machine_reported(now, machine, read_load(metrics))
+        scheduler.dispatch_ended(now, call, ENDINGS[reason], truth(final), read_remark(remark))
 
-    def taken(self, now: int, brain: Brain, parts: list[str]) -> None:
-        brain.dispatch_taken(now, parts[2], micros(parts[5]))
+    def taken(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        scheduler.dispatch_taken(now, parts[2], micros(parts[5]))
 
-    def dropped(self, now: int, brain: Brain, parts: list[str]) -> None:
-        brain.guest_left(now, parts[2])
+    def dropped(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        scheduler.guest_left(now, parts[2])
 
-    def probed(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def probed(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         machine, reason, _took, metrics = parts[2:6]
-        brain.machine_reported(now, machine, read_load(metrics))
-        brain.probe_answered(now, machine, reason == "completed")
+        scheduler.machine_reported(now, machine, read_load(metrics))
+        scheduler.probe_answered(now, machine, reason == "completed")
 
-    def note(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def note(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, machine, sort, _attempt, value = parts[2:7]
         if sort == "1":
-            brain.guest_runs(now, call)
+            scheduler.guest_runs(now, call)
         elif sort == "2":
-            brain.cores_used(now, call, number(value))
+            scheduler.cores_used(now, call, number(value))
         elif sort == "3":
-            brain.memory_used(now, call, number(value))
+            scheduler.memory_used(now, call, number(value))
         elif sort == "4":
-            brain.guest_served(now, call, number(value))
+            scheduler.guest_served(now, call, number(value))
         elif sort == "5":
-            brain.memory_pressed(now, machine, number(value))
+            scheduler.memory_pressed(now, machine, number(value))
 
     def replies(self, now: int) -> Iterator[str]:
         """What the instances that had an event want done, in the order in which they were first named."""
@@ -312,9 +312,9 @@
             if who not in self.instances:
                 continue
             instance = self.instances[who]
-            while (decision := instance.brain.decide(now)) is not None:
+            while (decision := instance.scheduler.decide(now)) is not None:
                 yield encode(who, decision)
-            wake = instance.brain.next_look(now)
+            wake = instance.scheduler.next_look(now)
             if wake is not None and (instance.alarm <= now or wake < instance.alarm):
                 instance.alarm = max(wake, now + 1)
                 instance.token += 1
--- a/hazelhold/state/snapshot.py
+++ b/hazelhold/state/snapshot.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from hazelhold.brain import Brain, Guest, Machine, Service
+from hazelhold.scheduler import Scheduler, Guest, Machine, Service
 from hazelhold.interface import Ask, Deployment, Earlier, Listed, Mode, Place
 
 LONG_AGO = -(10**15)  # of moments that never were; not shifted
@@ -76,23 +76,23 @@
 BRAIN_PLAIN = ("seen", "typical", "list_version", "kept_well", "list_current")
 
 
-def dump(brain: Brain) -> dict[str, Any]:
+def dump(scheduler: Scheduler) -> dict[str, Any]:
     """Plain values that msgpack can carry."""
-    version, state, gauss = brain.random.getstate()
+    version, state, gauss = scheduler.random.getstate()
     return {
         "random": [version, list(state), gauss],
         "services": [
             [name, [list(s) for s in service.samples], service.seen]
-            for name, service in brain.services.items()
+            for name, service in scheduler.services.items()
         ],
-        "machines": [_machine(m) for m in brain.machines.values()],
-        "guests": [_guest(g) for g in brain.guests.values()],
-        "waiting": list(brain.waiting),
-        "starts": [[*key, list(times)] for key, times in brain.starts.items()],
-        "answers": [[key, list(times)] for key, times in brain.answers.items()],
-        "to_probe": [m.listed.machine for m in brain.to_probe],
-        "to_call_off": [list(pair) for pair in brain.to_call_off],
-        **{name: getattr(brain, name) for name in (*BRAIN_TIMES, *BRAIN_PLAIN)},
+        "machines": [_machine(m) for m in scheduler.machines.values()],
+        "guests": [_guest(g) for g in scheduler.guests.values()],
+        "waiting": list(scheduler.waiting),
+        "starts": [[*key, list(times)] for key, times in scheduler.starts.items()],
+        "answers": [[key, list(times)] for key, times in scheduler.answers.items()],
+        "to_probe": [m.listed.machine for m in scheduler.to_probe],
+        "to_call_off": [list(pair) for pair in scheduler.to_call_off],
+        **{name: getattr(scheduler, name) for name in (*BRAIN_TIMES, *BRAIN_PLAIN)},
     }
 
 
@@ -121,52 +121,52 @@
     }
 
 
-def restore(data: dict[str, Any], deployment: Deployment, shift: int = 0) -> Brain:
+def restore(data: dict[str, Any], deployment: Deployment, shift: int = 0) -> Scheduler:
     """A Brain from plain values."""
 
     def moved(at: int) -> int:
         return at + shift if at and at != LONG_AGO else at
 
-    brain = Brain(0, deployment)
+    scheduler = Scheduler(0, deployment)
     version, state, gauss = data["random"]
-    brain.random = Random()
-    brain.random.setstate((version, tuple(state), gauss))
+    scheduler.random = Random()
+    scheduler.random.setstate((version, tuple(state), gauss))
     for name in BRAIN_TIMES:
-        setattr(brain, name, moved(data.get(name, 0)))  # older snapshots have no `began`
-    brain.seen, brain.list_version = list(data["seen"]), data["list_version"]
-    brain.list_current = data.get("list_current", True)
-    brain.kept_well, brain.typical = data["kept_well"], data["typical"]
+        setattr(scheduler, name, moved(data.get(name, 0)))  # older snapshots have no `began`
+    scheduler.seen, scheduler.list_version = list(data["seen"]), data["list_version"]
+    scheduler.list_current = data.get("list_current", True)
+    scheduler.kept_well, scheduler.typical = data["kept_well"], data["typical"]
     for name, samples, seen in data["services"]:
-        service = brain.services[name] = Service()
+        service = scheduler.services[name] = Service()
         service.samples.extend(tuple(s) for s in samples)
         service.seen = moved(seen)
     for plain in data["machines"]:
-        _restore_machine(brain, plain, moved)
+        _restore_machine(scheduler, plain, moved)
     for plain in data["guests"]:
-        _restore_guest(brain, plain, moved)
+        _restore_guest(scheduler, plain, moved)
     for plain in data["machines"]:  # in the order in which their guests came
-        machine = brain.machines[plain["listed"][0]]
-        machine.guests = {name: brain.guests[name] for name in plain["guests"]}
+        machine = scheduler.machines[plain["listed"][0]]
+        machine.guests = {name: scheduler.guests[name] for name in plain["guests"]}
         guests = machine.guests.values()
         machine.bears = min((g.product.easy_until for g in guests), default=1.0)
         machine.starting = sum(not g.runs for g in guests)
         machine.services = dict(Counter(g.ask.service for g in guests))
-    brain.waiting = {name: brain.guests[name] for name in data["waiting"]}
+    scheduler.waiting = {name: scheduler.guests[name] for name in data["waiting"]}
     for product, warm, times in data["starts"]:
-        brain.starts[product, warm].extend(times)
+        scheduler.starts[product, warm].extend(times)
     for product, times in data["answers"]:
-        brain.answers[product].extend(times)
-    brain.to_probe = [brain.machines[name] for name in data["to_probe"]]
-    brain.to_call_off = deque((guest, machine) for guest, machine in data["to_call_off"])
-    return brain
+        scheduler.answers[product].extend(times)
+    scheduler.to_probe = [scheduler.machines[name] for name in data["to_probe"]]
+    scheduler.to_call_off = deque((guest, machine) for guest, machine in data["to_call_off"])
+    return scheduler
 
 
-def _restore_machine(brain: Brain, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
+def _restore_machine(scheduler: Scheduler, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
     fields = list(plain["listed"])
     fields[1], fields[2] = Mode[fields[1]], moved(fields[2])
     listed = Listed(*fields)
-    kind = brain.deployment.kinds[listed.kind]
-    machine = brain.machines[listed.machine] = Machine(listed, kind._make(plain["size"]), 0)
+    kind = scheduler.deployment.kinds[listed.kind]
+    machine = scheduler.machines[listed.machine] = Machine(listed, kind._make(plain["size"]), 0)
     for name in MACHINE_TIMES:
         setattr(machine, name, moved(plain.get(name, LONG_AGO)))  # older ones have no `listed_since`
     for name in MACHINE_PLAIN:
@@ -180,14 +180,14 @@
     machine.offers = deque(moved(at) for at in plain["offers"])
 
 
-def _restore_guest(brain: Brain, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
+def _restore_guest(scheduler: Scheduler, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
     fields = list(plain["ask"])
     if fields[7] is not None:
         fields[7] = Earlier(fields[7][0], moved(fields[7][1]))
     ask = Ask(*fields)
-    service = brain.services.setdefault(ask.service, Service())
+    service = scheduler.services.setdefault(ask.service, Service())
     service.guests += 1
-    guest = Guest(ask, brain.deployment.products[ask.product], service, 0)
+    guest = Guest(ask, scheduler.deployment.products[ask.product], service, 0)
     for name in GUEST_TIMES:
         setattr(guest, name, moved(plain[name]))
     for name in GUEST_PLAIN:
@@ -195,11 +195,11 @@
     guest.use = tuple(guest.use) if guest.use else None
     guest.rounds = [tuple(pair) for pair in guest.rounds] if guest.rounds else None
     guest.bound = (Place[plain["bound"][0]], plain["bound"][1]) if plain["bound"] else None
-    brain.guests[ask.guest] = guest
+    scheduler.guests[ask.guest] = guest
     if plain["machine"]:
         if not guest.placed:
-            brain.out[ask.guest] = guest
-        guest.machine = machine = brain.machines[plain["machine"]]
-        guest.spread_key = key = brain._spread_key(guest, machine)
-        brain.spread[key] = brain.spread.get(key, 0) + 1
-        brain.seated[guest.product.priority] += 1
+            scheduler.out[ask.guest] = guest
+        guest.machine = machine = scheduler.machines[plain["machine"]]
+        guest.spread_key = key = scheduler._spread_key(guest, machine)
+        scheduler.spread[key] = scheduler.spread.get(key, 0) + 1
+        scheduler.seated[guest.product.priority] += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """What the tests share: a small deployment, machines, and a Brain that is driven by hand."""
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import (
     Estate,
     KindConfig,
@@ -57,14 +57,14 @@
     return Ask(name, product, 0, "service-" + str(product), cores, 2 * cores, patience)
 
 
-def brain(names: str = "ab", at: int = 0, **changes: object) -> Brain:
+def scheduler(names: str = "ab", at: int = 0, **changes: object) -> Scheduler:
     """A Brain that knows the named machines; two of them share a cell."""
-    made = Brain(7, DEPLOYMENT._replace(**changes))
+    made = Scheduler(7, DEPLOYMENT._replace(**changes))
     made.machines_listed(at, [entry(n, cell=i // 2) for i, n in enumerate(names)], True)
     return made
 
 
-def decisions(made: Brain, now: int) -> list[Decision]:
+def decisions(made: Scheduler, now: int) -> list[Decision]:
     """All that is decided at this moment, probes and list calls left out."""
     found = []
     while (decision := made.decide(now)) is not None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -201,7 +201,7 @@
     table.agree(70)
     assert other.sent(m.State)[-1].state == "done"
     assert other.sent(m.GuestEnded, "x")[-1].how == "done"
-    assert not other.sent(m.Offer, "x") and not other.engine.cases and not other.engine.brain.guests
+    assert not other.sent(m.Offer, "x") and not other.engine.cases and not other.engine.scheduler.guests
 
 
 def test_two_planners_asked_at_once_send_one_offer() -> None:
@@ -243,7 +243,7 @@
     table.refuse(500 * MS, one, outcome, reason)
     said = one.sent(m.TurnedBack, "x")[0]
     assert said.reason == reason and said.again_after > 0
-    assert not one.sent(m.Offer, "x") and not one.engine.brain.guests.get("x/0")
+    assert not one.sent(m.Offer, "x") and not one.engine.scheduler.guests.get("x/0")
     if outcome == "open":  # it may stand yet: released, so that another may have it
         table.values["claim/x"] = c.encode(
             c.Take("p0", 1, 0, 0, c.decode(one.asks[0].change.known).machine, 2).claim()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.interface import Ask, Ending, Remark, Step
 from tests.helpers import DEPLOYMENT, MS, entry
 
@@ -14,7 +14,7 @@
 BEGUN = 40_000 * MS  # when the machine starts; it is cold for 15 s from then
 
 
-class Forgetful(Brain):
+class Forgetful(Scheduler):
     """The broken variant: a new life uses its share at once, whatever the last one sent."""
 
     def machines_listed(self, now: int, entries: list, whole: bool) -> None:
@@ -23,7 +23,7 @@
 
 
 def offers(
-    planners: int, budget: float, kind: type[Brain], seed: int, steady: bool = False, told_of: int = 0
+    planners: int, budget: float, kind: type[Scheduler], seed: int, steady: bool = False, told_of: int = 0
 ) -> list[int]:
     """When offers reach a cold machine, told of at different times, from planners with drawn traffic. They
     are restarted at drawn moments, and seven in ten together once. No other machine has room."""
@@ -81,19 +81,19 @@
     """N is what it bears by the settings; past it two roots of N and two more are chance. Nothing is left to
     chance here: the parts sum to four fifths, and a life that cannot know what the last one sent waits out a
     window for machines that were cold before it."""
-    sent = offers(planners, budget, Brain, planners)
+    sent = offers(planners, budget, Scheduler, planners)
     assert most(sent) <= 0.8 * budget
     # It warms all the same: a fifth of what two windows allow, though a planner dies every five seconds.
     assert len(sent) >= 0.2 * 0.8 * budget * 14_000 * MS / (2 * WINDOW)
-    undisturbed = offers(planners, budget, Brain, planners, steady=True)
+    undisturbed = offers(planners, budget, Scheduler, planners, steady=True)
     assert most(undisturbed) <= 0.8 * budget and len(undisturbed) >= 0.8 * (int(0.8 * budget))
 
 
 def test_a_number_of_planners_that_is_wrong_by_a_quarter_is_borne() -> None:
     """Four fifths of the budget are given out: a fleet that has grown by a quarter since its settings were
     written keeps the whole of it. Told of more planners than there are, the machine warms more slowly."""
-    assert most(offers(20, 60.0, Brain, 5, told_of=16)) <= 60
-    fewer = offers(12, 60.0, Brain, 5, steady=True, told_of=16)
+    assert most(offers(20, 60.0, Scheduler, 5, told_of=16)) <= 60
+    fewer = offers(12, 60.0, Scheduler, 5, steady=True, told_of=16)
     assert most(fewer) <= 0.8 * 60 and len(fewer) >= 0.8 * 60 * 12 / 16 - 12
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -106,7 +106,7 @@
     async def test(rig: SocketRig) -> None:
         rig.machines["a"].accepts = rig.machines["b"].accepts = False
         engine, owner = rig.planner.engine, await rig.owner()
-        real, begun = engine.brain.decide, []
+        real, begun = engine.scheduler.decide, []
 
         def slow(now: int) -> object:
             time.sleep(0.03)
@@ -115,7 +115,7 @@
                 reset(owner.stream)
             return real(now)
 
-        engine.brain.decide = slow
+        engine.scheduler.decide = slow
         await owner.say(*(set_up(guest) for guest in range(1, 41)))
         await until(lambda: begun and not engine.cases)
         assert engine.counts["dispatches"] <= begun[0] + 2
@@ -174,7 +174,7 @@
     await until(
         lambda: all(rig.planner.links.by_machine.get(each, (0, 0))[1] for each in "ab")
     )  # all are probed
-    rig.planner.engine.brain.answers[0].extend([10_000] * 10)  # answers come soon: none is waited for long
+    rig.planner.engine.scheduler.answers[0].extend([10_000] * 10)  # answers come soon: none is waited for long
     await owner.say(set_up(1))
     await until(lambda: rig.offers(1))
     (first,) = rig.offers(1)
--- a/tests/test_crossings_planner.py
+++ b/tests/test_crossings_planner.py
@@ -113,7 +113,7 @@
         path.write_text(text)
         await until(lambda: moved.asked)
         assert rig.planner.counts["reloads"] == 1 and rig.planner.counts["reloads_refused"] == 2
-        known = rig.planner.engine.brain.deployment  # among how many the budgets are shared
+        known = rig.planner.engine.scheduler.deployment  # among how many the budgets are shared
         assert (known.planners, known.slot) == (20, 17) and rig.planner.engine.facts is known
 
     on_sockets(test, machines="a")
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -40,13 +40,13 @@
 
 
 def test_a_planner_that_breaks_rules_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    from hazelhold.brain import Brain, Guest
+    from hazelhold.scheduler import Scheduler, Guest
     from hazelhold.engine import machines
 
     deaf = {mode: machines.Mode.READY for mode in ("ready", "cordoned", "gone")}
     monkeypatch.setattr(machines, "MODES", deaf)
     monkeypatch.setattr(Guest, "may_turn_back", lambda self: True)
-    monkeypatch.setattr(Brain, "_allowed", lambda self, guest, machine, now: True)
+    monkeypatch.setattr(Scheduler, "_allowed", lambda self, guest, machine, now: True)
     day = bad_day(
         length_s=25.0, troubles=[Trouble("answer_lost", 2, 20, 1.0, 0.4), Trouble("deploy", 5, 12, 1.0, 0.2)]
     )
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hazelhold.interface import Decision, Earlier, Ending, Load, Mode, Remark, Step
-from tests.helpers import MS, PRODUCTS, ask, brain, decisions, entry
+from tests.helpers import MS, PRODUCTS, ask, scheduler, decisions, entry
 
 
 def place(made: object, now: int, name: str, product: int = 0, **more: object) -> object:
@@ -20,13 +20,13 @@
 
 
 def test_exclusive_guest_that_may_have_run_is_broken_off_at_once() -> None:
-    made = brain()
+    made = scheduler()
     sent = place(made, 0, "g", 1)
     assert [d.step for d in end(made, 9 * MS, sent, Ending.OVERDUE)] == [Step.BREAK_OFF]
 
 
 def test_exclusive_guest_that_never_ran_goes_again() -> None:
-    made = brain()
+    made = scheduler()
     sent = place(made, 0, "g", 1)
     again = end(made, 9 * MS, sent, Ending.NO_CONNECTION)
     assert [(d.step, d.machine != sent.machine) for d in again] == [(Step.DISPATCH, True)]
@@ -34,7 +34,7 @@
 
 def test_exclusive_guest_goes_no_second_time_to_a_machine_that_refused_it() -> None:
     """A second copy of the refusal would count as proof that the second dispatch never ran."""
-    made = brain("ab", dispatches_named=False)
+    made = scheduler("ab", dispatches_named=False)
     first = place(made, 0, "g", 1)
     (second,) = end(made, 100 * MS, first, Ending.TURNED_BACK)
     end(made, 200 * MS, second, Ending.TURNED_BACK)
@@ -44,14 +44,14 @@
 
 
 def test_ticketed_guest_stays_in_its_cell() -> None:
-    made = brain("abcdef")
+    made = scheduler("abcdef")
     sent = place(made, 0, "g", 2)
     again = end(made, 9 * MS, sent, Ending.ERROR)
     assert {sent.machine, again[0].machine} in ({"a", "b"}, {"c", "d"}, {"e", "f"})
 
 
 def test_held_guest_is_answered_before_its_patience_ends() -> None:
-    made = brain("a")
+    made = scheduler("a")
     made.machines_listed(0, [entry("a", Mode.CORDONED)], False)
     made.guest_arrived(0, ask("g"))
     assert decisions(made, 0) == []
@@ -60,7 +60,7 @@
 
 
 def test_no_machines_and_unknown_ids_are_quiet() -> None:
-    made = brain("")
+    made = scheduler("")
     made.guest_left(0, "nobody")
     made.dispatch_ended(0, "nobody", Ending.DONE, True, Remark.NONE)
     made.dispatch_taken(0, "nobody", 0)
@@ -71,20 +71,20 @@
 
 
 def test_machine_missing_from_a_whole_list_gets_nothing() -> None:
-    made = brain()
+    made = scheduler()
     made.machines_listed(0, [entry("b")], True)
     assert place(made, 0, "g").machine == "b"
 
 
 def test_list_is_asked_again_after_a_failed_call_and_after_silence() -> None:
-    made = brain()
+    made = scheduler()
     made.list_failed(0)
     asked = [t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.step is Step.FOLLOW_LIST]
     assert asked and asked[0] <= 3000 and max(b - a for a, b in zip(asked, asked[1:], strict=False)) <= 3100
 
 
 def test_silent_machine_is_probed_before_it_gets_guests_again() -> None:
-    made = brain()
+    made = scheduler()
     sent = place(made, 0, "g")
     assert end(made, 600 * MS, sent, Ending.OVERDUE)[0].machine != sent.machine
     probes = [d for t in range(600, 3000, 50) if (d := made.decide(t * MS)) and d.machine == sent.machine]
@@ -95,7 +95,7 @@
 
 
 def test_machine_whose_answers_are_slow_against_its_fellows_is_left_out() -> None:
-    made = brain("abc")
+    made = scheduler("abc")
     for turn in range(40):
         now = turn * 100 * MS
         sent = place(made, now, f"g{turn}")
@@ -106,28 +106,28 @@
 
 
 def test_when_most_machines_look_bad_placing_goes_on() -> None:
-    made = brain("abc")
+    made = scheduler("abc")
     for name in "abc":
         made.probe_answered(0, name, False)
     assert place(made, MS, "g").step is Step.DISPATCH
 
 
 def test_machine_whose_line_is_full_rests_a_quarter_second() -> None:
-    made = brain("a")
+    made = scheduler("a")
     sent = place(made, 0, "g", cores=0.1)
     assert end(made, MS, sent, Ending.TURNED_BACK, Remark.LINE_FULL) == []
     assert decisions(made, 240 * MS) == [] and decisions(made, 450 * MS)
 
 
 def test_refusal_for_memory_marks_the_machine_full_for_as_much() -> None:
-    made = brain("a")
+    made = scheduler("a")
     sent = place(made, 0, "g")
     assert end(made, MS, sent, Ending.TURNED_BACK, Remark.NO_MEMORY) == []
     assert place(made, 2 * MS, "small", cores=0.2).step is Step.DISPATCH
 
 
 def test_restart_is_suspected_from_a_lost_guest() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     sent = place(made, 20_000 * MS, "g")
     made.dispatch_taken(20_010 * MS, "g", 10 * MS)
     made.dispatch_ended(30_000 * MS, "g", Ending.CUT_OFF, True, Remark.NONE)
@@ -135,23 +135,23 @@
 
 
 def test_guest_weighs_the_90th_percentile_of_its_service() -> None:
-    made = brain("a")
+    made = scheduler("a")
     place(made, 0, "g")
     for use in range(1, 11):
         made.cores_used(use, "g", use / 10)
         made.memory_used(use, "g", use / 5)
     assert made.services["service-0"].weight(ask("x")) == (0.9, 1.8)
-    assert brain("a").services == {}
+    assert scheduler("a").services == {}
 
 
 def test_with_a_fleet_price_an_empty_machine_stays_empty_while_others_have_room() -> None:
-    made = brain("abc", fleet_price=0.2)
+    made = scheduler("abc", fleet_price=0.2)
     first = place(made, 0, "g0").machine
     assert {place(made, n * MS, f"g{n}", cores=0.5).machine for n in range(1, 6)} == {first}
 
 
 def test_idle_tables_empty() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     for n in range(30):
         sent = place(made, n * MS, f"g{n}")
         made.dispatch_taken(n * MS, sent.guest, MS)
@@ -165,7 +165,7 @@
     for planners in (1, 3, 7, 16, 50, 330):
         offers = 0
         for slot in range(planners):
-            made = brain("a", planners=planners, slot=slot, probing=False)
+            made = scheduler("a", planners=planners, slot=slot, probing=False)
             made.machines_listed(MS, [entry("a", started=MS)], False)
             for n in range(20):
                 made.guest_arrived(MS, ask(f"g{n}", cores=0.1))
@@ -176,14 +176,14 @@
 def test_many_planners_weigh_the_same_few_machines_for_a_service() -> None:
     found = set()
     for slot in range(30):
-        made = brain("abcdefghijkl", planners=30, slot=slot, probing=False)
+        made = scheduler("abcdefghijkl", planners=30, slot=slot, probing=False)
         made.random.seed(slot)
         found |= {place(made, n * MS, f"g{n}").machine for n in range(3)}
     assert len(found) <= 3
 
 
 def test_old_report_gives_way_to_the_room_that_the_list_shows() -> None:
-    made = brain("ab", at=0)
+    made = scheduler("ab", at=0)
     for name in "ab":
         made.machine_reported(0, name, Load(12.0, 20.0, None))
     made.machines_listed(9000 * MS, [entry("a", room=0.0), entry("b", room=22.0)], True)
@@ -192,7 +192,7 @@
 
 
 def test_guest_refused_twice_rests_before_it_is_offered_again() -> None:
-    made = brain("abcd")
+    made = scheduler("abcd")
     sent = place(made, 0, "g")
     again = end(made, MS, sent, Ending.TURNED_BACK, Remark.NO_MEMORY)[0]
     assert end(made, 2 * MS, again, Ending.TURNED_BACK, Remark.NO_MEMORY) == []
@@ -202,7 +202,7 @@
 
 
 def test_one_of_many_planners_places_at_once_and_probes_no_machine_for_a_guest() -> None:
-    made = brain("abcdefghijkl", planners=16)
+    made = scheduler("abcdefghijkl", planners=16)
     for number in range(20):
         now = number * 700 * MS
         made.guest_arrived(now, ask(f"g{number}"))
@@ -215,7 +215,7 @@
 
 
 def test_where_only_probes_bring_reports_the_few_to_be_weighed_are_asked_first() -> None:
-    made = brain("abcdefghijkl", planners=60, reports_on_probe=True)
+    made = scheduler("abcdefghijkl", planners=60, reports_on_probe=True)
     made.guest_arrived(0, ask("g"))
     asked = []
     while (decision := made.decide(0)) is not None:
@@ -227,14 +227,14 @@
 
 def test_an_unseen_start_alone_opens_no_machine_where_machines_in_use_cost() -> None:
     """Presumed late in full, a first start on the machines in use looked worse than an empty one."""
-    made = brain("abcdef", fleet_price=0.1)
+    made = scheduler("abcdef", fleet_price=0.1)
     used = [entry("a", room=20.0), entry("b", room=21.0), entry("c", room=22.0)]
     made.machines_listed(0, used, False)
     assert {place(made, n * MS, f"g{n}", n % 2).machine for n in range(6)} <= {"a", "b", "c"}
 
 
 def test_room_by_pushing_out_counts_seated_guests_as_the_plain_count_does() -> None:
-    made, random = brain("abcd"), Random(3)
+    made, random = scheduler("abcd"), Random(3)
     for number in range(200):
         sent = place(made, number * MS, f"g{number}", random.choice([0, 1, 3]), cores=0.1)
         if random.random() < 0.6:
@@ -244,7 +244,7 @@
 
 
 def test_large_guests_are_not_timed_out_by_the_answers_of_small_ones() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     for n in range(20):
         sent = place(made, n * MS, f"g{n}", cores=0.1)
         made.dispatch_taken(n * MS, sent.guest, 100 * MS)
@@ -253,7 +253,7 @@
 
 
 def test_silent_list_does_not_hold_guests_back() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     made.machines_listed(0, [entry(name, room=-60.0) for name in "ab"], True)
     made.guest_arrived(0, ask("g"))
     assert decisions(made, 1900 * MS) == []
@@ -262,7 +262,7 @@
 
 def test_higher_priority_counts_lower_guests_as_room_where_machines_push_out() -> None:
     for makes_room in (True, False):
-        made = brain("a", makes_room=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
+        made = scheduler("a", makes_room=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
         place(made, 0, "low")
         made.dispatch_taken(MS, "low", MS)
         made.machines_listed(MS, [entry("a", room=-36.0)], False)
@@ -271,7 +271,7 @@
 
 
 def test_a_cancel_of_a_held_guest_is_answered_and_of_one_out_called_off_once() -> None:
-    made = brain()
+    made = scheduler()
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
     assert decisions(made, 1 * MS) == [Decision(Step.CALL_OFF, "g", sent.machine)]
@@ -283,7 +283,7 @@
 
 
 def test_a_cancel_that_crosses_the_answer_stops_what_runs() -> None:
-    made = brain()
+    made = scheduler()
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
     decisions(made, 1 * MS)
@@ -292,7 +292,7 @@
 
 
 def test_an_unsettled_earlier_dispatch_breaks_an_exclusive_guest_off_and_binds_a_ticketed_one() -> None:
-    made = brain("abcdef")
+    made = scheduler("abcdef")
     made.guest_arrived(0, ask("g", 1)._replace(earlier=Earlier("a", 0)))
     assert [d.step for d in decisions(made, 0)] == [Step.BREAK_OFF]
     made.guest_arrived(0, ask("h", 2)._replace(earlier=Earlier("c", 0)))
@@ -302,7 +302,7 @@
 
 
 def test_a_late_copy_is_taken_for_the_guest_only_where_nothing_else_is_out() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     for product, name in ((0, "g"), (3, "h"), (1, "i")):
         sent = place(made, 0, name, product)
         made.dispatch_ended(1 * MS, name, Ending.OVERDUE, product == 1, Remark.NONE)
@@ -314,7 +314,7 @@
 
 def test_a_cold_machine_that_leaves_the_list_and_returns_without_its_start_is_still_cold() -> None:
     now = 10**9
-    made = brain("a", at=now, planners=40)
+    made = scheduler("a", at=now, planners=40)
     made.machines_listed(now, [entry("a", started=now)], False)
     made.machines_listed(now + 1, [entry("a", Mode.GONE)], False)
     made.machines_listed(now + 2, [entry("a")], False)
@@ -325,7 +325,7 @@
 
 
 def test_a_ticket_of_a_machine_that_the_list_does_not_have_is_bound_to_no_known_group() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     made.guest_arrived(0, ask("g", 2))
     made.dispatch_stands(0, "elsewhere", "g", 0)
     made.dispatch_ended(MS, "g", Ending.OVERDUE, False, Remark.NONE)
@@ -336,7 +336,7 @@
 def test_an_unknown_start_is_not_preferred_to_a_known_one() -> None:
     """In a planner's first seconds only starts where the program is have been seen: what is not known must
     not count as costless."""
-    made = brain("abcd")
+    made = scheduler("abcd")
     for at, machine in enumerate("abcd"):  # as many guests on each, of a's service only there
         for n in range(4):
             service = "mine" if machine == "a" else machine
@@ -350,13 +350,13 @@
 
 
 def test_an_answer_that_is_lost_does_not_speak_of_a_machine_that_was_heard_since() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     sent = place(made, 0, "g")
     made.machine_reported(100 * MS, sent.machine, Load(20.0, 30.0, None))
     end(made, 500 * MS, sent, Ending.OVERDUE)
     machine = made.machines[sent.machine]
     assert not machine.mute and not machine.strikes and machine.avoid_until <= 500 * MS
-    made = brain("ab")
+    made = scheduler("ab")
     sent = place(made, 0, "g")
     end(made, 500 * MS, sent, Ending.OVERDUE)
     machine = made.machines[sent.machine]
@@ -366,7 +366,7 @@
 @pytest.mark.parametrize("remark", [Remark.NONE, Remark.LINE_FULL])
 def test_a_machine_that_refused_rests_longer_than_a_second_copy_of_its_refusal_takes(remark: Remark) -> None:
     """Where words do not name the dispatch, a copy some milliseconds late is heard as of the next one."""
-    made = brain("a", dispatches_named=False)
+    made = scheduler("a", dispatches_named=False)
     now = 20_000 * MS
     made.guest_arrived(now, ask("g"))
     (first,) = decisions(made, now)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -64,7 +64,7 @@
 def test_accepted_after_it_was_given_up_a_rerunnable_copy_is_stopped() -> None:
     harness = EngineHarness("ab")
     first, machine = harness.offer(0, "g")
-    harness.engine.brain.answers[0].extend([10 * MS] * 20)  # so that the next time-out is short
+    harness.engine.scheduler.answers[0].extend([10 * MS] * 20)  # so that the next time-out is short
     harness.run(harness.engine.overdue[0][0])
     other = [message for message in harness.sent(m.Offer) if message.attempt == 1]
     if not other:  # the first time-out was the whole patience: ask once more with what is known now
@@ -296,10 +296,10 @@
     harness = EngineHarness("")
     for now, age in ((10**9, 5 * 10**6), (2 * 10**9, 0), (3 * 10**9, 3600 * 10**6)):
         harness.lists(now, [harness.entry("a", up_for=age)])
-        assert harness.engine.brain.machines["a"].listed.started == 10**9 - 5 * 10**6
+        assert harness.engine.scheduler.machines["a"].listed.started == 10**9 - 5 * 10**6
     harness.lives["a"] = 2
     harness.lists(4 * 10**9, [harness.entry("a", up_for=10**6)])
-    assert harness.engine.brain.machines["a"].cold_at == 4 * 10**9 - 10**6
+    assert harness.engine.scheduler.machines["a"].cold_at == 4 * 10**9 - 10**6
 
 
 def test_strays_and_nonsense_from_machines_change_nothing() -> None:
@@ -361,7 +361,7 @@
     harness.lives[machine] = 2
     harness.lists(10 * MS, [harness.entry(machine, up_for=5 * MS)])
     assert not harness.sent(m.BrokenOff) and len(harness.sent(m.Offer)) == 1
-    assert harness.engine.brain.machines[machine].cold_at == 5 * MS
+    assert harness.engine.scheduler.machines[machine].cold_at == 5 * MS
     lose(harness, 20 * MS, machine)
     back(harness, 40 * MS, machine)  # in the life that the list told of: whether it ran cannot be known
     assert len(harness.sent(m.BrokenOff)) == 1 and len(harness.sent(m.Offer)) == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -62,9 +62,9 @@
     def lawless(name: str) -> None:
         """A planner that takes every end of a dispatch for a proof that it never ran."""
         start(name)
-        brain = fleet.planners[name].engine.brain
-        ended = brain.dispatch_ended
-        brain.dispatch_ended = lambda now, guest, ending, closed, remark: ended(
+        scheduler = fleet.planners[name].engine.scheduler
+        ended = scheduler.dispatch_ended
+        scheduler.dispatch_ended = lambda now, guest, ending, closed, remark: ended(
             now, guest, Ending.NOT_SENT, closed, remark
         )
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -87,9 +87,9 @@
 def test_a_planner_that_sends_again_at_once_is_caught_in_some_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from hazelhold.brain import Brain
+    from hazelhold.scheduler import Scheduler
 
-    monkeypatch.setattr(Brain, "_allowed", lambda self, guest, machine, now: True)
+    monkeypatch.setattr(Scheduler, "_allowed", lambda self, guest, machine, now: True)
     found: set[int] = set()
     for seed in range(3):
         day = bad_day(length_s=8.0, planners=4, zones=2, troubles=TROUBLES)
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -87,7 +87,7 @@
 def test_a_planner_hears_the_whole_list() -> None:
     planner = hear(large_list_config())
     assert not planner.counts["list_frame_too_long"]
-    assert len(planner.engine.brain.machines) == WORKERS
+    assert len(planner.engine.scheduler.machines) == WORKERS
 
 
 def test_with_the_bound_of_other_frames_it_would_not() -> None:
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.config.load import ConfigError
 from hazelhold.engine import owners, permission
 from hazelhold.engine.list_lease import Lapse, ListLease
@@ -150,7 +150,7 @@
 
 def believe_always(monkeypatch: pytest.MonkeyPatch) -> None:
     """The module sends by any list."""
-    monkeypatch.setattr(Brain, "list_taken", lambda self, now, current: None)
+    monkeypatch.setattr(Scheduler, "list_taken", lambda self, now, current: None)
 
 
 def test_the_last_check_holds_back_what_the_module_would_send(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -62,9 +62,9 @@
         await trio.sleep(0.1)
         assert planner.follower.address == "news:1" and planner.counts["reloads_refused"] == 1
         planner.config.write_text(file(bulletin="news:2"))
-        heard_at = planner.engine.brain.list_heard_at
+        heard_at = planner.engine.scheduler.list_heard_at
         planner.reload()
-        assert planner.engine.brain.list_heard_at == heard_at  # nothing was heard yet
+        assert planner.engine.scheduler.list_heard_at == heard_at  # nothing was heard yet
         await trio.sleep(0.1)
         assert new.asked[0][0] == 1 and planner.follower.last == 2
         assert planner.counts["discovery_failures"] == 0
@@ -114,7 +114,7 @@
             )
         ]
         await trio.sleep(0.1)
-        machines = rig.planner.engine.brain.machines
+        machines = rig.planner.engine.scheduler.machines
         assert len({machines[name].listed.zone for name in "abc"}) == 3
         assert len({machines[name].place(Place.CELL) for name in "abc"}) == 3  # block 0 of each
 
@@ -127,7 +127,7 @@
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
-        assert len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.facts.planners == 1024
+        assert len(rig.planner.engine.scheduler.machines) == 1100 and rig.planner.engine.facts.planners == 1024
         rig.bulletin.events += [event(2, *(each | {"health": "terminating"} for each in hosts))]
         await trio.sleep(0.1)
         assert [f.name for f in rig.planner.engine.roster.fellows.values() if f.mode.name == "READY"] == ["a"]
@@ -150,22 +150,22 @@
     """Each decision takes 10 ms here; 32 of them before the bulletin was read were past the grace."""
 
     async def test(rig: Rig) -> None:
-        clock, brain = trio.lowlevel.current_clock(), rig.planner.engine.brain
-        place = brain._place_next
+        clock, scheduler = trio.lowlevel.current_clock(), rig.planner.engine.scheduler
+        place = scheduler._place_next
 
         def slow(now: int) -> object:
             clock.jump(0.01)
             return place(now)
 
         heard: list[float] = []
-        listed = brain.machines_listed
+        listed = scheduler.machines_listed
 
         def noted(now: int, entries: list, whole: bool) -> None:
             if entries:
                 heard.append(trio.current_time())
             listed(now, entries, whole)
 
-        brain._place_next, brain.machines_listed = slow, noted
+        scheduler._place_next, scheduler.machines_listed = slow, noted
         owner = await rig.owner()
         for first in range(1, 400, 40):
             await owner.say(*(set_up(guest) for guest in range(first, first + 40)))
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -175,7 +175,7 @@
     for one of a second dispatch to it, which then stood beside a third."""
 
     async def test(rig: Rig) -> None:
-        rig.planner.engine.brain.answers[0].append(100_000)  # answers were seen: a time-out comes in time
+        rig.planner.engine.scheduler.answers[0].append(100_000)  # answers were seen: a time-out comes in time
         slow, owner = rig.machines["a"], await rig.owner()
         slow.silent = True
         await owner.say(set_up(1))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.brain import Brain
+from hazelhold.scheduler import Scheduler
 from hazelhold.interface import Effect, Ending, Load, Mode, Place, Remark, Step
 from tests.helpers import DEPLOYMENT, MS, PRODUCTS, ask, entry
 
@@ -91,9 +91,9 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(events, st.sampled_from([1, 2, 3, 40]), st.booleans())
 def test_module_and_model_agree(steps: list, planners: int, running: bool) -> None:
-    brain = Brain(3, DEPLOYMENT._replace(planners=planners, confirms_running=running))
+    scheduler = Scheduler(3, DEPLOYMENT._replace(planners=planners, confirms_running=running))
     model, now = Model(planners), 10**9
-    brain.machines_listed(now, [entry(n, cell=CELLS[n]) for n in "abcdef"], True)
+    scheduler.machines_listed(now, [entry(n, cell=CELLS[n]) for n in "abcdef"], True)
     model.modes = dict.fromkeys("abcdef", Mode.READY)
     for at, (what, pick, kind, wait) in enumerate([*steps, *[("wait", 0, 0, 400)] * 16]):
         name, machine = f"g{at}", "abcdef"[kind % 6]
@@ -102,57 +102,57 @@
             patience = (5000 if pick else 10) * MS
             for more in range(15 if wait > 250 else 1):  # a crowd at times
                 model.history[f"{name}.{more}"] = [kind % 5, now + patience, False, False, []]
-                brain.guest_arrived(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
+                scheduler.guest_arrived(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
         elif what == "found" and PRODUCTS[kind % 5].spread is Place.NOWHERE:
             model.history[name] = [kind % 5, now, False, True, [[machine, now, None]]]
-            brain.guest_found(now, machine, ask(name, kind % 5))
+            scheduler.guest_found(now, machine, ask(name, kind % 5))
         elif what == "end" and open_now:
             guest, held = open_now[pick % len(open_now)]
             ending = list(Ending)[kind % 8]
             closed = held[2] or held[3]
             held[4][-1][2] = ending
             remark = Remark(pick % 5)
-            brain.dispatch_ended(now, guest, ending, closed, remark)
+            scheduler.dispatch_ended(now, guest, ending, closed, remark)
         elif what == "taken" and open_now:
             guest, held = open_now[pick % len(open_now)]
             if not held[2] and not held[3]:
                 held[3] = True
-                brain.dispatch_taken(now, guest, 5 * MS)
+                scheduler.dispatch_taken(now, guest, 5 * MS)
         elif what == "list":
             mode, started = list(Mode)[pick % 3], now if pick % 2 else 0
             named = machine if kind < 6 else "abcdef"[: kind - 3]  # one machine, or most or all of them
             for machine in named:
                 model.modes[machine] = mode
                 model.started[machine] = max(started, model.started.get(machine, -(10**12)))
-            brain.machines_listed(now, [entry(m, mode, started, CELLS[m], 24.0) for m in named], False)
+            scheduler.machines_listed(now, [entry(m, mode, started, CELLS[m], 24.0) for m in named], False)
         elif what == "report":
-            brain.machine_reported(now, machine, Load(pick / 2, float(pick), None))
+            scheduler.machine_reported(now, machine, Load(pick / 2, float(pick), None))
         elif what == "cancel" and model.history:
             guest = list(model.history)[pick % len(model.history)]
             if not model.history[guest][2]:
                 model.cancelled.add(guest)
-                brain.guest_cancelled(now, guest)
+                scheduler.guest_cancelled(now, guest)
         elif what == "late" and model.history:
             guest = list(model.history)[pick % len(model.history)]
             asked, ends, answered, placed, sent = model.history[guest]
             given_up = [d for d in sent if d[2] is Ending.OVERDUE]
             if given_up and PRODUCTS[asked].spread is Place.NOWHERE:
                 held = not answered and not placed and not model.out(guest)
-                unknown = guest not in brain.guests and PRODUCTS[asked].effect is not Effect.RERUNNABLE
-                brain.copy_stands(now, given_up[0][0], ask(guest, asked))
+                unknown = guest not in scheduler.guests and PRODUCTS[asked].effect is not Effect.RERUNNABLE
+                scheduler.copy_stands(now, given_up[0][0], ask(guest, asked))
                 if held or unknown:  # it is the guest's place from here on; no final answer may follow
-                    assert brain.guests[guest].placed
+                    assert scheduler.guests[guest].placed
                     model.history[guest][2:4] = [True, True]
                     sent.append([given_up[0][0], now, None])
         elif what == "leave" and model.history:
             guest = list(model.history)[pick % len(model.history)]
             if not model.history[guest][3]:
                 model.history[guest][2] = True
-                brain.guest_left(now, guest)
+                scheduler.guest_left(now, guest)
         last = now + wait * MS
         while True:  # the host calls again whenever the module asked for it
             for _ in range(10_000):
-                decision = brain.decide(now)
+                decision = scheduler.decide(now)
                 if decision is None:
                     break
                 if decision.step is Step.DISPATCH:
@@ -165,7 +165,7 @@
             else:
                 raise AssertionError("decide does not come to an end")
             model.nobody_lost(now)
-            ask_again = brain.next_look(now)
+            ask_again = scheduler.next_look(now)
             if ask_again is None or max(ask_again, now + MS) > last:
                 break
             now = max(ask_again, now + MS)
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -6,7 +6,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
 from hazelhold.state.ledger import Ledger
-from tests.helpers import MS, EngineHarness, ask, brain, of, stand
+from tests.helpers import MS, EngineHarness, ask, scheduler, of, stand
 from tests.state_rig import S
 
 
@@ -110,7 +110,7 @@
     harness.says(S, machine, of(m.Refused, offer, remark="no_cores"))
     life.dies(harness, S)
     again = life.harness(2 * S)
-    assert again.engine.brain.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
+    assert again.engine.scheduler.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
     again.lists(2 * S, [again.entry(n) for n in "ab"], whole=True)
     assert all(o.attempt >= 1 for o in again.sent(m.Offer))
 
@@ -132,7 +132,7 @@
 
 
 def test_what_was_learned_comes_back_for_machines_in_the_same_life() -> None:
-    made = brain("ab", at=S)
+    made = scheduler("ab", at=S)
     for n in range(4):
         made.guest_arrived(S, ask(f"g{n}"))
         decision = made.decide(S)
@@ -140,11 +140,11 @@
         made.guest_runs(2 * S, f"g{n}")
         made.memory_used(2 * S, f"g{n}", 1.5)
     made.probe_answered(2 * S, decision.machine, False)
-    later = brain("ab", at=10 * S)
+    later = scheduler("ab", at=10 * S)
     past = made.learned()
     later.remembered(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
     assert len(later.services["service-0"].samples) == 4 and later.answers[0]
     assert later.machines[decision.machine].mute and later.no_cold_until == 14 * S
-    late = brain("ab", at=100 * S)
+    late = scheduler("ab", at=100 * S)
     late.remembered(100 * S, made.learned(), True)
     assert not late.services and not late.no_cold_until
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -6,15 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.brain import Brain, Guest, Machine, Service
+from hazelhold.scheduler import Scheduler, Guest, Machine, Service
 from hazelhold.interface import Ending, Load, Remark, Step
 from hazelhold.state import snapshot
-from tests.helpers import DEPLOYMENT, MS, ask, brain
+from tests.helpers import DEPLOYMENT, MS, ask, scheduler
 from tests.state_rig import S
 
 
 def test_every_field_of_the_module_has_its_place_in_a_snapshot() -> None:
-    made = brain("ab")
+    made = scheduler("ab")
     made.guest_arrived(0, ask("g"))
     own = {
         "deployment",
@@ -55,7 +55,7 @@
     assert Guest and Machine
 
 
-def drive(made: Brain, random: Random, now: int, names: list[str]) -> list[object]:
+def drive(made: Scheduler, random: Random, now: int, names: list[str]) -> list[object]:
     """A moment of a day: inputs drawn at random, then decisions; what they were."""
     what, found = random.randrange(9), []
     if what < 4:
@@ -89,7 +89,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 10_000), st.integers(5, 60))
 def test_a_copy_decides_as_the_brain_that_never_stopped(seed: int, stop: int) -> None:
-    made, random, names = brain("abcd", probing=seed % 2 == 0), Random(seed), []
+    made, random, names = scheduler("abcd", probing=seed % 2 == 0), Random(seed), []
     for step in range(stop):
         drive(made, random, S + step * 37 * MS, names)
     plain = msgspec.msgpack.decode(msgspec.msgpack.encode(snapshot.dump(made)))
