--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -8,12 +8,12 @@
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import measurement
 from bench.capacity.target import TASKS_RUNNING
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import deployment
 from hazelhold.engine.cases import Dial
 from hazelhold.engine.engine import Engine
-from hazelhold.interface import Ask, Mode, Step
+from hazelhold.interface import DecisionKind, MachineMode, Submission
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 SECOND = 1_000_000
 WORKERS = (456, 913, 1825, 3650, 7300)
@@ -68,7 +68,7 @@
 def decide_all(made: Scheduler, now: int) -> list[str]:
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step is Step.DISPATCH:
+        if decision.step is DecisionKind.DISPATCH:
             made.dispatch_taken(now, decision.guest, 1000)
             made.guest_runs(now, decision.guest)
             found.append(decision.guest)
@@ -96,14 +96,14 @@
         spent = 0.0
         for service in range(SERVICES):
             now, number = now + 3000, number + 1
-            made.guest_arrived(now, Ask(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
+            made.guest_arrived(now, Submission(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
             spent += processor_time(partial(decide_all, made, now))
         return spent / SERVICES
 
     a_round()
     with no_collection():
         for change in range(5):
-            made.machines_listed(now, [workers.listed(change)._replace(mode=Mode.CORDONED)], False)
+            made.machines_listed(now, [workers.listed(change)._replace(mode=MachineMode.CORDONED)], False)
             yield max(0.0, a_round() - a_round())
 
 
--- a/bench/capacity/rows_probes.py
+++ b/bench/capacity/rows_probes.py
@@ -6,10 +6,10 @@
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.registry import RefusedError, measurement
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import deployment
-from hazelhold.interface import Load, Step
+from hazelhold.interface import DecisionKind, Load
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 SECOND = 1_000_000
 TURN = SECOND // 100  # how often the module is asked
@@ -26,7 +26,7 @@
     for now in range(TURN, seconds * SECOND, TURN):
         start = time.process_time()
         while (decision := made.decide(now)) is not None:
-            if decision.step is not Step.PROBE:
+            if decision.step is not DecisionKind.PROBE:
                 continue
             made.machine_reported(now, decision.machine, Load(1000.0, 2000.0, 0.5))
             made.probe_answered(now, decision.machine, True)
--- a/bench/capacity/workers.py
+++ b/bench/capacity/workers.py
@@ -4,7 +4,7 @@
 """
 
 from bench.capacity.target import RACK_WORKERS, REGIONS, WORKERS, ZONES
-from hazelhold.interface import Listed, Mode
+from hazelhold.interface import ListedMachine, MachineMode
 from hazelhold.protocol.messages import Entry
 
 CORES = 2000.0  # room for whatever comes, so that room is never what limits a measurement
@@ -57,6 +57,8 @@
     return [entry(number, incarnation) for number in range(count)]
 
 
-def listed(number: int, started: int = 0) -> Listed:
+def listed(number: int, started: int = 0) -> ListedMachine:
     """The same worker as the module is told of it."""
-    return Listed(name(number), Mode.READY, started, zone(number), cell(number), 0, CORES, MEMORY)
+    return ListedMachine(
+        name(number), MachineMode.READY, started, zone(number), cell(number), 0, CORES, MEMORY
+    )
--- a/bench/module.py
+++ b/bench/module.py
@@ -20,7 +20,16 @@
 
 from bench import throughput
 from hazelhold import scheduler as today
-from hazelhold.interface import Ask, Decision, Ending, Listed, Load, Mode, Remark, Step
+from hazelhold.interface import (
+    Decision,
+    DecisionKind,
+    DispatchOutcome,
+    ListedMachine,
+    Load,
+    MachineMode,
+    OutcomeReason,
+    Submission,
+)
 
 SECOND, MS = 1_000_000, 1000
 ROOT = Path(__file__).parent.parent
@@ -49,9 +58,9 @@
     """All decisions of one generated day; what happens depends on the seed and on earlier decisions."""
     plain = throughput.deployment(throughput.planner_config())
     kinds = (
-        (today.Effect.RERUNNABLE, today.Place.ALL, 1.0, today.Place.NOWHERE),
-        (today.Effect.EXCLUSIVE, today.Place.ALL, 2.0, today.Place.MACHINE),
-        (today.Effect.TICKETED, today.Place.CELL, 1.5, today.Place.ZONE),
+        (today.RepeatSemantics.RERUNNABLE, today.Scope.ALL, 1.0, today.Scope.NOWHERE),
+        (today.RepeatSemantics.EXCLUSIVE, today.Scope.ALL, 2.0, today.Scope.MACHINE),
+        (today.RepeatSemantics.TICKETED, today.Scope.CELL, 1.5, today.Scope.ZONE),
     )
     products = tuple(
         plain.products[0]._replace(
@@ -70,7 +79,7 @@
         products=products,
         probing=random.random() < 0.5,
         max_dispatches=random.choice([2, 4]),
-        kinds=(today.interface.Kind(24.0, 40.0),),
+        kinds=(today.interface.MachineKind(24.0, 40.0),),
         cores_multiple=2.5,
         memory_multiple=1.5,
         list_is_asked=random.random() < 0.5,
@@ -80,7 +89,9 @@
     made = module.Scheduler(seed, facts)
     names, found, now = 0, [], SECOND
     entries = [
-        Listed(f"m{n}", Mode.READY, random.choice([0, SECOND // 2]), n % 2, n // 4, 0, 24.0, 40.0)
+        ListedMachine(
+            f"m{n}", MachineMode.READY, random.choice([0, SECOND // 2]), n % 2, n // 4, 0, 24.0, 40.0
+        )
         for n in range(machines)
     ]
     made.machines_listed(now, entries, True)
@@ -93,7 +104,7 @@
                 names += 1
                 made.guest_arrived(
                     now,
-                    Ask(
+                    Submission(
                         f"g{names}",
                         names % 3,
                         0,
@@ -117,7 +128,7 @@
             made.machines_listed(
                 now,
                 [
-                    e._replace(mode=random.choice(list(Mode)), cores_room=random.uniform(0, 24))
+                    e._replace(mode=random.choice(list(MachineMode)), cores_room=random.uniform(0, 24))
                     for e in entries
                     if random.random() < 0.3
                 ],
@@ -129,9 +140,12 @@
             made.probe_answered(now, f"m{random.randrange(machines)}", random.random() < 0.5)
         while (decision := made.decide(now)) is not None:
             found.append(decision)
-            if decision.step in (Step.TURN_BACK, Step.BREAK_OFF) and decision.guest in made.guests:
-                made.dispatch_ended(now, decision.guest, Ending.OVERDUE, True, Remark.NONE)
-        found.append(Decision(Step.PROBE, "next", str(made.next_look(now))))
+            if (
+                decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF)
+                and decision.guest in made.guests
+            ):
+                made.dispatch_ended(now, decision.guest, DispatchOutcome.OVERDUE, True, OutcomeReason.NONE)
+        found.append(Decision(DecisionKind.PROBE, "next", str(made.next_look(now))))
     return found
 
 
@@ -145,16 +159,16 @@
     else:
         ending = random.choice(
             [
-                Ending.TURNED_BACK,
-                Ending.TURNED_BACK,
-                Ending.OVERDUE,
-                Ending.CUT_OFF,
-                Ending.NO_CONNECTION,
-                Ending.DONE,
-                Ending.ERROR,
+                DispatchOutcome.TURNED_BACK,
+                DispatchOutcome.TURNED_BACK,
+                DispatchOutcome.OVERDUE,
+                DispatchOutcome.CUT_OFF,
+                DispatchOutcome.NO_CONNECTION,
+                DispatchOutcome.DONE,
+                DispatchOutcome.ERROR,
             ]
         )
-        made.dispatch_ended(now, name, ending, False, random.choice(list(Remark)))
+        made.dispatch_ended(now, name, ending, False, random.choice(list(OutcomeReason)))
 
 
 def compare(old: ModuleType, seeds: int, steps: int) -> dict[str, Any]:
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -41,7 +41,10 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     today = engine.Scheduler
     found = {}
-    for name, scheduler in (("today", today), ("other", (load(file) if file else earlier(revision)).Scheduler)):
+    for name, scheduler in (
+        ("today", today),
+        ("other", (load(file) if file else earlier(revision)).Scheduler),
+    ):
         engine.Scheduler = scheduler
         said = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
         found[name] = {
--- a/bench/state.py
+++ b/bench/state.py
@@ -22,13 +22,13 @@
 from msgspec.structs import replace
 
 from bench import throughput
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.day import Trouble, read_day
 from hazelhold.config.planner import StateConfig
 from hazelhold.engine.engine import Engine
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.crashes import play_crashes
 from hazelhold.rehearse.run import play_virtual
+from hazelhold.scheduler import Scheduler
 from hazelhold.state.disk import RealDisk
 from hazelhold.state.images import AnswerImage, EndImage, GuestImage, ListImage, drop, put
 from hazelhold.state.store import Store
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -19,7 +19,6 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import (
     Estate,
     KindConfig,
@@ -32,8 +31,16 @@
 )
 from hazelhold.engine import advice
 from hazelhold.engine.engine import Engine
-from hazelhold.interface import Ask, Ending, Listed, Mode, Remark, Step
+from hazelhold.interface import (
+    DecisionKind,
+    DispatchOutcome,
+    ListedMachine,
+    MachineMode,
+    OutcomeReason,
+    Submission,
+)
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.planner import Planner
 from hazelhold.service.wire import Wire
@@ -98,7 +105,9 @@
     """The module with nothing round it: asks come one by one, are taken at once, and the oldest ends."""
     scheduler, random = Scheduler(1, deployment(planner_config())._replace(planners=planners)), Random(1)
     scheduler.machines_listed(
-        0, [Listed(f"m{n}", Mode.READY, 0, 0, n // 4, 0, 2000.0, 4000.0) for n in range(machines)], True
+        0,
+        [ListedMachine(f"m{n}", MachineMode.READY, 0, 0, n // 4, 0, 2000.0, 4000.0) for n in range(machines)],
+        True,
     )
     held: list[str] = []
     waits = HdrHistogram(1, 10**8, 3)
@@ -109,9 +118,9 @@
         now += 3000
         service, cores, memory = shape(number)
         began = time.perf_counter()
-        scheduler.guest_arrived(now, Ask(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
+        scheduler.guest_arrived(now, Submission(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
         while (decision := scheduler.decide(now)) is not None:
-            if decision.step is Step.DISPATCH:
+            if decision.step is DecisionKind.DISPATCH:
                 scheduler.dispatch_taken(now, decision.guest, 1000)
                 scheduler.guest_runs(now, decision.guest)
                 scheduler.cores_used(now, decision.guest, cores * random.uniform(0.3, 1))
@@ -121,7 +130,7 @@
         if number >= running:
             waits.record_value(max(1, round((time.perf_counter() - began) * 1e6)))
         if len(held) > running:
-            scheduler.dispatch_ended(now, held.pop(0), Ending.DONE, True, Remark.NONE)
+            scheduler.dispatch_ended(now, held.pop(0), DispatchOutcome.DONE, True, OutcomeReason.NONE)
     return {
         "guests_a_second": guests / (time.process_time() - start),
         "median_us": waits.get_value_at_percentile(50),
--- a/hazelhold/capture/tap.py
+++ b/hazelhold/capture/tap.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from hazelhold import scheduler, interface
+from hazelhold import interface, scheduler
 from hazelhold.capture.packets import name
 from hazelhold.capture.read import MAGIC
 from hazelhold.capture.write import NOTE_WAY, CaptureWriter, Trunk
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -16,16 +16,16 @@
 Millis = Annotated[float, Meta(gt=0, le=86_400_000)]
 Whole = Annotated[int, Meta(ge=0, le=1 << 31)]
 EFFECTS = {
-    "rerunnable": interface.Effect.RERUNNABLE,
-    "ticketed": interface.Effect.TICKETED,
-    "exclusive": interface.Effect.EXCLUSIVE,
+    "rerunnable": interface.RepeatSemantics.RERUNNABLE,
+    "ticketed": interface.RepeatSemantics.TICKETED,
+    "exclusive": interface.RepeatSemantics.EXCLUSIVE,
 }
 PLACES = {
-    "nowhere": interface.Place.NOWHERE,
-    "machine": interface.Place.MACHINE,
-    "cell": interface.Place.CELL,
-    "zone": interface.Place.ZONE,
-    "all": interface.Place.ALL,
+    "nowhere": interface.Scope.NOWHERE,
+    "machine": interface.Scope.MACHINE,
+    "cell": interface.Scope.CELL,
+    "zone": interface.Scope.ZONE,
+    "all": interface.Scope.ALL,
 }
 
 
@@ -337,7 +337,7 @@
     estate, fleet = config.estate, config.estate.fleet
     kinds = [k.name for k in estate.kinds]
     products = tuple(
-        interface.Product(
+        interface.GuestClass(
             effect=EFFECTS[p.effect],
             group=PLACES[p.group],
             window=micros(p.window_ms),
@@ -357,7 +357,7 @@
         planners=config.planners,
         slot=config.slot,
         products=products,
-        kinds=tuple(interface.Kind(k.cores, k.memory) for k in estate.kinds),
+        kinds=tuple(interface.MachineKind(k.cores, k.memory) for k in estate.kinds),
         list_is_asked=config.list.asked,
         ask_within=micros(config.list.ask_within_ms),
         list_has_room=config.list.has_room,
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -7,7 +7,7 @@
 from hazelhold.engine.cases import Case
 from hazelhold.engine.doubts import DoubtedTasks
 from hazelhold.engine.machines import Fellow, Link, News
-from hazelhold.interface import Mode
+from hazelhold.interface import MachineMode
 
 
 class AddressReuse(DoubtedTasks):
@@ -69,7 +69,7 @@
                 continue
             del self.unconfirmed_links[name]
             fellow = self.roster.fellows.get(name)
-            if link is not None and fellow is not None and fellow.mode is Mode.READY:
+            if link is not None and fellow is not None and fellow.mode is MachineMode.READY:
                 link.unconfirmed = False
                 for each in link.holds:
                     self.cases[each].sent_unconfirmed = False
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -5,7 +5,7 @@
 
 from hazelhold.engine.cases import Case, Claimed, Claims, Verdict
 from hazelhold.engine.dispatches import Dispatches
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
 
 
@@ -48,7 +48,7 @@
         what may be said is the Brain's."""
         self.counts["not_agreed_" + reason[:20]] += 1
         if case.unsure or self.loose.get(case.guest):
-            self._not_sent(now, case, Ending.NOT_SENT)
+            self._not_sent(now, case, DispatchOutcome.NOT_SENT)
             return
         self._release(now, case.guest, open_ or case.claim)
         self._drop(now, case)
@@ -87,7 +87,7 @@
         self._unhold(case)
         self.scheduler.guest_left(now, case.name)
         if case.machine:
-            self.scheduler.dispatch_ended(now, case.name, Ending.NOT_SENT, True, Remark.NONE)
+            self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.NOT_SENT, True, OutcomeReason.NONE)
         case.machine = ""
 
     def _looked(self, now: int, verdict: Verdict) -> None:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,11 +1,11 @@
 """Dispatches of guests, from the decision to their end: offers, time-outs, what was given up, answers."""
 
-from hazelhold.scheduler import NEVER_RAN
 from hazelhold.config.planner import micros
 from hazelhold.engine.cases import Case, Loose
 from hazelhold.engine.tables import OutstandingProbe, Tables
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import NEVER_RAN
 
 CROSSED = 1_000_000  # a word written so long before a connection ended may not have been read
 
@@ -20,7 +20,7 @@
         self._hold(case)
         fellow = self.roster.fellows.get(machine)
         if fellow is None:
-            self._not_sent(now, case, Ending.NO_CONNECTION)
+            self._not_sent(now, case, DispatchOutcome.NO_CONNECTION)
             return
         link = self._dial(now, fellow)
         if link.state == "up" and link.rolled:
@@ -66,13 +66,13 @@
             ),
         )
 
-    def _not_sent(self, now: int, case: Case, ending: Ending) -> None:
+    def _not_sent(self, now: int, case: Case, ending: DispatchOutcome) -> None:
         """An offer that never left: this proves that it did not run."""
         if link := self.links.get(case.machine):
             link.queue.pop(case.name, None)
-        self._ended(now, case, ending, Remark.NONE)
+        self._ended(now, case, ending, OutcomeReason.NONE)
 
-    def _ended(self, now: int, case: Case, ending: Ending, remark: Remark) -> None:
+    def _ended(self, now: int, case: Case, ending: DispatchOutcome, remark: OutcomeReason) -> None:
         """The dispatch that was out is over and the guest is held again, or answered by what follows."""
         self._unhold(case)
         self.monitor.attempt_ended(case.name, ending not in NEVER_RAN)
@@ -85,12 +85,17 @@
         self._adopt(now, case.guest)
 
     def _gone(
-        self, now: int, case: Case, how: str, ending: Ending = Ending.CUT_OFF, remark: Remark = Remark.NONE
+        self,
+        now: int,
+        case: Case,
+        how: str,
+        ending: DispatchOutcome = DispatchOutcome.CUT_OFF,
+        remark: OutcomeReason = OutcomeReason.NONE,
     ) -> None:
         """A placed guest's end, or a dispatch whose machine is lost."""
         if not case.placed:
             self._give_up(now, case)
-            self._ended(now, case, Ending.CUT_OFF if case.sent else Ending.NOT_SENT, remark)
+            self._ended(now, case, DispatchOutcome.CUT_OFF if case.sent else DispatchOutcome.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
         self._task_event("released", case, how)
@@ -128,7 +133,7 @@
         up = link is not None and link.state == "up"
         if case and case.machine == machine:
             if not case.placed and not case.sent:
-                self._not_sent(now, case, Ending.NOT_SENT)
+                self._not_sent(now, case, DispatchOutcome.NOT_SENT)
             elif up:
                 kind = m.Stop if case.placed else m.Withdraw
                 self._send_machine(machine, kind(guest=case.guest, ask=case.ask, attempt=case.attempt))
@@ -151,7 +156,7 @@
         if case.machine:
             self._give_up(now, case)
             self._unhold(case)
-            self.scheduler.dispatch_ended(now, case.name, Ending.OVERDUE, True, Remark.NONE)
+            self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.OVERDUE, True, OutcomeReason.NONE)
             self.monitor.attempt_ended(case.name, may_have_run=case.sent)
             case.machine = ""
         self._answer(now, case, message, case.asks)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -18,7 +18,7 @@
 from hazelhold.engine.keep import Keeping, recover
 from hazelhold.engine.links import Links
 from hazelhold.engine.owners import Owners
-from hazelhold.interface import Decision, Ending, Remark, Step
+from hazelhold.interface import Decision, DecisionKind, DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
 from hazelhold.state.ledger import Ledger
@@ -53,7 +53,7 @@
         if case and case.sent and not case.placed and (case.ask, case.attempt) == (offer.ask, offer.attempt):
             if self.facts.list_lease:
                 self.scheduler.dispatch_held_back(now, case.name)
-            self._not_sent(now, case, Ending.NOT_SENT)
+            self._not_sent(now, case, DispatchOutcome.NOT_SENT)
 
     # The passing of time.
 
@@ -100,11 +100,13 @@
             if case and case.machine and not case.placed and case.attempt == attempt:
                 if case.sent:
                     self._give_up(now, case)
-                    self._ended(now, case, Ending.OVERDUE, Remark.NONE)
+                    self._ended(now, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
                 else:  # on a link that is up it waited for its claim
                     link = self.links.get(case.machine)
                     waited = link is not None and link.state == "up" and link.rolled
-                    self._not_sent(now, case, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
+                    self._not_sent(
+                        now, case, DispatchOutcome.NOT_SENT if waited else DispatchOutcome.NO_CONNECTION
+                    )
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
                 self._unheard(now, machine, probe.due - micros(self.limits.probe_ms))
@@ -155,24 +157,24 @@
 
     def _carry_out(self, now: int, decision: Decision) -> None:
         step, name, machine, span = decision
-        if step is Step.DISPATCH:
+        if step is DecisionKind.DISPATCH:
             self._dispatch(now, self.cases[name], machine, span)
-        elif step is Step.TURN_BACK:
+        elif step is DecisionKind.TURN_BACK:
             case = self.cases[name]
             why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if case.cancelled else self._later(now, case.guest, span)
             self._final(
                 now, case, m.TurnedBack(guest=case.guest, ask=case.ask, reason=why, again_after=later)
             )
-        elif step is Step.BREAK_OFF:
+        elif step is DecisionKind.BREAK_OFF:
             case = self.cases[name]
             why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
             self._final(now, case, m.BrokenOff(guest=case.guest, ask=case.ask, reason=why))
-        elif step is Step.CALL_OFF:
+        elif step is DecisionKind.CALL_OFF:
             self._call_off(now, name, machine)
-        elif step is Step.PROBE:
+        elif step is DecisionKind.PROBE:
             self._probe(now, machine)
-        elif step is Step.FOLLOW_LIST:
+        elif step is DecisionKind.FOLLOW_LIST:
             self.list_due = now + 2_000_000
             self.actions.append(AskList(self.list_version))
 
@@ -192,7 +194,7 @@
         for case in list(self.cases.values()):
             if case.machine and not case.placed:
                 self._give_up(now, case)
-                self._ended(now, case, Ending.OVERDUE, Remark.NONE)
+                self._ended(now, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
         self._pump_all(now)
 
     def _pump_all(self, now: int) -> None:
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -12,7 +12,7 @@
 from hazelhold.config.planner import micros
 from hazelhold.engine.cases import Case, Loose
 from hazelhold.engine.tables import Tables
-from hazelhold.interface import Earlier, Effect, Learned, Mode
+from hazelhold.interface import EarlierDispatch, LearnedState, MachineMode, RepeatSemantics
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import (
     AnswerImage,
@@ -156,10 +156,12 @@
         listing = m.Listing(version=0, whole=True, entries=image.entries)
         keeping.told(listing)
         # What the list said last may never have become safe: nothing goes anywhere before it speaks again.
-        listed = [each._replace(mode=Mode.CORDONED) for each in engine.roster.learn(heard, listing).listed]
+        listed = [
+            each._replace(mode=MachineMode.CORDONED) for each in engine.roster.learn(heard, listing).listed
+        ]
         engine.scheduler.machines_listed(heard, listed, True)
         engine.unheard = {f.name for f in engine.roster.fellows.values()}
-    past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
+    past = LearnedState({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in ledger.images("learned"):
         past = moved(image.data, image.epoch - epoch)
     if any(counts.values()):
@@ -191,7 +193,7 @@
     return counts
 
 
-def moved(past: Learned, shift: int) -> Learned:
+def moved(past: LearnedState, shift: int) -> LearnedState:
     """What was learned, with its moments on this life's clock."""
 
     def at(when: int) -> int:
@@ -239,12 +241,12 @@
     case = case_of(engine, image)
     engine.cases[case.name] = engine.newest[case.guest] = case
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.facts.products[case.product].effect is not Effect.RERUNNABLE
+    harmful = engine.facts.products[case.product].effect is not RepeatSemantics.RERUNNABLE
     earlier = None
     if image.unsure_at:
-        earlier = Earlier(image.unsure_machine, image.unsure_at - epoch)
+        earlier = EarlierDispatch(image.unsure_machine, image.unsure_at - epoch)
     elif not complete and harmful and not image.placed and not image.machine:
-        earlier = Earlier("", now)
+        earlier = EarlierDispatch("", now)
         engine.counts["held_unsure"] += 1
     ask = engine._ask(case, patience, earlier)._replace(spent=image.spent)
     if not image.machine:
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -4,7 +4,7 @@
 from hazelhold.engine.cases import HangUp
 from hazelhold.engine.dispatches import Dispatches
 from hazelhold.engine.machines import Link
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 
 
 class LinkLoss(Dispatches):
@@ -20,7 +20,7 @@
             for name in list(link.holds):
                 case = self.cases[name]
                 if case.sent and not case.placed:
-                    self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
+                    self._ended(now, case, DispatchOutcome.CUT_OFF, OutcomeReason.NONE)
         if not self.peers.rolls and link.machine not in self.roster.fellows and not self._awaits_heir(link):
             self._forget_machine(now, link)  # it has left the list, and its connection with it
             return
@@ -53,7 +53,7 @@
 
     def _drop_queue(self, now: int, link: Link) -> None:
         for name in list(link.queue):
-            self._not_sent(now, self.cases[name], Ending.NO_CONNECTION)
+            self._not_sent(now, self.cases[name], DispatchOutcome.NO_CONNECTION)
 
     def _awaits_heir(self, link: Link) -> bool:
         """Whether a task there may stand at another machine, which the list will name with this address."""
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -6,25 +6,25 @@
 from hazelhold.engine.list_news import ListNews
 from hazelhold.engine.machines import Link
 from hazelhold.engine.silence import Silence
-from hazelhold.interface import Ending, Load, Remark
+from hazelhold.interface import DispatchOutcome, Load, OutcomeReason
 from hazelhold.protocol import messages as m
 
 ENDINGS = {
-    "done": (Ending.DONE, Remark.NONE),
-    "error": (Ending.ERROR, Remark.NONE),
-    "evicted": (Ending.CUT_OFF, Remark.EVICTED),
-    "pushed_out": (Ending.CUT_OFF, Remark.PUSHED_OUT),
-    "sent_away": (Ending.CUT_OFF, Remark.SENT_AWAY),
-    "stopped": (Ending.CALLED_OFF, Remark.NONE),
-    "withdrawn": (Ending.TURNED_BACK, Remark.NONE),
-    "not_sent": (Ending.NOT_SENT, Remark.NONE),
+    "done": (DispatchOutcome.DONE, OutcomeReason.NONE),
+    "error": (DispatchOutcome.ERROR, OutcomeReason.NONE),
+    "evicted": (DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
+    "pushed_out": (DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
+    "sent_away": (DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
+    "stopped": (DispatchOutcome.CALLED_OFF, OutcomeReason.NONE),
+    "withdrawn": (DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+    "not_sent": (DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
 }
 STOOD = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
 REMARKS = {
-    "no_cores": Remark.NO_CORES,
-    "no_memory": Remark.NO_MEMORY,
-    "line_full": Remark.LINE_FULL,
-    "not_here": Remark.NOT_HERE,
+    "no_cores": OutcomeReason.NO_CORES,
+    "no_memory": OutcomeReason.NO_MEMORY,
+    "line_full": OutcomeReason.LINE_FULL,
+    "not_here": OutcomeReason.NOT_HERE,
 }
 
 
@@ -168,7 +168,7 @@
         case.spoken_at = now
         if isinstance(message, m.Taken) and not case.placed and case.called_off and not self.peers.rolls:
             # The taking back ends what was taken, and no word follows that an owner could be told.
-            self._ended(now, case, Ending.CALLED_OFF, Remark.NONE)
+            self._ended(now, case, DispatchOutcome.CALLED_OFF, OutcomeReason.NONE)
         elif isinstance(message, m.Taken) and not case.placed:
             case.placed = True
             self._mark("guest", case.name)
@@ -191,7 +191,9 @@
                 self._move_task(now, case, link.heir)
         elif isinstance(message, m.Refused) and not case.placed:
             self.counts["refused_" + message.remark[:20]] += 1
-            self._ended(now, case, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+            self._ended(
+                now, case, DispatchOutcome.TURNED_BACK, REMARKS.get(message.remark, OutcomeReason.NONE)
+            )
         elif isinstance(message, m.Started):
             self.scheduler.guest_runs(now, case.name)
         elif isinstance(message, m.Use):
@@ -202,7 +204,7 @@
         elif isinstance(message, m.Served):
             self.scheduler.guest_served(now, case.name, message.share)
         elif isinstance(message, m.Ended):
-            ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
+            ending, remark = ENDINGS.get(message.how, (DispatchOutcome.CUT_OFF, OutcomeReason.NONE))
             if case.placed:
                 self._gone(now, case, message.how, ending, remark)
             else:
@@ -280,7 +282,7 @@
             elif stand is None and same_life and running.complete:
                 self._never_arrived(now, case)
             elif stand is None:
-                self._ended(now, case, Ending.CUT_OFF, Remark.NONE)
+                self._ended(now, case, DispatchOutcome.CUT_OFF, OutcomeReason.NONE)
         for guest in [g for g, by in self.loose.items() if link.machine in by]:
             loose = self.loose[guest][link.machine]
             stand = there.pop((guest, loose.case.ask), None)
@@ -304,7 +306,7 @@
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
         for name in list(link.queue):
             if self.cases[name].submit.service in found:
-                self._not_sent(now, self.cases[name], Ending.NOT_SENT)
+                self._not_sent(now, self.cases[name], DispatchOutcome.NOT_SENT)
             else:
                 self._offer(now, self.cases[name])
         if link.machine in self.probes:
@@ -316,7 +318,7 @@
         older than what that life saw, so the claim is not gone on with."""
         if case.claim and self.claims is not None and not self.claims.mine(case.claim):
             case.claim = case.sent_claim = b""
-        self._ended(now, case, Ending.NOT_SENT, Remark.NONE)
+        self._ended(now, case, DispatchOutcome.NOT_SENT, OutcomeReason.NONE)
 
     def _found(self, now: int, link: Link, stand: m.Stand) -> None:
         """A guest of ours that runs and that this planner does not know: from before its start."""
--- a/hazelhold/engine/list_news.py
+++ b/hazelhold/engine/list_news.py
@@ -8,7 +8,7 @@
 from hazelhold.engine.list_lease import Lapse
 from hazelhold.engine.machine_lives import old_life_ended
 from hazelhold.engine.machines import Link, News
-from hazelhold.interface import Ending
+from hazelhold.interface import DispatchOutcome
 from hazelhold.protocol import messages as m
 
 
@@ -36,7 +36,7 @@
         for name in news.closed:  # what has not left may not go there any more
             if link := self.links.get(name):
                 for case_name in list(link.queue):
-                    self._not_sent(now, self.cases[case_name], Ending.NOT_SENT)
+                    self._not_sent(now, self.cases[case_name], DispatchOutcome.NOT_SENT)
         for name in news.moved:
             if name in self.links:
                 self.actions.append(HangUp(name))
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hazelhold.interface import Listed, Mode
+from hazelhold.interface import ListedMachine, MachineMode
 from hazelhold.protocol.messages import Entry, Listing, Message
 
 PAST_KEPT = 8  # connections of a machine that have ended
 
-MODES = {"ready": Mode.READY, "cordoned": Mode.CORDONED, "gone": Mode.GONE}
+MODES = {"ready": MachineMode.READY, "cordoned": MachineMode.CORDONED, "gone": MachineMode.GONE}
 
 
 @dataclass
@@ -18,7 +18,7 @@
 
     name: str
     address: str
-    mode: Mode
+    mode: MachineMode
     incarnation: int
     started: int
     kind: int
@@ -85,7 +85,7 @@
 class News:
     """What a listing changed."""
 
-    listed: list[Listed] = field(default_factory=list)
+    listed: list[ListedMachine] = field(default_factory=list)
     fresh: list[str] = field(default_factory=list)  # machines not known before, or in a new life
     moved: list[str] = field(default_factory=list)  # with another address
     closed: list[str] = field(default_factory=list)  # that take nothing new any more
@@ -125,7 +125,7 @@
             started = max(1, now - entry.up_for)
         kind = self.kinds.get(entry.kind, old.kind if old else 0)  # a drain counts whatever kind it names
         news.listed.append(
-            Listed(
+            ListedMachine(
                 entry.machine,
                 mode,
                 started,
@@ -136,9 +136,9 @@
                 entry.memory_room,
             )
         )
-        if mode is not Mode.READY and (not old or old.mode is Mode.READY):
+        if mode is not MachineMode.READY and (not old or old.mode is MachineMode.READY):
             news.closed.append(entry.machine)
-        if mode is Mode.GONE:
+        if mode is MachineMode.GONE:
             news.gone.append(entry.machine)
             self.fellows.pop(entry.machine, None)
             return
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hazelhold.interface import Effect
+from hazelhold.interface import RepeatSemantics
 
 
 class Violation(Enum):
@@ -25,7 +25,7 @@
 class Account:
     """What is known of one task in hand."""
 
-    effect: Effect
+    effect: RepeatSemantics
     attempts: int = 0
     out_at: str = ""  # the machine of the attempt that is out
     may_have_run: bool = False
@@ -39,14 +39,16 @@
         self.most_attempts = most_attempts
         self.accounts: dict[str, Account] = {}  # by task; emptied as tasks are forgotten
 
-    def attempt_leaves(self, task: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
+    def attempt_leaves(
+        self, task: str, machine: str, effect: RepeatSemantics, list_holds: bool
+    ) -> list[Violation]:
         """The bytes of an offer are about to leave."""
         account = self.accounts.setdefault(task, Account(effect))
         account.attempts += 1
         found = []
         if account.out_at:
             found.append(Violation.TWO_OUT)
-        if account.may_have_run and effect is Effect.EXCLUSIVE:
+        if account.may_have_run and effect is RepeatSemantics.EXCLUSIVE:
             found.append(Violation.REPEATED)
         if account.answered:
             found.append(Violation.AFTER_ANSWER)
@@ -62,7 +64,7 @@
             account.may_have_run = account.may_have_run or may_have_run
             account.out_at = ""
 
-    def answered(self, task: str, effect: Effect) -> list[Violation]:
+    def answered(self, task: str, effect: RepeatSemantics) -> list[Violation]:
         """The final answer is about to leave."""
         account = self.accounts.setdefault(task, Account(effect))
         if account.answered:
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -6,7 +6,7 @@
 from hazelhold.engine.events import TaskEvent
 from hazelhold.engine.permission import Denial, offer_denied, start_denied
 from hazelhold.engine.tables import WaitingStand
-from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
+from hazelhold.interface import DispatchOutcome, EarlierDispatch, MachineMode, OutcomeReason, RepeatSemantics
 from hazelhold.protocol import messages as m
 
 LATER = ("full", "overloaded", "stopping", "not_kept")  # rejections after which coming back makes sense
@@ -71,14 +71,14 @@
         self.scheduler.guest_arrived(now, self._ask(case, submit.patience, earlier))
         self._adopt(now, guest)
 
-    def _earlier(self, now: int, submit: m.Submit, old: Case | None) -> Earlier | None:
+    def _earlier(self, now: int, submit: m.Submit, old: Case | None) -> EarlierDispatch | None:
         """An earlier dispatch of this guest that may have run or may still: given up, being called off, or
         made before this planner started by a machine that has not spoken yet."""
-        unsettled = [Earlier(l.machine, l.sent_at) for l in self.loose.get(submit.guest, {}).values()]
+        unsettled = [EarlierDispatch(l.machine, l.sent_at) for l in self.loose.get(submit.guest, {}).values()]
         if old and old.sent:
-            unsettled.append(Earlier(old.machine, old.sent_at))
+            unsettled.append(EarlierDispatch(old.machine, old.sent_at))
         if (submit.ask or submit.reason) and self._blind():
-            unsettled.append(Earlier("", now))
+            unsettled.append(EarlierDispatch("", now))
         return min(unsettled, key=lambda e: e.sent_at, default=None)
 
     def _fault(self, now: int, submit: m.Submit, kept: bool) -> tuple[str, str] | None:
@@ -91,12 +91,14 @@
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
         if not self.kept_well and self.facts.products[self.products[submit.product]].effect is not (
-            Effect.RERUNNABLE
+            RepeatSemantics.RERUNNABLE
         ):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.cases) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
-        if self.peers.advised and self.advice.hopeless(now, len(self.scheduler.waiting), submit.patience, kept):
+        if self.peers.advised and self.advice.hopeless(
+            now, len(self.scheduler.waiting), submit.patience, kept
+        ):
             return "overloaded", "the line is longer than this patience"
         return None
 
@@ -105,7 +107,7 @@
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
-            known is not None and self.facts.products[known].effect is Effect.RERUNNABLE
+            known is not None and self.facts.products[known].effect is RepeatSemantics.RERUNNABLE
         )
         if asked and not (guest in self.newest or self.loose.get(guest) or guest in self.ends):
             self.claims.look(now, guest, f"{owner}\0{guest}\0{message.ask}")
@@ -141,7 +143,9 @@
         self.scheduler.guest_left(now, case.name)
         if case.machine:
             self._unhold(case)
-            self.scheduler.dispatch_ended(now, case.name, Ending.CALLED_OFF, True, Remark.NONE)
+            self.scheduler.dispatch_ended(
+                now, case.name, DispatchOutcome.CALLED_OFF, True, OutcomeReason.NONE
+            )
         self._forget(case)
         return True
 
@@ -256,7 +260,7 @@
 
     def ready(self) -> bool:
         """Whether guests can be placed: some machine of the list takes them."""
-        return not self.stopping and any(f.mode is Mode.READY for f in self.roster.fellows.values())
+        return not self.stopping and any(f.mode is MachineMode.READY for f in self.roster.fellows.values())
 
     def _state(self, message: m.Named) -> m.State:
         guest, ask = message.guest, message.ask
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -9,7 +9,7 @@
 
 from hazelhold.engine.cases import Case
 from hazelhold.engine.machines import Fellow
-from hazelhold.interface import Effect, Mode, Product
+from hazelhold.interface import GuestClass, MachineMode, RepeatSemantics
 
 
 class Denial(Enum):
@@ -34,7 +34,7 @@
     now: int,
     case: Case | None,
     attempt: int,
-    product: Product,
+    product: GuestClass,
     most: int,
     fellow: Fellow | None,
     list_holds: bool,
@@ -55,24 +55,24 @@
     return machine_denied(fellow, list_holds)
 
 
-def repeat_denied(now: int, case: Case, product: Product, most: int) -> Denial | None:
+def repeat_denied(now: int, case: Case, product: GuestClass, most: int) -> Denial | None:
     """Whether an attempt may follow those that were made, of which there may be `most`."""
     if case.offers >= most:
         return Denial.TOO_MANY
     if not case.ran_from:
         return None
-    if product.effect is Effect.EXCLUSIVE:
+    if product.effect is RepeatSemantics.EXCLUSIVE:
         return Denial.MAY_HAVE_RUN
-    if product.effect is Effect.TICKETED and now - case.ran_from >= product.window:
+    if product.effect is RepeatSemantics.TICKETED and now - case.ran_from >= product.window:
         return Denial.WINDOW_CLOSED
     return None
 
 
 def machine_denied(fellow: Fellow | None, list_holds: bool) -> Denial | None:
     """Whether a machine may be sent new work."""
-    if fellow is None or fellow.mode is Mode.GONE:
+    if fellow is None or fellow.mode is MachineMode.GONE:
         return Denial.MACHINE_GONE
-    if fellow.mode is not Mode.READY:
+    if fellow.mode is not MachineMode.READY:
         return Denial.MACHINE_DRAINING
     return None if list_holds else Denial.LIST_NOT_CURRENT
 
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -5,7 +5,6 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import PlannerConfig, micros
 from hazelhold.engine.advice import Advice
 from hazelhold.engine.cases import Action, Agree, Case, Claims, Dial, Doubt, HangUp, Loose, Send
@@ -15,8 +14,9 @@
 from hazelhold.engine.monitor import RuleMonitor, Violation
 from hazelhold.engine.permission import Denial
 from hazelhold.engine.terms import Terms, terms_of
-from hazelhold.interface import Ask, Earlier, Effect
+from hazelhold.interface import EarlierDispatch, RepeatSemantics, Submission
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 from hazelhold.state.images import Change
 
 
@@ -129,7 +129,9 @@
 
     def _claimed(self, case: Case) -> bool:
         """Whether offers of this guest need a claim."""
-        return self.claims is not None and (self.facts.products[case.product].effect is not Effect.RERUNNABLE)
+        return self.claims is not None and (
+            self.facts.products[case.product].effect is not RepeatSemantics.RERUNNABLE
+        )
 
     def _wanted(self) -> None:
         wanted, self.claims.wanted = self.claims.wanted, []
@@ -150,9 +152,9 @@
         case.due_at = due
         heappush(self.overdue, (due, case.name, case.attempt))
 
-    def _ask(self, case: Case, patience: int, earlier: Earlier | None = None) -> Ask:
+    def _ask(self, case: Case, patience: int, earlier: EarlierDispatch | None = None) -> Submission:
         s = case.submit
-        return Ask(
+        return Submission(
             case.name,
             case.product,
             self.customers.get(s.customer, 0),
--- a/hazelhold/interface.py
+++ b/hazelhold/interface.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Effect(Enum):
+class RepeatSemantics(Enum):
     """What a second run of a guest would do."""
 
     RERUNNABLE = "does no harm"
@@ -15,7 +15,7 @@
     EXCLUSIVE = "must never happen"
 
 
-class Place(Enum):
+class Scope(Enum):
     """How far a ticket or a spread reaches."""
 
     NOWHERE = "nowhere"
@@ -25,7 +25,7 @@
     ALL = "all"
 
 
-class Ending(Enum):
+class DispatchOutcome(Enum):
     """How a dispatch ended."""
 
     DONE = "the guest ran to its end"
@@ -38,7 +38,7 @@
     NOT_SENT = "never left the planner"
 
 
-class Remark(Enum):
+class OutcomeReason(Enum):
     """The reason that came with an ending."""
 
     NONE = 0
@@ -51,7 +51,7 @@
     SENT_AWAY = 7
 
 
-class Mode(Enum):
+class MachineMode(Enum):
     """What the list says of a machine."""
 
     READY = "takes guests"
@@ -59,11 +59,11 @@
     GONE = "was removed"
 
 
-class Product(NamedTuple):
+class GuestClass(NamedTuple):
     """What the operators promise and ask for one product."""
 
-    effect: Effect
-    group: Place
+    effect: RepeatSemantics
+    group: Scope
     window: int
     goal_time: int
     payoff: float
@@ -72,11 +72,11 @@
     easy_until: float
     lost_after: float
     kind: int
-    spread: Place
+    spread: Scope
     spread_most: int
 
 
-class Kind(NamedTuple):
+class MachineKind(NamedTuple):
     """Size of a machine of one kind."""
 
     cores: float
@@ -88,8 +88,8 @@
 
     planners: int
     slot: int  # this planner's number among them, from 0
-    products: tuple[Product, ...]
-    kinds: tuple[Kind, ...]
+    products: tuple[GuestClass, ...]
+    kinds: tuple[MachineKind, ...]
     list_is_asked: bool
     ask_within: int
     list_has_room: bool
@@ -111,11 +111,11 @@
     list_lease: int = 0  # for how long a confirmed list may be sent work by; 0: the list is taken as it is
 
 
-class Listed(NamedTuple):
+class ListedMachine(NamedTuple):
     """One machine as the list has it; rooms are cores and memory that nobody asked for."""
 
     machine: str
-    mode: Mode
+    mode: MachineMode
     started: int
     zone: int
     cell: int
@@ -132,14 +132,14 @@
     busy: float | None
 
 
-class Earlier(NamedTuple):
+class EarlierDispatch(NamedTuple):
     """A dispatch of an earlier ask of a guest whose fate is not known."""
 
     machine: str
     sent_at: int
 
 
-class Ask(NamedTuple):
+class Submission(NamedTuple):
     """A guest as its owner describes it."""
 
     guest: str
@@ -149,11 +149,11 @@
     cores: float
     memory: float
     patience: int
-    earlier: Earlier | None = None
+    earlier: EarlierDispatch | None = None
     spent: int = 0  # dispatches that were made before this life of the planner
 
 
-class Health(NamedTuple):
+class MachineHealth(NamedTuple):
     """What was learned of a machine; `started` tells of which of its lives."""
 
     started: int
@@ -165,7 +165,7 @@
     mute: bool
 
 
-class Learned(NamedTuple):
+class LearnedState(NamedTuple):
     """What a planner learns and a later life of it may use: samples by service with when a guest of it was
     last seen, times by product (starts: product, warm, times), the sums of use and asks, health by
     machine."""
@@ -174,10 +174,10 @@
     starts: tuple[tuple[int, bool, tuple[int, ...]], ...]
     answers: tuple[tuple[int, tuple[int, ...]], ...]
     seen: tuple[float, ...]
-    machines: dict[str, Health]
+    machines: dict[str, MachineHealth]
 
 
-class Step(Enum):
+class DecisionKind(Enum):
     """What a decision asks of the host."""
 
     DISPATCH = "offer the guest to the machine, for at most the span"
@@ -191,7 +191,7 @@
 class Decision(NamedTuple):
     """One thing to do now; what a step does not need stays empty."""
 
-    step: Step
+    step: DecisionKind
     guest: str = ""
     machine: str = ""
     span: int = 0
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -15,7 +15,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.cases import Action, AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
-from hazelhold.interface import Mode
+from hazelhold.interface import MachineMode
 from hazelhold.platform import words
 from hazelhold.platform.beliefs import machine_beliefs
 from hazelhold.platform.configuration import Start, read_start
@@ -111,7 +111,7 @@
                 "up",
                 address=self.address,
                 known=self.start.known.no,
-                ready=sum(fellow.mode is Mode.READY for fellow in self.engine.roster.fellows.values()),
+                ready=sum(fellow.mode is MachineMode.READY for fellow in self.engine.roster.fellows.values()),
                 machines=len(self.engine.roster.fellows),
                 sockets=self.start.bounds.sockets,
                 memory_mb=self.start.bounds.memory_mb,
--- a/hazelhold/scheduler.py
+++ b/hazelhold/scheduler.py
@@ -13,15 +13,24 @@
 from random import Random
 
 from hazelhold import interface
-from hazelhold.interface import Decision, Effect, Ending, Listed, Mode, Place, Remark, Step
+from hazelhold.interface import (
+    Decision,
+    DecisionKind,
+    DispatchOutcome,
+    ListedMachine,
+    MachineMode,
+    OutcomeReason,
+    RepeatSemantics,
+    Scope,
+)
 
 SECOND = 1_000_000
-NEVER_RAN = (Ending.TURNED_BACK, Ending.NO_CONNECTION, Ending.NOT_SENT)
+NEVER_RAN = (DispatchOutcome.TURNED_BACK, DispatchOutcome.NO_CONNECTION, DispatchOutcome.NOT_SENT)
 ROUNDS = 100  # Monte Carlo rounds for a machine: the design page's own figure
 TIE = 1.001  # one guest moves the spread by a hundredth at most: a band of 5% would make the pick a lottery
 
 
-class Service:
+class ServiceUsage:
     """Recent use of one service's guests; dropped once it has had no guest for a while."""
 
     def __init__(self) -> None:
@@ -31,7 +40,7 @@
         self.order: list[Machine] = []  # see _order; made anew when the list changes
         self.order_of = -1
 
-    def weight(self, ask: interface.Ask) -> tuple[float, float]:
+    def weight(self, ask: interface.Submission) -> tuple[float, float]:
         """What a new guest counts as: the 90th percentile of recent use, the ask if there is none."""
         if not self.samples:
             return ask.cores, ask.memory
@@ -42,7 +51,7 @@
 class Guest:
     """A guest in this planner's hands, from its arrival to its end."""
 
-    def __init__(self, ask: interface.Ask, product: interface.Product, service: Service, now: int) -> None:
+    def __init__(self, ask: interface.Submission, product: interface.GuestClass, service: ServiceUsage, now: int) -> None:
         self.ask, self.product, self.service = ask, product, service
         self.goal_at, self.patience_at = now + product.goal_time, now + ask.patience
         self.answer_by = self.patience_at - SECOND // 50  # a few ticks early: the last safe moment
@@ -51,8 +60,8 @@
         self.over = self.probed_for = False  # over: answered, with its last dispatch still out
         self.unwanted = False  # its owner cancelled it
         self.dispatches = self.sent_at = self.ahead = 0  # ahead: own starts before it on the machine
-        self.spread_key: tuple[str, Place, str] | None = None
-        self.bound: tuple[Place, int] | None = None  # the group that a ticket holds it to
+        self.spread_key: tuple[str, Scope, str] | None = None
+        self.bound: tuple[Scope, int] | None = None  # the group that a ticket holds it to
         self.tried: list[str] = []  # machines that may still speak of a dispatch that is over
         self.window_ends, self.cores_noted = 0, 0.0
         self.look_at, self.looked_at, self.rests_until = now, 0, now
@@ -62,16 +71,16 @@
     def may_turn_back(self) -> bool:
         """A turn-back promises that another try is harmless."""
         effect = self.product.effect
-        return (not self.may_run or effect is Effect.RERUNNABLE
-                or effect is Effect.TICKETED and self.product.group is Place.ALL)
+        return (not self.may_run or effect is RepeatSemantics.RERUNNABLE
+                or effect is RepeatSemantics.TICKETED and self.product.group is Scope.ALL)
 
 
 class Machine:
     """What is known of one machine; dropped when it has left the list and holds no guest of ours."""
 
-    def __init__(self, listed: Listed, size: interface.Kind, now: int) -> None:
+    def __init__(self, listed: ListedMachine, size: interface.MachineKind, now: int) -> None:
         self.listed, self.size, self.listed_at = listed, size, now
-        self.ready = listed.mode is Mode.READY
+        self.ready = listed.mode is MachineMode.READY
         self.cold_at = listed.started if listed.started else -10**15
         self.listed_since = now  # when this life of it was listed here first
         self.used: tuple[float, float] | None = None
@@ -118,10 +127,10 @@
         self.answers.append(took)
         self.slow = None
 
-    def place(self, reach: Place) -> tuple[Place, str]:
+    def place(self, reach: Scope) -> tuple[Scope, str]:
         """The group of machines that a ticket or a spread speaks of."""
-        name = {Place.CELL: f"{self.listed.zone}/{self.listed.cell}", Place.ZONE: str(self.listed.zone),
-                Place.MACHINE: self.listed.machine}
+        name = {Scope.CELL: f"{self.listed.zone}/{self.listed.cell}", Scope.ZONE: str(self.listed.zone),
+                Scope.MACHINE: self.listed.machine}
         return reach, name.get(reach, "")
 
     def draw(self, random: Random, now: int) -> None:
@@ -175,9 +184,9 @@
         self.out: dict[str, Guest] = {}  # with a dispatch out, not yet taken; emptied by its outcome
         self.answer_at = 0  # no final answer is due before; 0: look, something may have changed that
         self.due: list[Guest] | None = None  # those to place at this moment; None: look anew
-        self.services: dict[str, Service] = {}  # swept of idle ones
+        self.services: dict[str, ServiceUsage] = {}  # swept of idle ones
         self.seated: dict[int, int] = defaultdict(int)  # guests with a machine, by priority
-        self.spread: dict[tuple[str, Place, str], int] = {}  # emptied as guests end
+        self.spread: dict[tuple[str, Scope, str], int] = {}  # emptied as guests end
         # Start times, warm or cold, and answer times, by product: large guests take many times as long.
         self.starts: dict[tuple[int, bool], deque[int]] = defaultdict(lambda: deque(maxlen=50))
         self.answers: dict[int, deque[int]] = defaultdict(lambda: deque(maxlen=100))
@@ -194,7 +203,7 @@
 
     # Inputs: they only update what is known.
 
-    def machines_listed(self, now: int, entries: list[Listed], whole: bool) -> None:
+    def machines_listed(self, now: int, entries: list[ListedMachine], whole: bool) -> None:
         self.list_heard_at = now if self.machines else now - 2 * SECOND  # the first may be an old copy
         if self.began == -10**15:  # what was cold before this life may have had an earlier one's share
             self.began, self.no_cold_until = now, now + self.deployment.cold_window
@@ -210,14 +219,14 @@
                 machine.listed_since = now
             machine.listed, machine.listed_at, machine.left, machine.asked = entry, now, None, None
             machine.size = self.deployment.kinds[entry.kind]
-            machine.ready = entry.mode is Mode.READY
+            machine.ready = entry.mode is MachineMode.READY
         if whole:
             for name in self.machines.keys() - {entry.machine for entry in entries}:
                 self.list_version += 1
                 self.machines[name].ready = False
-                self.machines[name].listed = self.machines[name].listed._replace(mode=Mode.GONE)
+                self.machines[name].listed = self.machines[name].listed._replace(mode=MachineMode.GONE)
         # One gone while cold is kept until it would be warm: a list may name it again without its start.
-        self.machines = {n: m for n, m in self.machines.items() if m.guests or m.listed.mode is not Mode.GONE
+        self.machines = {n: m for n, m in self.machines.items() if m.guests or m.listed.mode is not MachineMode.GONE
                          or now - m.cold_at < self.deployment.cold_for}
         # News within two fifths of the time allowed shows that the list is still heard.
         self.ask_list_at = now + int(self.deployment.ask_within * 0.4 * self.random.uniform(0.8, 1.2))
@@ -241,7 +250,7 @@
     def list_failed(self, now: int) -> None:
         self.ask_list_at = now + int(self.random.uniform(1, 3) * SECOND)  # drawn, so as not to march in step
 
-    def guest_arrived(self, now: int, ask: interface.Ask) -> None:
+    def guest_arrived(self, now: int, ask: interface.Submission) -> None:
         guest = self._known(now, ask)
         if ask.earlier:  # guards against a second run by way of a second ask while the first is unsettled
             host, group = self.machines.get(ask.earlier.machine), guest.product.group
@@ -265,27 +274,27 @@
         self._changed(now)
 
 
-    def learned(self) -> interface.Learned:
+    def learned(self) -> interface.LearnedState:
         """What a later life of this planner may use."""
-        return interface.Learned(
+        return interface.LearnedState(
             {n: (s.seen, tuple(s.samples)) for n, s in self.services.items() if s.samples},
             tuple((*k, tuple(v)) for k, v in self.starts.items()),
             tuple((k, tuple(v)) for k, v in self.answers.items()), tuple(self.seen),
-            {n: interface.Health(m.listed.started, m.cold_at, tuple(m.answers), tuple(m.kept), m.strikes,
+            {n: interface.MachineHealth(m.listed.started, m.cold_at, tuple(m.answers), tuple(m.kept), m.strikes,
                                  m.avoid_until, m.mute) for n, m in self.machines.items() if m.ready})
 
     def offers_kept(self, now: int, name: str, times: tuple[int, ...]) -> None:
         """Offers to a cold machine from before this life of the planner count against its budget."""
         self._host(name, now).offers.extend(times)
 
-    def remembered(self, now: int, past: interface.Learned, complete: bool) -> None:
+    def remembered(self, now: int, past: interface.LearnedState, complete: bool) -> None:
         """Takes what an earlier life learned, for machines that are still in the same life. Samples of
         services that were not seen for a minute are let go; strikes and rests go on by their own times. Where
         offers to cold machines may be forgotten, these get nothing until they would count no more."""
         self.began, self.no_cold_until = now, 0 if complete else now + 2 * self.deployment.cold_window
         for name, (seen, samples) in past.services.items():
             if seen >= now - 60 * SECOND:
-                service = self.services.setdefault(name, Service())
+                service = self.services.setdefault(name, ServiceUsage())
                 service.samples.extendleft(reversed(samples))
                 service.seen = max(service.seen, seen)
         for product, warm, times in past.starts:
@@ -303,7 +312,7 @@
                 machine.strikes, machine.mute = max(machine.strikes, health.strikes), health.mute
                 machine.avoid_until = max(machine.avoid_until, health.avoid_until)
 
-    def guest_found(self, now: int, machine: str, ask: interface.Ask) -> None:
+    def guest_found(self, now: int, machine: str, ask: interface.Submission) -> None:
         if ask.guest in self.guests:
             self._drop(self.guests[ask.guest])
         guest = self._known(now, ask)
@@ -314,7 +323,7 @@
     def _host(self, name: str, now: int) -> Machine:
         """The machine of this name; one not listed is gone, in no known place: no ticket is bound wrongly."""
         if name not in self.machines:
-            gone = Listed(name, Mode.GONE, 0, -1, -1, 0, 0.0, 0.0)
+            gone = ListedMachine(name, MachineMode.GONE, 0, -1, -1, 0, 0.0, 0.0)
             self.machines[name] = Machine(gone, self.deployment.kinds[0], now)
         return self.machines[name]
 
@@ -331,14 +340,14 @@
             if guest.machine:
                 self.to_call_off.append((name, guest.machine.listed.machine))
 
-    def copy_stands(self, now: int, machine: str, ask: interface.Ask) -> None:
+    def copy_stands(self, now: int, machine: str, ask: interface.Submission) -> None:
         """A machine accepted a dispatch that was given up. Guards against a guest that runs in nobody's
         hands, and against two copies; a rerunnable copy goes even if the other dispatch is then refused."""
         held = self.guests.get(ask.guest)
         effect = self.deployment.products[ask.product].effect
-        if ask.guest in self.waiting or not held and effect is not Effect.RERUNNABLE:
+        if ask.guest in self.waiting or not held and effect is not RepeatSemantics.RERUNNABLE:
             self.guest_found(now, machine, ask)
-        elif effect is Effect.RERUNNABLE or effect is Effect.TICKETED and held.placed:
+        elif effect is RepeatSemantics.RERUNNABLE or effect is RepeatSemantics.TICKETED and held.placed:
             self.to_call_off.append((ask.guest, machine))
 
     def dispatch_taken(self, now: int, name: str, took: int) -> None:
@@ -365,7 +374,7 @@
             guest.dispatches -= 1
             guest.rests_until = now + SECOND // 20
 
-    def dispatch_ended(self, now: int, name: str, ending: Ending, closed: bool, remark: Remark) -> None:
+    def dispatch_ended(self, now: int, name: str, ending: DispatchOutcome, closed: bool, remark: OutcomeReason) -> None:
         if not (guest := self.guests.get(name)) or not (host := guest.machine):
             return
         self._unseat(guest)
@@ -379,10 +388,10 @@
                 guest.window_ends = guest.sent_at + guest.product.window
             guest.may_run, guest.bound = True, host.place(guest.product.group)
         # A refusal may come twice: an exclusive guest stays away from those that refused it, too.
-        once = guest.product.effect is Effect.EXCLUSIVE and ending is Ending.TURNED_BACK
+        once = guest.product.effect is RepeatSemantics.EXCLUSIVE and ending is DispatchOutcome.TURNED_BACK
         if not self.deployment.dispatches_named and (once or ending not in NEVER_RAN):
             guest.tried.append(host.listed.machine)
-        if ending is Ending.TURNED_BACK and guest.dispatches > 1:
+        if ending is DispatchOutcome.TURNED_BACK and guest.dispatches > 1:
             # Twice refused: everybody is after the same room. The rest of its dispatches are spread over its
             # patience, drawn so that crowds thin out, from a quarter second and twice as long each time.
             guest.rests_until = now + int(SECOND // 8 * 2 ** guest.dispatches * self.random.uniform(0.5, 1.5))
@@ -430,11 +439,11 @@
         if name in self.machines:
             self._reported(self.machines[name], None, share * self.machines[name].size.memory, now)
 
-    def _known(self, now: int, ask: interface.Ask) -> Guest:
+    def _known(self, now: int, ask: interface.Submission) -> Guest:
         if now >= self.sweep_at:  # a minute's rest: longer than a service's guests stay away between tries
             self.sweep_at = now + 60 * SECOND
             self.services = {n: s for n, s in self.services.items() if s.guests or s.seen >= now - 60_000_000}
-        service = self.services.setdefault(ask.service, Service())
+        service = self.services.setdefault(ask.service, ServiceUsage())
         service.guests, service.seen = service.guests + 1, now
         return Guest(ask, self.deployment.products[ask.product], service, now)
 
@@ -473,7 +482,7 @@
             if len(machine.kept) > 4:  # few, so that a program counted as kept seldom is gone
                 del machine.kept[next(iter(machine.kept))]
 
-    def _spread_key(self, guest: Guest, machine: Machine) -> tuple[str, Place, str]:
+    def _spread_key(self, guest: Guest, machine: Machine) -> tuple[str, Scope, str]:
         return guest.ask.service, *machine.place(guest.product.spread)
 
     def _started(self, guest: Guest, now: int) -> None:
@@ -517,31 +526,31 @@
         for guest in self.waiting.values():
             guest.look_at = min(guest.look_at, max(now, guest.looked_at + SECOND // 20, guest.rests_until))
 
-    def _judge(self, machine: Machine, guest: Guest, ending: Ending, remark: Remark, now: int) -> None:
+    def _judge(self, machine: Machine, guest: Guest, ending: DispatchOutcome, remark: OutcomeReason, now: int) -> None:
         """What an ended dispatch says of its machine."""
-        if ending is Ending.TURNED_BACK:
-            if remark in (Remark.LINE_FULL, Remark.NONE):
+        if ending is DispatchOutcome.TURNED_BACK:
+            if remark in (OutcomeReason.LINE_FULL, OutcomeReason.NONE):
                 # Against any crowd of offers, and a refusal that comes twice: about as long as lines last.
                 machine.full[0] = now + SECOND // 4, 0.0
-            elif remark in (Remark.NO_CORES, Remark.NO_MEMORY):
-                axis, much = (0, guest.ask.cores) if remark is Remark.NO_CORES else (1, guest.ask.memory)
+            elif remark in (OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY):
+                axis, much = (0, guest.ask.cores) if remark is OutcomeReason.NO_CORES else (1, guest.ask.memory)
                 machine.full[axis] = now + SECOND, much  # about a list period
-            elif remark is Remark.NOT_HERE and self._tests_are_told():
+            elif remark is OutcomeReason.NOT_HERE and self._tests_are_told():
                 self._suspect_drain(machine, now)
-            elif remark is Remark.NOT_HERE and not guest.may_run:
+            elif remark is OutcomeReason.NOT_HERE and not guest.may_run:
                 machine.avoid_until = now + SECOND
-        elif ending is Ending.CUT_OFF and guest.placed:
-            if remark is Remark.SENT_AWAY and self._tests_are_told():
+        elif ending is DispatchOutcome.CUT_OFF and guest.placed:
+            if remark is OutcomeReason.SENT_AWAY and self._tests_are_told():
                 self._suspect_drain(machine, now)
-            if remark is Remark.NONE and now - machine.cold_at > SECOND:
+            if remark is OutcomeReason.NONE and now - machine.cold_at > SECOND:
                 self._restarted(machine, now)
                 self._strike(machine, now, mute=True)
-        elif ending in (Ending.NO_CONNECTION, Ending.OVERDUE):
-            if ending is Ending.NO_CONNECTION or machine.heard_at <= guest.sent_at:
+        elif ending in (DispatchOutcome.NO_CONNECTION, DispatchOutcome.OVERDUE):
+            if ending is DispatchOutcome.NO_CONNECTION or machine.heard_at <= guest.sent_at:
                 self._strike(machine, now, mute=True)
-            if ending is Ending.NO_CONNECTION and now - machine.cold_at > self.deployment.cold_for:
+            if ending is DispatchOutcome.NO_CONNECTION and now - machine.cold_at > self.deployment.cold_for:
                 self._restarted(machine, now)
-        elif not guest.placed and ending in (Ending.ERROR, Ending.CUT_OFF):
+        elif not guest.placed and ending in (DispatchOutcome.ERROR, DispatchOutcome.CUT_OFF):
             machine.answered(60 * SECOND)
             self._strike(machine, now, mute=False)
 
@@ -578,7 +587,7 @@
     def decide(self, now: int) -> Decision | None:
         """The next thing to do at this moment, or None."""
         if self.to_call_off:
-            return Decision(Step.CALL_OFF, *self.to_call_off.popleft())
+            return Decision(DecisionKind.CALL_OFF, *self.to_call_off.popleft())
         return self._keep_list(now) or self._answer_due(now) or self._place_next(now) or self._probe(now)
 
     def next_look(self, now: int) -> int | None:
@@ -593,7 +602,7 @@
         if not self.deployment.list_is_asked or now < self.ask_list_at:
             return None
         self.ask_list_at = now + int(self.random.uniform(2, 3) * SECOND)  # an answer is due before
-        return Decision(Step.FOLLOW_LIST)
+        return Decision(DecisionKind.FOLLOW_LIST)
 
     def _answer_due(self, now: int) -> Decision | None:
         """The next final answer; all guests are looked through only when one may be due."""
@@ -603,20 +612,20 @@
             product = guest.product
             spent = guest.dispatches >= self.deployment.max_dispatches
             stuck = guest.may_run and (
-                product.effect is Effect.EXCLUSIVE
-                or product.effect is Effect.TICKETED and now >= guest.window_ends - SECOND // 20)
+                product.effect is RepeatSemantics.EXCLUSIVE
+                or product.effect is RepeatSemantics.TICKETED and now >= guest.window_ends - SECOND // 20)
             if spent or stuck or guest.unwanted or now >= guest.answer_by:
-                step = Step.TURN_BACK if guest.may_turn_back() else Step.BREAK_OFF
+                step = DecisionKind.TURN_BACK if guest.may_turn_back() else DecisionKind.BREAK_OFF
                 self._drop(guest)
                 return Decision(step, guest.ask.guest)
         for guest in self.guests.values():
             if guest.machine and not guest.placed and not guest.over and now >= guest.patience_at:
                 guest.over = True
-                return Decision(Step.BREAK_OFF, guest.ask.guest)
+                return Decision(DecisionKind.BREAK_OFF, guest.ask.guest)
         # A dispatch that ends clears this; until then only time makes an answer due.
         self.answer_at = min([g.patience_at for g in self.out.values() if not g.over] + [
             min(g.answer_by, g.window_ends - SECOND // 20) if g.may_run and (
-                g.product.effect is Effect.TICKETED) else g.answer_by
+                g.product.effect is RepeatSemantics.TICKETED) else g.answer_by
             for g in self.waiting.values()], default=now + 60 * SECOND)
         return None
 
@@ -635,7 +644,7 @@
         if self.due is None:  # sorted once a moment; who was looked at falls out at the end
             due = [g for g in self.waiting.values() if g.look_at <= now]
             if not self.kept_well:
-                for guest in [g for g in due if g.product.effect is not Effect.RERUNNABLE]:
+                for guest in [g for g in due if g.product.effect is not RepeatSemantics.RERUNNABLE]:
                     due.remove(guest)
                     guest.look_at = now + SECOND // 5
             self.due = sorted(due, key=lambda g: (-g.product.payoff * g.ask.memory, g.patience_at))
@@ -656,7 +665,7 @@
             del self.waiting[guest.ask.guest]
             self._seat(guest, machine)
             machine.offers.append(now)
-            return Decision(Step.DISPATCH, guest.ask.guest, machine.listed.machine, span)
+            return Decision(DecisionKind.DISPATCH, guest.ask.guest, machine.listed.machine, span)
         return None
 
     def _span(self, guest: Guest, now: int) -> int:
@@ -677,9 +686,9 @@
             return False
         if machine.listed.machine in guest.tried:  # guards against two copies: it may speak late
             return False
-        if guest.bound and product.effect is Effect.TICKETED and machine.place(product.group) != guest.bound:
+        if guest.bound and product.effect is RepeatSemantics.TICKETED and machine.place(product.group) != guest.bound:
             return False
-        if (product.spread is not Place.NOWHERE
+        if (product.spread is not Scope.NOWHERE
                 and self.spread.get(self._spread_key(guest, machine), 0) >= product.spread_most):
             return False
         while machine.offers and machine.offers[0] < now - 2 * facts.cold_window:
@@ -849,4 +858,4 @@
 
     def _asked(self, machine: Machine, now: int) -> Decision:
         machine.probed_at = now
-        return Decision(Step.PROBE, machine=machine.listed.machine)
+        return Decision(DecisionKind.PROBE, machine=machine.listed.machine)
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -8,41 +8,45 @@
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from hazelhold.scheduler import Scheduler
 from hazelhold.interface import (
-    Ask,
     Decision,
+    DecisionKind,
     Deployment,
-    Effect,
-    Ending,
-    Kind,
-    Listed,
+    DispatchOutcome,
+    GuestClass,
+    ListedMachine,
     Load,
-    Mode,
-    Place,
-    Product,
-    Remark,
-    Step,
+    MachineKind,
+    MachineMode,
+    OutcomeReason,
+    RepeatSemantics,
+    Scope,
+    Submission,
 )
+from hazelhold.scheduler import Scheduler
 
 ENDINGS = {
-    "completed": Ending.DONE,
-    "errored": Ending.ERROR,
-    "saturated": Ending.TURNED_BACK,
-    "overdue": Ending.OVERDUE,
-    "refused_conn": Ending.NO_CONNECTION,
-    "severed": Ending.CUT_OFF,
-    "recalled": Ending.CALLED_OFF,
-    "superseded": Ending.NOT_SENT,
+    "completed": DispatchOutcome.DONE,
+    "errored": DispatchOutcome.ERROR,
+    "saturated": DispatchOutcome.TURNED_BACK,
+    "overdue": DispatchOutcome.OVERDUE,
+    "refused_conn": DispatchOutcome.NO_CONNECTION,
+    "severed": DispatchOutcome.CUT_OFF,
+    "recalled": DispatchOutcome.CALLED_OFF,
+    "superseded": DispatchOutcome.NOT_SENT,
+}
+MODES = {"healthy": MachineMode.READY, "cordoned": MachineMode.CORDONED, "deregistered": MachineMode.GONE}
+EFFECTS = {
+    "retryable": RepeatSemantics.RERUNNABLE,
+    "dedup": RepeatSemantics.TICKETED,
+    "fragile": RepeatSemantics.EXCLUSIVE,
 }
-MODES = {"healthy": Mode.READY, "cordoned": Mode.CORDONED, "deregistered": Mode.GONE}
-EFFECTS = {"retryable": Effect.RERUNNABLE, "dedup": Effect.TICKETED, "fragile": Effect.EXCLUSIVE}
 PLACES = {
-    "off": Place.NOWHERE,
-    "machine": Place.MACHINE,
-    "cell": Place.CELL,
-    "zone": Place.ZONE,
-    "all": Place.ALL,
+    "off": Scope.NOWHERE,
+    "machine": Scope.MACHINE,
+    "cell": Scope.CELL,
+    "zone": Scope.ZONE,
+    "all": Scope.ALL,
 }
 
 
@@ -113,10 +117,10 @@
             raise WireError(f"setting {path} has no usable value number {index}") from None
 
 
-def read_product(pairs: Pairs, index: int) -> Product:
+def read_product(pairs: Pairs, index: int) -> GuestClass:
     own = f"classes.{index}."
     family = "family-info."
-    return Product(
+    return GuestClass(
         effect=pairs.word(own + "idempotency", EFFECTS),
         group=pairs.word(own + "group", PLACES),
         window=pairs.span(own + "dedup-window"),
@@ -140,7 +144,7 @@
         planners=int(pairs.number("balancers")),
         slot=int(pairs.number("slot-no")),
         products=tuple(read_product(pairs, i) for i in range(int(pairs.number("classes.count")))),
-        kinds=tuple(Kind(float(cores), float(memory)) for cores, memory in sizes),
+        kinds=tuple(MachineKind(float(cores), float(memory)) for cores, memory in sizes),
         list_is_asked=asked,
         ask_within=pairs.span("rules.ask-within") if asked else 0,
         list_has_room=truth(pairs.text(family + "lists-free")),
@@ -170,16 +174,16 @@
     return Load(read.get("x0"), read.get("x1"), read.get("busy"))
 
 
-def read_remark(text: str) -> Remark:
+def read_remark(text: str) -> OutcomeReason:
     code = whole(text)
-    return Remark(code) if 0 <= code <= 7 else Remark.NONE
+    return OutcomeReason(code) if 0 <= code <= 7 else OutcomeReason.NONE
 
 
-def read_row(parts: list[str]) -> Listed:
+def read_row(parts: list[str]) -> ListedMachine:
     mode, started, machine, zone, cell, memory, _weight, cores, kind = parts[1:10]
     if mode not in MODES:
         raise WireError(f"mode {mode!r} is not known")
-    return Listed(
+    return ListedMachine(
         machine,
         MODES[mode],
         micros(started),
@@ -206,7 +210,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, list[Listed]] = {}
+        self.lists: dict[int, list[ListedMachine]] = {}
         self.touched: dict[str, None] = {}
         self.faults: dict[str, str] = {}
         self.events: dict[str, Callable[[int, Scheduler, list[str]], None]] = {
@@ -229,7 +233,9 @@
             self.touched[who] = None
             self.faults.pop(who, None)
             try:
-                self.instances[who] = Instance(who, Scheduler(whole(parts[2]), read_deployment(Pairs(parts[3:]))))
+                self.instances[who] = Instance(
+                    who, Scheduler(whole(parts[2]), read_deployment(Pairs(parts[3:])))
+                )
             except (WireError, ValueError) as wrong:
                 self.instances.pop(who, None)
                 self.faults[who] = str(wrong)
@@ -261,7 +267,9 @@
         call, product, customer, _unit, left, _life, service, cores, memory, _marks = parts[2:12]
         scheduler.guest_arrived(
             now,
-            Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
+            Submission(
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(left)
+            ),
         )
 
     def found(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
@@ -269,7 +277,9 @@
         scheduler.guest_found(
             now,
             machine,
-            Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
+            Submission(
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(left)
+            ),
         )
 
     def outcome(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
@@ -324,13 +334,13 @@
 
 def encode(who: str, decision: Decision) -> str:
     step, guest, machine, span = decision
-    if step is Step.DISPATCH:
+    if step is DecisionKind.DISPATCH:
         return f"BIND {who} {guest} {machine} {millis(span)}"
-    if step is Step.TURN_BACK:
+    if step is DecisionKind.TURN_BACK:
         return f"SAY_NO {who} {guest} {millis(span)}"
-    if step is Step.BREAK_OFF:
+    if step is DecisionKind.BREAK_OFF:
         return f"SURRENDER {who} {guest}"
-    if step is Step.PROBE:
+    if step is DecisionKind.PROBE:
         return f"INSPECT {who} {machine}"
     return f"WATCH {who} 1"
 
@@ -339,7 +349,7 @@
     """Answers batches until the input ends; returns the exit code."""
     host = Host()
     now = 0
-    rows: list[Listed] = []
+    rows: list[ListedMachine] = []
     rows_left = 0
     for count, line in enumerate(source, 1):
         parts = line.rstrip("\r\n").split(" ")
--- a/hazelhold/state/images.py
+++ b/hazelhold/state/images.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from hazelhold.interface import Learned
+from hazelhold.interface import LearnedState
 from hazelhold.protocol.messages import Entry
 
 FORMAT = 1  # of the files; see store.UPGRADES
@@ -94,7 +94,7 @@
     clock at that clock's zero."""
 
     epoch: int
-    data: Learned
+    data: LearnedState
 
 
 class ColdImage(Struct, array_like=True, frozen=True):
--- a/hazelhold/state/snapshot.py
+++ b/hazelhold/state/snapshot.py
@@ -9,8 +9,8 @@
 from random import Random
 from typing import Any
 
-from hazelhold.scheduler import Scheduler, Guest, Machine, Service
-from hazelhold.interface import Ask, Deployment, Earlier, Listed, Mode, Place
+from hazelhold.interface import Deployment, EarlierDispatch, ListedMachine, MachineMode, Scope, Submission
+from hazelhold.scheduler import Guest, Machine, Scheduler, ServiceUsage
 
 LONG_AGO = -(10**15)  # of moments that never were; not shifted
 MACHINE_TIMES = (
@@ -137,7 +137,7 @@
     scheduler.list_current = data.get("list_current", True)
     scheduler.kept_well, scheduler.typical = data["kept_well"], data["typical"]
     for name, samples, seen in data["services"]:
-        service = scheduler.services[name] = Service()
+        service = scheduler.services[name] = ServiceUsage()
         service.samples.extend(tuple(s) for s in samples)
         service.seen = moved(seen)
     for plain in data["machines"]:
@@ -163,8 +163,8 @@
 
 def _restore_machine(scheduler: Scheduler, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
     fields = list(plain["listed"])
-    fields[1], fields[2] = Mode[fields[1]], moved(fields[2])
-    listed = Listed(*fields)
+    fields[1], fields[2] = MachineMode[fields[1]], moved(fields[2])
+    listed = ListedMachine(*fields)
     kind = scheduler.deployment.kinds[listed.kind]
     machine = scheduler.machines[listed.machine] = Machine(listed, kind._make(plain["size"]), 0)
     for name in MACHINE_TIMES:
@@ -183,9 +183,9 @@
 def _restore_guest(scheduler: Scheduler, plain: dict[str, Any], moved: Any) -> None:  # noqa: ANN401 - a function
     fields = list(plain["ask"])
     if fields[7] is not None:
-        fields[7] = Earlier(fields[7][0], moved(fields[7][1]))
-    ask = Ask(*fields)
-    service = scheduler.services.setdefault(ask.service, Service())
+        fields[7] = EarlierDispatch(fields[7][0], moved(fields[7][1]))
+    ask = Submission(*fields)
+    service = scheduler.services.setdefault(ask.service, ServiceUsage())
     service.guests += 1
     guest = Guest(ask, scheduler.deployment.products[ask.product], service, 0)
     for name in GUEST_TIMES:
@@ -194,7 +194,7 @@
         setattr(guest, name, plain[name])
     guest.use = tuple(guest.use) if guest.use else None
     guest.rounds = [tuple(pair) for pair in guest.rounds] if guest.rounds else None
-    guest.bound = (Place[plain["bound"][0]], plain["bound"][1]) if plain["bound"] else None
+    guest.bound = (Scope[plain["bound"][0]], plain["bound"][1]) if plain["bound"] else None
     scheduler.guests[ask.guest] = guest
     if plain["machine"]:
         if not guest.placed:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,5 @@
 """What the tests share: a small deployment, machines, and a Brain that is driven by hand."""
 
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.planner import (
     Estate,
     KindConfig,
@@ -12,25 +11,37 @@
 )
 from hazelhold.engine.cases import Agree, Dial, Send
 from hazelhold.engine.engine import Engine
-from hazelhold.interface import Ask, Decision, Deployment, Effect, Kind, Listed, Mode, Place, Product, Step
+from hazelhold.interface import (
+    Decision,
+    DecisionKind,
+    Deployment,
+    GuestClass,
+    ListedMachine,
+    MachineKind,
+    MachineMode,
+    RepeatSemantics,
+    Scope,
+    Submission,
+)
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 MS = 1000
-PRODUCT = Product(
-    Effect.RERUNNABLE, Place.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Place.NOWHERE, 2
+PRODUCT = GuestClass(
+    RepeatSemantics.RERUNNABLE, Scope.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Scope.NOWHERE, 2
 )
 PRODUCTS = (
     PRODUCT,
-    PRODUCT._replace(effect=Effect.EXCLUSIVE),
-    PRODUCT._replace(effect=Effect.TICKETED, group=Place.CELL),
-    PRODUCT._replace(effect=Effect.TICKETED, group=Place.ALL),
-    PRODUCT._replace(spread=Place.MACHINE),
+    PRODUCT._replace(effect=RepeatSemantics.EXCLUSIVE),
+    PRODUCT._replace(effect=RepeatSemantics.TICKETED, group=Scope.CELL),
+    PRODUCT._replace(effect=RepeatSemantics.TICKETED, group=Scope.ALL),
+    PRODUCT._replace(spread=Scope.MACHINE),
 )
 DEPLOYMENT = Deployment(
     planners=1,
     slot=0,
     products=PRODUCTS,
-    kinds=(Kind(24.0, 40.0),),
+    kinds=(MachineKind(24.0, 40.0),),
     list_is_asked=True,
     ask_within=10_000 * MS,
     list_has_room=True,
@@ -49,12 +60,14 @@
 )
 
 
-def entry(name: str, mode: Mode = Mode.READY, started: int = 0, cell: int = 0, room: float = 24.0) -> Listed:
-    return Listed(name, mode, started, 0, cell, 0, room, room * 40 / 24)
+def entry(
+    name: str, mode: MachineMode = MachineMode.READY, started: int = 0, cell: int = 0, room: float = 24.0
+) -> ListedMachine:
+    return ListedMachine(name, mode, started, 0, cell, 0, room, room * 40 / 24)
 
 
-def ask(name: str, product: int = 0, cores: float = 1.0, patience: int = 5000 * MS) -> Ask:
-    return Ask(name, product, 0, "service-" + str(product), cores, 2 * cores, patience)
+def ask(name: str, product: int = 0, cores: float = 1.0, patience: int = 5000 * MS) -> Submission:
+    return Submission(name, product, 0, "service-" + str(product), cores, 2 * cores, patience)
 
 
 def scheduler(names: str = "ab", at: int = 0, **changes: object) -> Scheduler:
@@ -68,7 +81,7 @@
     """All that is decided at this moment, probes and list calls left out."""
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step not in (Step.PROBE, Step.FOLLOW_LIST):
+        if decision.step not in (DecisionKind.PROBE, DecisionKind.FOLLOW_LIST):
             found.append(decision)
     return found
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from hazelhold.interface import DecisionKind, DispatchOutcome, OutcomeReason, Submission
 from hazelhold.scheduler import Scheduler
-from hazelhold.interface import Ask, Ending, Remark, Step
 from tests.helpers import DEPLOYMENT, MS, entry
 
 WINDOW = DEPLOYMENT.cold_window
@@ -49,14 +49,14 @@
                 made.machines_listed(now, [entry("cold", started=BEGUN, room=10_000.0)], False)
             for _ in range(random.randrange(4) if planners < 100 else random.randrange(2)):
                 number += 1
-                made.guest_arrived(now, Ask(f"g{number}", 0, 0, f"s{number % 7}", 1.0, 2.0, 3_000_000))
+                made.guest_arrived(now, Submission(f"g{number}", 0, 0, f"s{number % 7}", 1.0, 2.0, 3_000_000))
             while (decision := made.decide(now)) is not None:
-                if decision.step is not Step.DISPATCH:
+                if decision.step is not DecisionKind.DISPATCH:
                     continue
                 if decision.machine == "cold":  # else it is offered past the list's room
                     sent.append(now)
                 made.dispatch_taken(now, decision.guest, 10 * MS)
-                made.dispatch_ended(now, decision.guest, Ending.DONE, True, Remark.NONE)
+                made.dispatch_ended(now, decision.guest, DispatchOutcome.DONE, True, OutcomeReason.NONE)
     return sent
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -174,7 +174,9 @@
     await until(
         lambda: all(rig.planner.links.by_machine.get(each, (0, 0))[1] for each in "ab")
     )  # all are probed
-    rig.planner.engine.scheduler.answers[0].extend([10_000] * 10)  # answers come soon: none is waited for long
+    rig.planner.engine.scheduler.answers[0].extend(
+        [10_000] * 10
+    )  # answers come soon: none is waited for long
     await owner.say(set_up(1))
     await until(lambda: rig.offers(1))
     (first,) = rig.offers(1)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -40,10 +40,10 @@
 
 
 def test_a_planner_that_breaks_rules_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    from hazelhold.scheduler import Scheduler, Guest
     from hazelhold.engine import machines
+    from hazelhold.scheduler import Guest, Scheduler
 
-    deaf = {mode: machines.Mode.READY for mode in ("ready", "cordoned", "gone")}
+    deaf = {mode: machines.MachineMode.READY for mode in ("ready", "cordoned", "gone")}
     monkeypatch.setattr(machines, "MODES", deaf)
     monkeypatch.setattr(Guest, "may_turn_back", lambda self: True)
     monkeypatch.setattr(Scheduler, "_allowed", lambda self, guest, machine, now: True)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -80,9 +80,9 @@
     offer, machine = harness.offer(0, "g", "ticket")
     case = harness.engine.cases["g/0"]
     harness.engine._give_up(1000 * MS, case)
-    from hazelhold.interface import Ending, Remark
+    from hazelhold.interface import DispatchOutcome, OutcomeReason
 
-    harness.engine._ended(1000 * MS, case, Ending.OVERDUE, Remark.NONE)
+    harness.engine._ended(1000 * MS, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
     harness.engine.machine_said(1001 * MS, machine, of(m.Taken, offer))
     harness.run(1001 * MS)
     assert len(harness.sent(m.Placed)) == 1 and len(harness.sent(m.Offer)) == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.emulate.clock import Clock
 from hazelhold.emulate.fleet import Fleet, play_fleet, write_records
-from hazelhold.interface import Ending
+from hazelhold.interface import DispatchOutcome
 from hazelhold.protocol.record import read_record
 from hazelhold.rehearse.run import play_virtual
 
@@ -65,7 +65,7 @@
         scheduler = fleet.planners[name].engine.scheduler
         ended = scheduler.dispatch_ended
         scheduler.dispatch_ended = lambda now, guest, ending, closed, remark: ended(
-            now, guest, Ending.NOT_SENT, closed, remark
+            now, guest, DispatchOutcome.NOT_SENT, closed, remark
         )
 
     fleet.start_planner = lawless
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -5,13 +5,13 @@
 import pytest
 import trio
 
-from hazelhold.scheduler import Scheduler
 from hazelhold.config.load import ConfigError
 from hazelhold.engine import owners, permission
 from hazelhold.engine.list_lease import Lapse, ListLease
 from hazelhold.platform import discovery
 from hazelhold.platform.codec import BinaryMessage
 from hazelhold.platform.configuration import check_start
+from hazelhold.scheduler import Scheduler
 from tests.platform_rig import DEPLOYMENT, PLACED, Machine, Rig, end, event, file, host, play, set_up
 
 # For how long a confirmation holds.
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -11,12 +11,12 @@
     offer_denied,
     start_denied,
 )
-from hazelhold.interface import Effect, Mode, Place, Product
+from hazelhold.interface import GuestClass, MachineMode, RepeatSemantics, Scope
 from hazelhold.protocol import messages as m
 
 
-def product(effect: Effect, window: int = 1000) -> Product:
-    return Product(effect, Place.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Place.NOWHERE, 1)
+def product(effect: RepeatSemantics, window: int = 1000) -> GuestClass:
+    return GuestClass(effect, Scope.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Scope.NOWHERE, 1)
 
 
 def case(**changes: object) -> Case:
@@ -34,12 +34,12 @@
     return made
 
 
-def fellow(mode: Mode = Mode.READY) -> Fellow:
+def fellow(mode: MachineMode = MachineMode.READY) -> Fellow:
     return Fellow("a", "a:1", mode, 0, 0, 0)
 
 
-EXCLUSIVE, TICKETED = product(Effect.EXCLUSIVE), product(Effect.TICKETED)
-RERUNNABLE = product(Effect.RERUNNABLE)
+EXCLUSIVE, TICKETED = product(RepeatSemantics.EXCLUSIVE), product(RepeatSemantics.TICKETED)
+RERUNNABLE = product(RepeatSemantics.RERUNNABLE)
 
 
 @pytest.mark.parametrize(
@@ -58,14 +58,14 @@
         (case(offers=4), 0, RERUNNABLE, fellow(), True, Denial.TOO_MANY),
         (case(due_at=50), 0, RERUNNABLE, fellow(), True, Denial.OUT_OF_TIME),
         (case(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (case(), 0, RERUNNABLE, fellow(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (case(), 0, RERUNNABLE, fellow(MachineMode.CORDONED), True, Denial.MACHINE_DRAINING),
         (case(), 0, RERUNNABLE, fellow(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
 def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
     in_hand: Case | None,
     attempt: int,
-    of: Product,
+    of: GuestClass,
     where: Fellow | None,
     list_holds: bool,
     denial: Denial | None,
@@ -91,7 +91,7 @@
 
 def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
     monitor = RuleMonitor(most_attempts=2)
-    once = Effect.EXCLUSIVE
+    once = RepeatSemantics.EXCLUSIVE
     assert monitor.attempt_leaves("sound", "a", once, list_holds=True) == []
     monitor.attempt_ended("sound", may_have_run=False)
     assert monitor.attempt_leaves("sound", "b", once, list_holds=True) == []
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -10,7 +10,7 @@
 
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.links import ENDINGS
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.platform import words
 from hazelhold.platform.codec import (
     CAUSE,
@@ -362,44 +362,52 @@
 @pytest.mark.parametrize(
     ("line", "placed", "ending", "remark"),
     [
-        ({"why": 34, "note": "mem_full"}, False, Ending.TURNED_BACK, Remark.NO_MEMORY),
-        ({"why": 34, "note": "cpu_full"}, False, Ending.TURNED_BACK, Remark.NO_CORES),
-        ({"why": 34, "note": "busy"}, False, Ending.TURNED_BACK, Remark.LINE_FULL),
-        ({"why": 34, "note": "wrong_host"}, False, Ending.TURNED_BACK, Remark.NOT_HERE),
-        ({"why": 34}, False, Ending.TURNED_BACK, Remark.NONE),
-        ({"why": 47}, False, Ending.ERROR, Remark.NONE),
-        ({"why": 102}, False, Ending.NOT_SENT, Remark.NONE),
-        ({"why": 41}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 41, "note": "oom"}, False, Ending.CUT_OFF, Remark.EVICTED),
-        ({"why": 41, "note": "preempted"}, False, Ending.CUT_OFF, Remark.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, False, Ending.CUT_OFF, Remark.SENT_AWAY),
-        ({"why": 41, "note": "busy"}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 47, "note": "oom"}, False, Ending.ERROR, Remark.NONE),
-        ({"why": 34, "note": "oom"}, False, Ending.TURNED_BACK, Remark.NONE),
-        ({"why": 16}, False, Ending.DONE, Remark.NONE),  # its answer is late: it was accepted, and ran
-        ({"why": 31}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 99}, False, Ending.CUT_OFF, Remark.NONE),
-        ({}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 16}, True, Ending.DONE, Remark.NONE),
-        ({"why": 31}, True, Ending.CALLED_OFF, Remark.NONE),
-        ({"why": 41, "note": "oom"}, True, Ending.CUT_OFF, Remark.EVICTED),
-        ({"why": 41, "note": "preempted"}, True, Ending.CUT_OFF, Remark.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, True, Ending.CUT_OFF, Remark.SENT_AWAY),
-        ({"why": 41}, True, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 34}, True, Ending.CUT_OFF, Remark.NONE),
+        ({"why": 34, "note": "mem_full"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_MEMORY),
+        ({"why": 34, "note": "cpu_full"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_CORES),
+        ({"why": 34, "note": "busy"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.LINE_FULL),
+        ({"why": 34, "note": "wrong_host"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NOT_HERE),
+        ({"why": 34}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+        ({"why": 47}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
+        ({"why": 102}, False, DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
+        ({"why": 41}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
+        ({"why": 41, "note": "drained"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
+        ({"why": 41, "note": "busy"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 47, "note": "oom"}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
+        ({"why": 34, "note": "oom"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+        (
+            {"why": 16},
+            False,
+            DispatchOutcome.DONE,
+            OutcomeReason.NONE,
+        ),  # its answer is late: it was accepted, and ran
+        ({"why": 31}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 99}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 16}, True, DispatchOutcome.DONE, OutcomeReason.NONE),
+        ({"why": 31}, True, DispatchOutcome.CALLED_OFF, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
+        ({"why": 41, "note": "drained"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
+        ({"why": 41}, True, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 34}, True, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
     ],
 )
 def test_every_ending_means_what_it_means_on_the_simulator(
-    line: dict, placed: bool, ending: Ending, remark: Remark
+    line: dict, placed: bool, ending: DispatchOutcome, remark: OutcomeReason
 ) -> None:
     fields = {"note": line["note"]} if "note" in line else {}
     message = words.from_machine(Line("end", "1", fields, line.get("why")), placed)
     if isinstance(message, m.Refused):
         from hazelhold.engine.links import REMARKS
 
-        assert (ending, remark) == (Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+        assert (ending, remark) == (
+            DispatchOutcome.TURNED_BACK,
+            REMARKS.get(message.remark, OutcomeReason.NONE),
+        )
     else:
-        assert ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE)) == (ending, remark)
+        assert ENDINGS.get(message.how, (DispatchOutcome.CUT_OFF, OutcomeReason.NONE)) == (ending, remark)
 
 
 def test_notes_reports_and_tests_mean_what_they_mean_on_the_simulator() -> None:
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from hazelhold.interface import Place
+from hazelhold.interface import Scope
 from hazelhold.platform import discovery
 from tests.platform_rig import DEPLOYMENT, PLACED, Bulletin, Rig, event, file, host, play, set_up
 
@@ -116,7 +116,7 @@
         await trio.sleep(0.1)
         machines = rig.planner.engine.scheduler.machines
         assert len({machines[name].listed.zone for name in "abc"}) == 3
-        assert len({machines[name].place(Place.CELL) for name in "abc"}) == 3  # block 0 of each
+        assert len({machines[name].place(Scope.CELL) for name in "abc"}) == 3  # block 0 of each
 
     play(test, machines="abc")
 
@@ -127,7 +127,9 @@
 
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
-        assert len(rig.planner.engine.scheduler.machines) == 1100 and rig.planner.engine.facts.planners == 1024
+        assert (
+            len(rig.planner.engine.scheduler.machines) == 1100 and rig.planner.engine.facts.planners == 1024
+        )
         rig.bulletin.events += [event(2, *(each | {"health": "terminating"} for each in hosts))]
         await trio.sleep(0.1)
         assert [f.name for f in rig.planner.engine.roster.fellows.values() if f.mode.name == "READY"] == ["a"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,11 +3,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from hazelhold.interface import (
+    DecisionKind,
+    DispatchOutcome,
+    Load,
+    MachineMode,
+    OutcomeReason,
+    RepeatSemantics,
+    Scope,
+)
 from hazelhold.scheduler import Scheduler
-from hazelhold.interface import Effect, Ending, Load, Mode, Place, Remark, Step
 from tests.helpers import DEPLOYMENT, MS, PRODUCTS, ask, entry
 
-PROOF = (Ending.TURNED_BACK, Ending.NO_CONNECTION, Ending.NOT_SENT)
+PROOF = (DispatchOutcome.TURNED_BACK, DispatchOutcome.NO_CONNECTION, DispatchOutcome.NOT_SENT)
 CELLS = {name: at // 2 for at, name in enumerate("abcdef")}
 
 
@@ -34,13 +42,13 @@
         assert not answered and not placed and not self.out(guest) and now + span <= ends
         assert guest not in self.cancelled
         assert len(sent) < DEPLOYMENT.max_dispatches
-        assert self.modes.get(machine) is Mode.READY
+        assert self.modes.get(machine) is MachineMode.READY
         ran = self.may_have_run(guest)
-        assert not (ran and effect is Effect.EXCLUSIVE)
-        if ran and effect is Effect.TICKETED:
+        assert not (ran and effect is RepeatSemantics.EXCLUSIVE)
+        if ran and effect is RepeatSemantics.TICKETED:
             assert now <= min(d[1] for d in ran) + PRODUCTS[product].window
-            assert PRODUCTS[product].group is Place.ALL or CELLS[machine] == CELLS[ran[0][0]]
-        if PRODUCTS[product].spread is Place.MACHINE:
+            assert PRODUCTS[product].group is Scope.ALL or CELLS[machine] == CELLS[ran[0][0]]
+        if PRODUCTS[product].spread is Scope.MACHINE:
             there = sum(
                 d[0] == machine and d[2] is None
                 for h in self.history.values()
@@ -54,17 +62,17 @@
             assert recent <= -(-DEPLOYMENT.cold_offers // self.planners)  # their sum: see test_decisions
         sent.append([machine, now, None])
 
-    def answer(self, now: int, guest: str, step: Step) -> None:
+    def answer(self, now: int, guest: str, step: DecisionKind) -> None:
         product, ends, answered, placed, _ = self.history[guest]
         assert not answered and not placed and now <= ends + 8 * MS
-        if step is Step.TURN_BACK:
+        if step is DecisionKind.TURN_BACK:
             effect, ran = PRODUCTS[product].effect, self.may_have_run(guest) or self.out(guest)
             assert not (
                 ran
                 and (
-                    effect is Effect.EXCLUSIVE
-                    or effect is Effect.TICKETED
-                    and PRODUCTS[product].group is not Place.ALL
+                    effect is RepeatSemantics.EXCLUSIVE
+                    or effect is RepeatSemantics.TICKETED
+                    and PRODUCTS[product].group is not Scope.ALL
                 )
             )
         self.history[guest][2] = True
@@ -94,7 +102,7 @@
     scheduler = Scheduler(3, DEPLOYMENT._replace(planners=planners, confirms_running=running))
     model, now = Model(planners), 10**9
     scheduler.machines_listed(now, [entry(n, cell=CELLS[n]) for n in "abcdef"], True)
-    model.modes = dict.fromkeys("abcdef", Mode.READY)
+    model.modes = dict.fromkeys("abcdef", MachineMode.READY)
     for at, (what, pick, kind, wait) in enumerate([*steps, *[("wait", 0, 0, 400)] * 16]):
         name, machine = f"g{at}", "abcdef"[kind % 6]
         open_now = [(g, h) for g, h in model.history.items() if model.out(g)]
@@ -103,15 +111,15 @@
             for more in range(15 if wait > 250 else 1):  # a crowd at times
                 model.history[f"{name}.{more}"] = [kind % 5, now + patience, False, False, []]
                 scheduler.guest_arrived(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
-        elif what == "found" and PRODUCTS[kind % 5].spread is Place.NOWHERE:
+        elif what == "found" and PRODUCTS[kind % 5].spread is Scope.NOWHERE:
             model.history[name] = [kind % 5, now, False, True, [[machine, now, None]]]
             scheduler.guest_found(now, machine, ask(name, kind % 5))
         elif what == "end" and open_now:
             guest, held = open_now[pick % len(open_now)]
-            ending = list(Ending)[kind % 8]
+            ending = list(DispatchOutcome)[kind % 8]
             closed = held[2] or held[3]
             held[4][-1][2] = ending
-            remark = Remark(pick % 5)
+            remark = OutcomeReason(pick % 5)
             scheduler.dispatch_ended(now, guest, ending, closed, remark)
         elif what == "taken" and open_now:
             guest, held = open_now[pick % len(open_now)]
@@ -119,7 +127,7 @@
                 held[3] = True
                 scheduler.dispatch_taken(now, guest, 5 * MS)
         elif what == "list":
-            mode, started = list(Mode)[pick % 3], now if pick % 2 else 0
+            mode, started = list(MachineMode)[pick % 3], now if pick % 2 else 0
             named = machine if kind < 6 else "abcdef"[: kind - 3]  # one machine, or most or all of them
             for machine in named:
                 model.modes[machine] = mode
@@ -135,10 +143,12 @@
         elif what == "late" and model.history:
             guest = list(model.history)[pick % len(model.history)]
             asked, ends, answered, placed, sent = model.history[guest]
-            given_up = [d for d in sent if d[2] is Ending.OVERDUE]
-            if given_up and PRODUCTS[asked].spread is Place.NOWHERE:
+            given_up = [d for d in sent if d[2] is DispatchOutcome.OVERDUE]
+            if given_up and PRODUCTS[asked].spread is Scope.NOWHERE:
                 held = not answered and not placed and not model.out(guest)
-                unknown = guest not in scheduler.guests and PRODUCTS[asked].effect is not Effect.RERUNNABLE
+                unknown = (
+                    guest not in scheduler.guests and PRODUCTS[asked].effect is not RepeatSemantics.RERUNNABLE
+                )
                 scheduler.copy_stands(now, given_up[0][0], ask(guest, asked))
                 if held or unknown:  # it is the guest's place from here on; no final answer may follow
                     assert scheduler.guests[guest].placed
@@ -155,12 +165,12 @@
                 decision = scheduler.decide(now)
                 if decision is None:
                     break
-                if decision.step is Step.DISPATCH:
+                if decision.step is DecisionKind.DISPATCH:
                     model.dispatch(now, decision.guest, decision.machine, decision.span)
-                elif decision.step is Step.CALL_OFF:
-                    copy = any(d[2] is Ending.OVERDUE for d in model.history[decision.guest][4])
+                elif decision.step is DecisionKind.CALL_OFF:
+                    copy = any(d[2] is DispatchOutcome.OVERDUE for d in model.history[decision.guest][4])
                     assert decision.guest in model.cancelled or copy
-                elif decision.step in (Step.TURN_BACK, Step.BREAK_OFF):
+                elif decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF):
                     model.answer(now, decision.guest, decision.step)
             else:
                 raise AssertionError("decide does not come to an end")
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -6,7 +6,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
 from hazelhold.state.ledger import Ledger
-from tests.helpers import MS, EngineHarness, ask, scheduler, of, stand
+from tests.helpers import MS, EngineHarness, ask, of, scheduler, stand
 from tests.state_rig import S
 
 
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.scheduler import Scheduler, Guest, Machine, Service
-from hazelhold.interface import Ending, Load, Remark, Step
+from hazelhold.interface import DecisionKind, DispatchOutcome, Load, OutcomeReason
+from hazelhold.scheduler import Guest, Machine, Scheduler, ServiceUsage
 from hazelhold.state import snapshot
 from tests.helpers import DEPLOYMENT, MS, ask, scheduler
 from tests.state_rig import S
@@ -51,7 +51,7 @@
         "services",
     }
     assert vars(made.machines["a"]).keys() - own == {*snapshot.MACHINE_TIMES, *snapshot.MACHINE_PLAIN}
-    assert vars(Service()).keys() == {"samples", "guests", "seen", "order", "order_of"}
+    assert vars(ServiceUsage()).keys() == {"samples", "guests", "seen", "order", "order_of"}
     assert Guest and Machine
 
 
@@ -71,8 +71,15 @@
             made.cores_used(now, name, random.random())
             made.memory_used(now, name, random.random())
         else:
-            ending = random.choice([Ending.TURNED_BACK, Ending.OVERDUE, Ending.CUT_OFF, Ending.DONE])
-            made.dispatch_ended(now, name, ending, guest.placed, random.choice(list(Remark)))
+            ending = random.choice(
+                [
+                    DispatchOutcome.TURNED_BACK,
+                    DispatchOutcome.OVERDUE,
+                    DispatchOutcome.CUT_OFF,
+                    DispatchOutcome.DONE,
+                ]
+            )
+            made.dispatch_ended(now, name, ending, guest.placed, random.choice(list(OutcomeReason)))
     elif what == 7:
         made.machine_reported(
             now, random.choice("abcd"), Load(random.uniform(0, 24), random.uniform(0, 40), None)
@@ -81,7 +88,7 @@
         made.guest_cancelled(now, random.choice(names))
     while (decision := made.decide(now)) is not None:
         found.append(decision)
-        if decision.step in (Step.TURN_BACK, Step.BREAK_OFF):
+        if decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF):
             made.guest_left(now, decision.guest)
     return found
 
