--- a/bench/module.py
+++ b/bench/module.py
@@ -58,9 +58,9 @@
     """All decisions of one generated day; what happens depends on the seed and on earlier decisions."""
     plain = throughput.deployment(throughput.planner_config())
     kinds = (
-        (today.RepeatSemantics.RERUNNABLE, today.Scope.ALL, 1.0, today.Scope.NOWHERE),
-        (today.RepeatSemantics.EXCLUSIVE, today.Scope.ALL, 2.0, today.Scope.MACHINE),
-        (today.RepeatSemantics.TICKETED, today.Scope.CELL, 1.5, today.Scope.ZONE),
+        (today.RepeatSemantics.IDEMPOTENT, today.Scope.ALL, 1.0, today.Scope.NOWHERE),
+        (today.RepeatSemantics.AT_MOST_ONCE, today.Scope.ALL, 2.0, today.Scope.MACHINE),
+        (today.RepeatSemantics.DEDUPLICATED, today.Scope.CELL, 1.5, today.Scope.ZONE),
     )
     products = tuple(
         plain.products[0]._replace(
@@ -141,10 +141,10 @@
         while (decision := made.decide(now)) is not None:
             found.append(decision)
             if (
-                decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF)
+                decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL)
                 and decision.guest in made.guests
             ):
-                made.dispatch_ended(now, decision.guest, DispatchOutcome.OVERDUE, True, OutcomeReason.NONE)
+                made.dispatch_ended(now, decision.guest, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE)
         found.append(Decision(DecisionKind.PROBE, "next", str(made.next_look(now))))
     return found
 
@@ -159,12 +159,12 @@
     else:
         ending = random.choice(
             [
-                DispatchOutcome.TURNED_BACK,
-                DispatchOutcome.TURNED_BACK,
-                DispatchOutcome.OVERDUE,
-                DispatchOutcome.CUT_OFF,
-                DispatchOutcome.NO_CONNECTION,
-                DispatchOutcome.DONE,
+                DispatchOutcome.REFUSED,
+                DispatchOutcome.REFUSED,
+                DispatchOutcome.TIMED_OUT,
+                DispatchOutcome.INTERRUPTED,
+                DispatchOutcome.UNREACHABLE,
+                DispatchOutcome.COMPLETED,
                 DispatchOutcome.ERROR,
             ]
         )
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -130,7 +130,7 @@
         if number >= running:
             waits.record_value(max(1, round((time.perf_counter() - began) * 1e6)))
         if len(held) > running:
-            scheduler.dispatch_ended(now, held.pop(0), DispatchOutcome.DONE, True, OutcomeReason.NONE)
+            scheduler.dispatch_ended(now, held.pop(0), DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     return {
         "guests_a_second": guests / (time.process_time() - start),
         "median_us": waits.get_value_at_percentile(50),
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -16,9 +16,9 @@
 Millis = Annotated[float, Meta(gt=0, le=86_400_000)]
 Whole = Annotated[int, Meta(ge=0, le=1 << 31)]
 EFFECTS = {
-    "rerunnable": interface.RepeatSemantics.RERUNNABLE,
-    "ticketed": interface.RepeatSemantics.TICKETED,
-    "exclusive": interface.RepeatSemantics.EXCLUSIVE,
+    "rerunnable": interface.RepeatSemantics.IDEMPOTENT,
+    "ticketed": interface.RepeatSemantics.DEDUPLICATED,
+    "exclusive": interface.RepeatSemantics.AT_MOST_ONCE,
 }
 PLACES = {
     "nowhere": interface.Scope.NOWHERE,
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -20,7 +20,7 @@
         self._hold(case)
         fellow = self.roster.fellows.get(machine)
         if fellow is None:
-            self._not_sent(now, case, DispatchOutcome.NO_CONNECTION)
+            self._not_sent(now, case, DispatchOutcome.UNREACHABLE)
             return
         link = self._dial(now, fellow)
         if link.state == "up" and link.rolled:
@@ -89,13 +89,13 @@
         now: int,
         case: Case,
         how: str,
-        ending: DispatchOutcome = DispatchOutcome.CUT_OFF,
+        ending: DispatchOutcome = DispatchOutcome.INTERRUPTED,
         remark: OutcomeReason = OutcomeReason.NONE,
     ) -> None:
         """A placed guest's end, or a dispatch whose machine is lost."""
         if not case.placed:
             self._give_up(now, case)
-            self._ended(now, case, DispatchOutcome.CUT_OFF if case.sent else DispatchOutcome.NOT_SENT, remark)
+            self._ended(now, case, DispatchOutcome.INTERRUPTED if case.sent else DispatchOutcome.NOT_SENT, remark)
             return
         self.counts["ended_" + how[:20]] += 1
         self._task_event("released", case, how)
@@ -156,7 +156,7 @@
         if case.machine:
             self._give_up(now, case)
             self._unhold(case)
-            self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.OVERDUE, True, OutcomeReason.NONE)
+            self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE)
             self.monitor.attempt_ended(case.name, may_have_run=case.sent)
             case.machine = ""
         self._answer(now, case, message, case.asks)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -100,12 +100,12 @@
             if case and case.machine and not case.placed and case.attempt == attempt:
                 if case.sent:
                     self._give_up(now, case)
-                    self._ended(now, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
+                    self._ended(now, case, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
                 else:  # on a link that is up it waited for its claim
                     link = self.links.get(case.machine)
                     waited = link is not None and link.state == "up" and link.rolled
                     self._not_sent(
-                        now, case, DispatchOutcome.NOT_SENT if waited else DispatchOutcome.NO_CONNECTION
+                        now, case, DispatchOutcome.NOT_SENT if waited else DispatchOutcome.UNREACHABLE
                     )
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
@@ -159,22 +159,22 @@
         step, name, machine, span = decision
         if step is DecisionKind.DISPATCH:
             self._dispatch(now, self.cases[name], machine, span)
-        elif step is DecisionKind.TURN_BACK:
+        elif step is DecisionKind.REFUSE:
             case = self.cases[name]
             why = "cancelled" if case.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if case.cancelled else self._later(now, case.guest, span)
             self._final(
                 now, case, m.TurnedBack(guest=case.guest, ask=case.ask, reason=why, again_after=later)
             )
-        elif step is DecisionKind.BREAK_OFF:
+        elif step is DecisionKind.FAIL:
             case = self.cases[name]
             why = "cancelled" if case.cancelled else "may_have_run" if case.attempt >= 0 else "no_machine"
             self._final(now, case, m.BrokenOff(guest=case.guest, ask=case.ask, reason=why))
-        elif step is DecisionKind.CALL_OFF:
+        elif step is DecisionKind.WITHDRAW:
             self._call_off(now, name, machine)
         elif step is DecisionKind.PROBE:
             self._probe(now, machine)
-        elif step is DecisionKind.FOLLOW_LIST:
+        elif step is DecisionKind.WATCH_LIST:
             self.list_due = now + 2_000_000
             self.actions.append(AskList(self.list_version))
 
@@ -194,7 +194,7 @@
         for case in list(self.cases.values()):
             if case.machine and not case.placed:
                 self._give_up(now, case)
-                self._ended(now, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
+                self._ended(now, case, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
         self._pump_all(now)
 
     def _pump_all(self, now: int) -> None:
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -241,7 +241,7 @@
     case = case_of(engine, image)
     engine.cases[case.name] = engine.newest[case.guest] = case
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.facts.products[case.product].effect is not RepeatSemantics.RERUNNABLE
+    harmful = engine.facts.products[case.product].effect is not RepeatSemantics.IDEMPOTENT
     earlier = None
     if image.unsure_at:
         earlier = EarlierDispatch(image.unsure_machine, image.unsure_at - epoch)
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -20,7 +20,7 @@
             for name in list(link.holds):
                 case = self.cases[name]
                 if case.sent and not case.placed:
-                    self._ended(now, case, DispatchOutcome.CUT_OFF, OutcomeReason.NONE)
+                    self._ended(now, case, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)
         if not self.peers.rolls and link.machine not in self.roster.fellows and not self._awaits_heir(link):
             self._forget_machine(now, link)  # it has left the list, and its connection with it
             return
@@ -53,7 +53,7 @@
 
     def _drop_queue(self, now: int, link: Link) -> None:
         for name in list(link.queue):
-            self._not_sent(now, self.cases[name], DispatchOutcome.NO_CONNECTION)
+            self._not_sent(now, self.cases[name], DispatchOutcome.UNREACHABLE)
 
     def _awaits_heir(self, link: Link) -> bool:
         """Whether a task there may stand at another machine, which the list will name with this address."""
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -10,21 +10,21 @@
 from hazelhold.protocol import messages as m
 
 ENDINGS = {
-    "done": (DispatchOutcome.DONE, OutcomeReason.NONE),
+    "done": (DispatchOutcome.COMPLETED, OutcomeReason.NONE),
     "error": (DispatchOutcome.ERROR, OutcomeReason.NONE),
-    "evicted": (DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
-    "pushed_out": (DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
-    "sent_away": (DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
-    "stopped": (DispatchOutcome.CALLED_OFF, OutcomeReason.NONE),
-    "withdrawn": (DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+    "evicted": (DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+    "pushed_out": (DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+    "sent_away": (DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+    "stopped": (DispatchOutcome.WITHDRAWN, OutcomeReason.NONE),
+    "withdrawn": (DispatchOutcome.REFUSED, OutcomeReason.NONE),
     "not_sent": (DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
 }
 STOOD = ("evicted", "pushed_out", "sent_away")  # ends of what was accepted
 REMARKS = {
     "no_cores": OutcomeReason.NO_CORES,
     "no_memory": OutcomeReason.NO_MEMORY,
-    "line_full": OutcomeReason.LINE_FULL,
-    "not_here": OutcomeReason.NOT_HERE,
+    "line_full": OutcomeReason.QUEUE_FULL,
+    "not_here": OutcomeReason.NOT_ACCEPTED,
 }
 
 
@@ -168,7 +168,7 @@
         case.spoken_at = now
         if isinstance(message, m.Taken) and not case.placed and case.called_off and not self.peers.rolls:
             # The taking back ends what was taken, and no word follows that an owner could be told.
-            self._ended(now, case, DispatchOutcome.CALLED_OFF, OutcomeReason.NONE)
+            self._ended(now, case, DispatchOutcome.WITHDRAWN, OutcomeReason.NONE)
         elif isinstance(message, m.Taken) and not case.placed:
             case.placed = True
             self._mark("guest", case.name)
@@ -192,7 +192,7 @@
         elif isinstance(message, m.Refused) and not case.placed:
             self.counts["refused_" + message.remark[:20]] += 1
             self._ended(
-                now, case, DispatchOutcome.TURNED_BACK, REMARKS.get(message.remark, OutcomeReason.NONE)
+                now, case, DispatchOutcome.REFUSED, REMARKS.get(message.remark, OutcomeReason.NONE)
             )
         elif isinstance(message, m.Started):
             self.scheduler.guest_runs(now, case.name)
@@ -204,7 +204,7 @@
         elif isinstance(message, m.Served):
             self.scheduler.guest_served(now, case.name, message.share)
         elif isinstance(message, m.Ended):
-            ending, remark = ENDINGS.get(message.how, (DispatchOutcome.CUT_OFF, OutcomeReason.NONE))
+            ending, remark = ENDINGS.get(message.how, (DispatchOutcome.INTERRUPTED, OutcomeReason.NONE))
             if case.placed:
                 self._gone(now, case, message.how, ending, remark)
             else:
@@ -282,7 +282,7 @@
             elif stand is None and same_life and running.complete:
                 self._never_arrived(now, case)
             elif stand is None:
-                self._ended(now, case, DispatchOutcome.CUT_OFF, OutcomeReason.NONE)
+                self._ended(now, case, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)
         for guest in [g for g, by in self.loose.items() if link.machine in by]:
             loose = self.loose[guest][link.machine]
             stand = there.pop((guest, loose.case.ask), None)
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -48,7 +48,7 @@
         found = []
         if account.out_at:
             found.append(Violation.TWO_OUT)
-        if account.may_have_run and effect is RepeatSemantics.EXCLUSIVE:
+        if account.may_have_run and effect is RepeatSemantics.AT_MOST_ONCE:
             found.append(Violation.REPEATED)
         if account.answered:
             found.append(Violation.AFTER_ANSWER)
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -91,7 +91,7 @@
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
         if not self.kept_well and self.facts.products[self.products[submit.product]].effect is not (
-            RepeatSemantics.RERUNNABLE
+            RepeatSemantics.IDEMPOTENT
         ):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.cases) >= self.limits.open_guests:
@@ -107,7 +107,7 @@
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
-            known is not None and self.facts.products[known].effect is RepeatSemantics.RERUNNABLE
+            known is not None and self.facts.products[known].effect is RepeatSemantics.IDEMPOTENT
         )
         if asked and not (guest in self.newest or self.loose.get(guest) or guest in self.ends):
             self.claims.look(now, guest, f"{owner}\0{guest}\0{message.ask}")
@@ -144,7 +144,7 @@
         if case.machine:
             self._unhold(case)
             self.scheduler.dispatch_ended(
-                now, case.name, DispatchOutcome.CALLED_OFF, True, OutcomeReason.NONE
+                now, case.name, DispatchOutcome.WITHDRAWN, True, OutcomeReason.NONE
             )
         self._forget(case)
         return True
--- a/hazelhold/interface.py
+++ b/hazelhold/interface.py
@@ -10,9 +10,9 @@
 class RepeatSemantics(Enum):
     """What a second run of a guest would do."""
 
-    RERUNNABLE = "does no harm"
-    TICKETED = "is known by its mark within a group of machines"
-    EXCLUSIVE = "must never happen"
+    IDEMPOTENT = "does no harm"
+    DEDUPLICATED = "is known by its mark within a group of machines"
+    AT_MOST_ONCE = "must never happen"
 
 
 class Scope(Enum):
@@ -28,13 +28,13 @@
 class DispatchOutcome(Enum):
     """How a dispatch ended."""
 
-    DONE = "the guest ran to its end"
+    COMPLETED = "the guest ran to its end"
     ERROR = "the machine reported an error"
-    TURNED_BACK = "the machine refused it, or handed it back before it ran"
-    OVERDUE = "no answer in time"
-    NO_CONNECTION = "the machine could not be reached"
-    CUT_OFF = "lost, evicted, pushed out or sent away; before it was taken: the answer broke off"
-    CALLED_OFF = "called off, moved or stopped by its owner"
+    REFUSED = "the machine refused it, or handed it back before it ran"
+    TIMED_OUT = "no answer in time"
+    UNREACHABLE = "the machine could not be reached"
+    INTERRUPTED = "lost, evicted, pushed out or sent away; before it was taken: the answer broke off"
+    WITHDRAWN = "called off, moved or stopped by its owner"
     NOT_SENT = "never left the planner"
 
 
@@ -44,11 +44,11 @@
     NONE = 0
     NO_CORES = 1
     NO_MEMORY = 2
-    LINE_FULL = 3
-    NOT_HERE = 4
+    QUEUE_FULL = 3
+    NOT_ACCEPTED = 4
     EVICTED = 5
-    PUSHED_OUT = 6
-    SENT_AWAY = 7
+    PREEMPTED = 6
+    DRAINED = 7
 
 
 class MachineMode(Enum):
@@ -181,11 +181,11 @@
     """What a decision asks of the host."""
 
     DISPATCH = "offer the guest to the machine, for at most the span"
-    TURN_BACK = "final answer: no, and trying again is harmless"
-    BREAK_OFF = "final answer: failed, with no promise"
-    CALL_OFF = "take the dispatch back, or stop the guest, on the machine"
+    REFUSE = "final answer: no, and trying again is harmless"
+    FAIL = "final answer: failed, with no promise"
+    WITHDRAW = "take the dispatch back, or stop the guest, on the machine"
     PROBE = "ask the machine for its report"
-    FOLLOW_LIST = "subscribe to changes of the list"
+    WATCH_LIST = "subscribe to changes of the list"
 
 
 class Decision(NamedTuple):
--- a/hazelhold/scheduler.py
+++ b/hazelhold/scheduler.py
@@ -25,7 +25,7 @@
 )
 
 SECOND = 1_000_000
-NEVER_RAN = (DispatchOutcome.TURNED_BACK, DispatchOutcome.NO_CONNECTION, DispatchOutcome.NOT_SENT)
+NEVER_RAN = (DispatchOutcome.REFUSED, DispatchOutcome.UNREACHABLE, DispatchOutcome.NOT_SENT)
 ROUNDS = 100  # Monte Carlo rounds for a machine: the design page's own figure
 TIE = 1.001  # one guest moves the spread by a hundredth at most: a band of 5% would make the pick a lottery
 
@@ -71,8 +71,8 @@
     def may_turn_back(self) -> bool:
         """A turn-back promises that another try is harmless."""
         effect = self.product.effect
-        return (not self.may_run or effect is RepeatSemantics.RERUNNABLE
-                or effect is RepeatSemantics.TICKETED and self.product.group is Scope.ALL)
+        return (not self.may_run or effect is RepeatSemantics.IDEMPOTENT
+                or effect is RepeatSemantics.DEDUPLICATED and self.product.group is Scope.ALL)
 
 
 class Machine:
@@ -345,9 +345,9 @@
         hands, and against two copies; a rerunnable copy goes even if the other dispatch is then refused."""
         held = self.guests.get(ask.guest)
         effect = self.deployment.products[ask.product].effect
-        if ask.guest in self.waiting or not held and effect is not RepeatSemantics.RERUNNABLE:
+        if ask.guest in self.waiting or not held and effect is not RepeatSemantics.IDEMPOTENT:
             self.guest_found(now, machine, ask)
-        elif effect is RepeatSemantics.RERUNNABLE or effect is RepeatSemantics.TICKETED and held.placed:
+        elif effect is RepeatSemantics.IDEMPOTENT or effect is RepeatSemantics.DEDUPLICATED and held.placed:
             self.to_call_off.append((ask.guest, machine))
 
     def dispatch_taken(self, now: int, name: str, took: int) -> None:
@@ -388,10 +388,10 @@
                 guest.window_ends = guest.sent_at + guest.product.window
             guest.may_run, guest.bound = True, host.place(guest.product.group)
         # A refusal may come twice: an exclusive guest stays away from those that refused it, too.
-        once = guest.product.effect is RepeatSemantics.EXCLUSIVE and ending is DispatchOutcome.TURNED_BACK
+        once = guest.product.effect is RepeatSemantics.AT_MOST_ONCE and ending is DispatchOutcome.REFUSED
         if not self.deployment.dispatches_named and (once or ending not in NEVER_RAN):
             guest.tried.append(host.listed.machine)
-        if ending is DispatchOutcome.TURNED_BACK and guest.dispatches > 1:
+        if ending is DispatchOutcome.REFUSED and guest.dispatches > 1:
             # Twice refused: everybody is after the same room. The rest of its dispatches are spread over its
             # patience, drawn so that crowds thin out, from a quarter second and twice as long each time.
             guest.rests_until = now + int(SECOND // 8 * 2 ** guest.dispatches * self.random.uniform(0.5, 1.5))
@@ -528,29 +528,29 @@
 
     def _judge(self, machine: Machine, guest: Guest, ending: DispatchOutcome, remark: OutcomeReason, now: int) -> None:
         """What an ended dispatch says of its machine."""
-        if ending is DispatchOutcome.TURNED_BACK:
-            if remark in (OutcomeReason.LINE_FULL, OutcomeReason.NONE):
+        if ending is DispatchOutcome.REFUSED:
+            if remark in (OutcomeReason.QUEUE_FULL, OutcomeReason.NONE):
                 # Against any crowd of offers, and a refusal that comes twice: about as long as lines last.
                 machine.full[0] = now + SECOND // 4, 0.0
             elif remark in (OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY):
                 axis, much = (0, guest.ask.cores) if remark is OutcomeReason.NO_CORES else (1, guest.ask.memory)
                 machine.full[axis] = now + SECOND, much  # about a list period
-            elif remark is OutcomeReason.NOT_HERE and self._tests_are_told():
+            elif remark is OutcomeReason.NOT_ACCEPTED and self._tests_are_told():
                 self._suspect_drain(machine, now)
-            elif remark is OutcomeReason.NOT_HERE and not guest.may_run:
+            elif remark is OutcomeReason.NOT_ACCEPTED and not guest.may_run:
                 machine.avoid_until = now + SECOND
-        elif ending is DispatchOutcome.CUT_OFF and guest.placed:
-            if remark is OutcomeReason.SENT_AWAY and self._tests_are_told():
+        elif ending is DispatchOutcome.INTERRUPTED and guest.placed:
+            if remark is OutcomeReason.DRAINED and self._tests_are_told():
                 self._suspect_drain(machine, now)
             if remark is OutcomeReason.NONE and now - machine.cold_at > SECOND:
                 self._restarted(machine, now)
                 self._strike(machine, now, mute=True)
-        elif ending in (DispatchOutcome.NO_CONNECTION, DispatchOutcome.OVERDUE):
-            if ending is DispatchOutcome.NO_CONNECTION or machine.heard_at <= guest.sent_at:
+        elif ending in (DispatchOutcome.UNREACHABLE, DispatchOutcome.TIMED_OUT):
+            if ending is DispatchOutcome.UNREACHABLE or machine.heard_at <= guest.sent_at:
                 self._strike(machine, now, mute=True)
-            if ending is DispatchOutcome.NO_CONNECTION and now - machine.cold_at > self.deployment.cold_for:
+            if ending is DispatchOutcome.UNREACHABLE and now - machine.cold_at > self.deployment.cold_for:
                 self._restarted(machine, now)
-        elif not guest.placed and ending in (DispatchOutcome.ERROR, DispatchOutcome.CUT_OFF):
+        elif not guest.placed and ending in (DispatchOutcome.ERROR, DispatchOutcome.INTERRUPTED):
             machine.answered(60 * SECOND)
             self._strike(machine, now, mute=False)
 
@@ -587,7 +587,7 @@
     def decide(self, now: int) -> Decision | None:
         """The next thing to do at this moment, or None."""
         if self.to_call_off:
-            return Decision(DecisionKind.CALL_OFF, *self.to_call_off.popleft())
+            return Decision(DecisionKind.WITHDRAW, *self.to_call_off.popleft())
         return self._keep_list(now) or self._answer_due(now) or self._place_next(now) or self._probe(now)
 
     def next_look(self, now: int) -> int | None:
@@ -602,7 +602,7 @@
         if not self.deployment.list_is_asked or now < self.ask_list_at:
             return None
         self.ask_list_at = now + int(self.random.uniform(2, 3) * SECOND)  # an answer is due before
-        return Decision(DecisionKind.FOLLOW_LIST)
+        return Decision(DecisionKind.WATCH_LIST)
 
     def _answer_due(self, now: int) -> Decision | None:
         """The next final answer; all guests are looked through only when one may be due."""
@@ -612,20 +612,20 @@
             product = guest.product
             spent = guest.dispatches >= self.deployment.max_dispatches
             stuck = guest.may_run and (
-                product.effect is RepeatSemantics.EXCLUSIVE
-                or product.effect is RepeatSemantics.TICKETED and now >= guest.window_ends - SECOND // 20)
+                product.effect is RepeatSemantics.AT_MOST_ONCE
+                or product.effect is RepeatSemantics.DEDUPLICATED and now >= guest.window_ends - SECOND // 20)
             if spent or stuck or guest.unwanted or now >= guest.answer_by:
-                step = DecisionKind.TURN_BACK if guest.may_turn_back() else DecisionKind.BREAK_OFF
+                step = DecisionKind.REFUSE if guest.may_turn_back() else DecisionKind.FAIL
                 self._drop(guest)
                 return Decision(step, guest.ask.guest)
         for guest in self.guests.values():
             if guest.machine and not guest.placed and not guest.over and now >= guest.patience_at:
                 guest.over = True
-                return Decision(DecisionKind.BREAK_OFF, guest.ask.guest)
+                return Decision(DecisionKind.FAIL, guest.ask.guest)
         # A dispatch that ends clears this; until then only time makes an answer due.
         self.answer_at = min([g.patience_at for g in self.out.values() if not g.over] + [
             min(g.answer_by, g.window_ends - SECOND // 20) if g.may_run and (
-                g.product.effect is RepeatSemantics.TICKETED) else g.answer_by
+                g.product.effect is RepeatSemantics.DEDUPLICATED) else g.answer_by
             for g in self.waiting.values()], default=now + 60 * SECOND)
         return None
 
@@ -644,7 +644,7 @@
         if self.due is None:  # sorted once a moment; who was looked at falls out at the end
             due = [g for g in self.waiting.values() if g.look_at <= now]
             if not self.kept_well:
-                for guest in [g for g in due if g.product.effect is not RepeatSemantics.RERUNNABLE]:
+                for guest in [g for g in due if g.product.effect is not RepeatSemantics.IDEMPOTENT]:
                     due.remove(guest)
                     guest.look_at = now + SECOND // 5
             self.due = sorted(due, key=lambda g: (-g.product.payoff * g.ask.memory, g.patience_at))
@@ -686,7 +686,7 @@
             return False
         if machine.listed.machine in guest.tried:  # guards against two copies: it may speak late
             return False
-        if guest.bound and product.effect is RepeatSemantics.TICKETED and machine.place(product.group) != guest.bound:
+        if guest.bound and product.effect is RepeatSemantics.DEDUPLICATED and machine.place(product.group) != guest.bound:
             return False
         if (product.spread is not Scope.NOWHERE
                 and self.spread.get(self._spread_key(guest, machine), 0) >= product.spread_most):
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -26,20 +26,20 @@
 from hazelhold.scheduler import Scheduler
 
 ENDINGS = {
-    "completed": DispatchOutcome.DONE,
+    "completed": DispatchOutcome.COMPLETED,
     "errored": DispatchOutcome.ERROR,
-    "saturated": DispatchOutcome.TURNED_BACK,
-    "overdue": DispatchOutcome.OVERDUE,
-    "refused_conn": DispatchOutcome.NO_CONNECTION,
-    "severed": DispatchOutcome.CUT_OFF,
-    "recalled": DispatchOutcome.CALLED_OFF,
+    "saturated": DispatchOutcome.REFUSED,
+    "overdue": DispatchOutcome.TIMED_OUT,
+    "refused_conn": DispatchOutcome.UNREACHABLE,
+    "severed": DispatchOutcome.INTERRUPTED,
+    "recalled": DispatchOutcome.WITHDRAWN,
     "superseded": DispatchOutcome.NOT_SENT,
 }
 MODES = {"healthy": MachineMode.READY, "cordoned": MachineMode.CORDONED, "deregistered": MachineMode.GONE}
 EFFECTS = {
-    "retryable": RepeatSemantics.RERUNNABLE,
-    "dedup": RepeatSemantics.TICKETED,
-    "fragile": RepeatSemantics.EXCLUSIVE,
+    "retryable": RepeatSemantics.IDEMPOTENT,
+    "dedup": RepeatSemantics.DEDUPLICATED,
+    "fragile": RepeatSemantics.AT_MOST_ONCE,
 }
 PLACES = {
     "off": Scope.NOWHERE,
@@ -336,9 +336,9 @@
     step, guest, machine, span = decision
     if step is DecisionKind.DISPATCH:
         return f"BIND {who} {guest} {machine} {millis(span)}"
-    if step is DecisionKind.TURN_BACK:
+    if step is DecisionKind.REFUSE:
         return f"SAY_NO {who} {guest} {millis(span)}"
-    if step is DecisionKind.BREAK_OFF:
+    if step is DecisionKind.FAIL:
         return f"SURRENDER {who} {guest}"
     if step is DecisionKind.PROBE:
         return f"INSPECT {who} {machine}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,13 +28,13 @@
 
 MS = 1000
 PRODUCT = GuestClass(
-    RepeatSemantics.RERUNNABLE, Scope.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Scope.NOWHERE, 2
+    RepeatSemantics.IDEMPOTENT, Scope.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Scope.NOWHERE, 2
 )
 PRODUCTS = (
     PRODUCT,
-    PRODUCT._replace(effect=RepeatSemantics.EXCLUSIVE),
-    PRODUCT._replace(effect=RepeatSemantics.TICKETED, group=Scope.CELL),
-    PRODUCT._replace(effect=RepeatSemantics.TICKETED, group=Scope.ALL),
+    PRODUCT._replace(effect=RepeatSemantics.AT_MOST_ONCE),
+    PRODUCT._replace(effect=RepeatSemantics.DEDUPLICATED, group=Scope.CELL),
+    PRODUCT._replace(effect=RepeatSemantics.DEDUPLICATED, group=Scope.ALL),
     PRODUCT._replace(spread=Scope.MACHINE),
 )
 DEPLOYMENT = Deployment(
@@ -81,7 +81,7 @@
     """All that is decided at this moment, probes and list calls left out."""
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step not in (DecisionKind.PROBE, DecisionKind.FOLLOW_LIST):
+        if decision.step not in (DecisionKind.PROBE, DecisionKind.WATCH_LIST):
             found.append(decision)
     return found
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -56,7 +56,7 @@
                 if decision.machine == "cold":  # else it is offered past the list's room
                     sent.append(now)
                 made.dispatch_taken(now, decision.guest, 10 * MS)
-                made.dispatch_ended(now, decision.guest, DispatchOutcome.DONE, True, OutcomeReason.NONE)
+                made.dispatch_ended(now, decision.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     return sent
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -32,13 +32,13 @@
 def test_exclusive_guest_that_may_have_run_is_broken_off_at_once() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
-    assert [d.step for d in end(made, 9 * MS, sent, DispatchOutcome.OVERDUE)] == [DecisionKind.BREAK_OFF]
+    assert [d.step for d in end(made, 9 * MS, sent, DispatchOutcome.TIMED_OUT)] == [DecisionKind.FAIL]
 
 
 def test_exclusive_guest_that_never_ran_goes_again() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
-    again = end(made, 9 * MS, sent, DispatchOutcome.NO_CONNECTION)
+    again = end(made, 9 * MS, sent, DispatchOutcome.UNREACHABLE)
     assert [(d.step, d.machine != sent.machine) for d in again] == [(DecisionKind.DISPATCH, True)]
 
 
@@ -46,11 +46,11 @@
     """A second copy of the refusal would count as proof that the second dispatch never ran."""
     made = scheduler("ab", dispatches_named=False)
     first = place(made, 0, "g", 1)
-    (second,) = end(made, 100 * MS, first, DispatchOutcome.TURNED_BACK)
-    end(made, 200 * MS, second, DispatchOutcome.TURNED_BACK)
+    (second,) = end(made, 100 * MS, first, DispatchOutcome.REFUSED)
+    end(made, 200 * MS, second, DispatchOutcome.REFUSED)
     assert {first.machine, second.machine} == {"a", "b"}
     assert [d for now in range(300, 4900, 50) for d in decisions(made, now * MS)] == []
-    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.TURN_BACK]
+    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
 
 
 def test_ticketed_guest_stays_in_its_cell() -> None:
@@ -65,19 +65,19 @@
     made.machines_listed(0, [entry("a", MachineMode.CORDONED)], False)
     made.guest_arrived(0, ask("g"))
     assert decisions(made, 0) == []
-    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.TURN_BACK]
+    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
     assert decisions(made, 5100 * MS) == []
 
 
 def test_no_machines_and_unknown_ids_are_quiet() -> None:
     made = scheduler("")
     made.guest_left(0, "nobody")
-    made.dispatch_ended(0, "nobody", DispatchOutcome.DONE, True, OutcomeReason.NONE)
+    made.dispatch_ended(0, "nobody", DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     made.dispatch_taken(0, "nobody", 0)
     made.memory_pressed(0, "a", 0.9)
     made.machine_reported(0, "a", Load(None, None, None))
     made.guest_arrived(0, ask("g", patience=0))
-    assert [d.step for d in decisions(made, 0)] == [DecisionKind.TURN_BACK]
+    assert [d.step for d in decisions(made, 0)] == [DecisionKind.REFUSE]
 
 
 def test_machine_missing_from_a_whole_list_gets_nothing() -> None:
@@ -90,7 +90,7 @@
     made = scheduler()
     made.list_failed(0)
     asked = [
-        t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.step is DecisionKind.FOLLOW_LIST
+        t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.step is DecisionKind.WATCH_LIST
     ]
     assert asked and asked[0] <= 3000 and max(b - a for a, b in zip(asked, asked[1:], strict=False)) <= 3100
 
@@ -98,7 +98,7 @@
 def test_silent_machine_is_probed_before_it_gets_guests_again() -> None:
     made = scheduler()
     sent = place(made, 0, "g")
-    assert end(made, 600 * MS, sent, DispatchOutcome.OVERDUE)[0].machine != sent.machine
+    assert end(made, 600 * MS, sent, DispatchOutcome.TIMED_OUT)[0].machine != sent.machine
     probes = [d for t in range(600, 3000, 50) if (d := made.decide(t * MS)) and d.machine == sent.machine]
     assert probes and all(d.step is DecisionKind.PROBE for d in probes)
     made.probe_answered(3000 * MS, sent.machine, True)
@@ -112,7 +112,7 @@
         now = turn * 100 * MS
         sent = place(made, now, f"g{turn}")
         made.dispatch_taken(now, sent.guest, 4000 * MS if sent.machine == "a" else 10 * MS)
-        end(made, now, sent, DispatchOutcome.DONE)
+        end(made, now, sent, DispatchOutcome.COMPLETED)
     assert made.machines["a"].strikes or len(made.machines["a"].answers) < 4
     assert not made.machines["b"].strikes and not made.machines["c"].strikes
 
@@ -127,14 +127,14 @@
 def test_machine_whose_line_is_full_rests_a_quarter_second() -> None:
     made = scheduler("a")
     sent = place(made, 0, "g", cores=0.1)
-    assert end(made, MS, sent, DispatchOutcome.TURNED_BACK, OutcomeReason.LINE_FULL) == []
+    assert end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.QUEUE_FULL) == []
     assert decisions(made, 240 * MS) == [] and decisions(made, 450 * MS)
 
 
 def test_refusal_for_memory_marks_the_machine_full_for_as_much() -> None:
     made = scheduler("a")
     sent = place(made, 0, "g")
-    assert end(made, MS, sent, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_MEMORY) == []
+    assert end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY) == []
     assert place(made, 2 * MS, "small", cores=0.2).step is DecisionKind.DISPATCH
 
 
@@ -142,7 +142,7 @@
     made = scheduler("ab")
     sent = place(made, 20_000 * MS, "g")
     made.dispatch_taken(20_010 * MS, "g", 10 * MS)
-    made.dispatch_ended(30_000 * MS, "g", DispatchOutcome.CUT_OFF, True, OutcomeReason.NONE)
+    made.dispatch_ended(30_000 * MS, "g", DispatchOutcome.INTERRUPTED, True, OutcomeReason.NONE)
     assert made.machines[sent.machine].cold_at == 30_000 * MS and not made.guests
 
 
@@ -167,7 +167,7 @@
     for n in range(30):
         sent = place(made, n * MS, f"g{n}")
         made.dispatch_taken(n * MS, sent.guest, MS)
-        made.dispatch_ended(n * MS, sent.guest, DispatchOutcome.DONE, True, OutcomeReason.NONE)
+        made.dispatch_ended(n * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     made.guest_arrived(200_000 * MS, ask("late", 4))
     decisions(made, 200_000 * MS)
     assert list(made.services) == ["service-4"] and list(made.guests) == ["late"] and not made.waiting
@@ -206,8 +206,8 @@
 def test_guest_refused_twice_rests_before_it_is_offered_again() -> None:
     made = scheduler("abcd")
     sent = place(made, 0, "g")
-    again = end(made, MS, sent, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_MEMORY)[0]
-    assert end(made, 2 * MS, again, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_MEMORY) == []
+    again = end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY)[0]
+    assert end(made, 2 * MS, again, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY) == []
     made.machines_listed(3 * MS, [entry("d", room=20.0)], False)
     assert decisions(made, 60 * MS) == []
     assert decisions(made, 2000 * MS)
@@ -223,7 +223,7 @@
             found.append(decision.step)
             if decision.step is DecisionKind.DISPATCH:
                 made.dispatch_taken(now, decision.guest, 9 * MS)
-        assert [step for step in found if step is not DecisionKind.FOLLOW_LIST] == [DecisionKind.DISPATCH]
+        assert [step for step in found if step is not DecisionKind.WATCH_LIST] == [DecisionKind.DISPATCH]
 
 
 def test_where_only_probes_bring_reports_the_few_to_be_weighed_are_asked_first() -> None:
@@ -250,7 +250,7 @@
     for number in range(200):
         sent = place(made, number * MS, f"g{number}", random.choice([0, 1, 3]), cores=0.1)
         if random.random() < 0.6:
-            made.dispatch_ended(number * MS, sent.guest, DispatchOutcome.DONE, True, OutcomeReason.NONE)
+            made.dispatch_ended(number * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
         plain = Counter(g.product.priority for g in made.guests.values() if g.machine)
         assert plain == {p: n for p, n in made.seated.items() if n}
 
@@ -286,12 +286,12 @@
     made = scheduler()
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
-    assert decisions(made, 1 * MS) == [Decision(DecisionKind.CALL_OFF, "g", sent.machine)]
-    assert [d.step for d in end(made, 2 * MS, sent, DispatchOutcome.TURNED_BACK)] == [DecisionKind.TURN_BACK]
+    assert decisions(made, 1 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
+    assert [d.step for d in end(made, 2 * MS, sent, DispatchOutcome.REFUSED)] == [DecisionKind.REFUSE]
     made.machines_listed(3 * MS, [entry(n, MachineMode.CORDONED) for n in "ab"], False)
     made.guest_arrived(3 * MS, ask("h", 1))
     made.guest_cancelled(4 * MS, "h")
-    assert [d.step for d in decisions(made, 4 * MS)] == [DecisionKind.TURN_BACK]
+    assert [d.step for d in decisions(made, 4 * MS)] == [DecisionKind.REFUSE]
 
 
 def test_a_cancel_that_crosses_the_answer_stops_what_runs() -> None:
@@ -300,13 +300,13 @@
     made.guest_cancelled(1 * MS, "g")
     decisions(made, 1 * MS)
     made.dispatch_taken(2 * MS, "g", 2 * MS)
-    assert decisions(made, 2 * MS) == [Decision(DecisionKind.CALL_OFF, "g", sent.machine)]
+    assert decisions(made, 2 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
 
 
 def test_an_unsettled_earlier_dispatch_breaks_an_exclusive_guest_off_and_binds_a_ticketed_one() -> None:
     made = scheduler("abcdef")
     made.guest_arrived(0, ask("g", 1)._replace(earlier=EarlierDispatch("a", 0)))
-    assert [d.step for d in decisions(made, 0)] == [DecisionKind.BREAK_OFF]
+    assert [d.step for d in decisions(made, 0)] == [DecisionKind.FAIL]
     made.guest_arrived(0, ask("h", 2)._replace(earlier=EarlierDispatch("c", 0)))
     assert decisions(made, 0)[0].machine in ("c", "d")
     made.guest_arrived(0, ask("i")._replace(earlier=EarlierDispatch("nobody", 0)))
@@ -317,11 +317,11 @@
     made = scheduler("ab")
     for product, name in ((0, "g"), (3, "h"), (1, "i")):
         sent = place(made, 0, name, product)
-        made.dispatch_ended(1 * MS, name, DispatchOutcome.OVERDUE, product == 1, OutcomeReason.NONE)
+        made.dispatch_ended(1 * MS, name, DispatchOutcome.TIMED_OUT, product == 1, OutcomeReason.NONE)
         made.copy_stands(2 * MS, sent.machine, ask(name, product))
         assert made.guests[name].placed and decisions(made, 2 * MS) == []
     made.copy_stands(3 * MS, "a", ask("g"))
-    assert decisions(made, 3 * MS) == [Decision(DecisionKind.CALL_OFF, "g", "a")]
+    assert decisions(made, 3 * MS) == [Decision(DecisionKind.WITHDRAW, "g", "a")]
 
 
 def test_a_cold_machine_that_leaves_the_list_and_returns_without_its_start_is_still_cold() -> None:
@@ -340,7 +340,7 @@
     made = scheduler("ab")
     made.guest_arrived(0, ask("g", 2))
     made.dispatch_stands(0, "elsewhere", "g", 0)
-    made.dispatch_ended(MS, "g", DispatchOutcome.OVERDUE, False, OutcomeReason.NONE)
+    made.dispatch_ended(MS, "g", DispatchOutcome.TIMED_OUT, False, OutcomeReason.NONE)
     made_at = [d for now in range(MS, 4000 * MS, 100 * MS) for d in decisions(made, now)]
     assert all(d.step is not DecisionKind.DISPATCH for d in made_at)
 
@@ -365,17 +365,17 @@
     made = scheduler("ab")
     sent = place(made, 0, "g")
     made.machine_reported(100 * MS, sent.machine, Load(20.0, 30.0, None))
-    end(made, 500 * MS, sent, DispatchOutcome.OVERDUE)
+    end(made, 500 * MS, sent, DispatchOutcome.TIMED_OUT)
     machine = made.machines[sent.machine]
     assert not machine.mute and not machine.strikes and machine.avoid_until <= 500 * MS
     made = scheduler("ab")
     sent = place(made, 0, "g")
-    end(made, 500 * MS, sent, DispatchOutcome.OVERDUE)
+    end(made, 500 * MS, sent, DispatchOutcome.TIMED_OUT)
     machine = made.machines[sent.machine]
     assert machine.mute and machine.strikes == 1 and machine.avoid_until > 500 * MS
 
 
-@pytest.mark.parametrize("remark", [OutcomeReason.NONE, OutcomeReason.LINE_FULL])
+@pytest.mark.parametrize("remark", [OutcomeReason.NONE, OutcomeReason.QUEUE_FULL])
 def test_a_machine_that_refused_rests_longer_than_a_second_copy_of_its_refusal_takes(
     remark: OutcomeReason,
 ) -> None:
@@ -384,7 +384,7 @@
     now = 20_000 * MS
     made.guest_arrived(now, ask("g"))
     (first,) = decisions(made, now)
-    made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.TURNED_BACK, False, remark)
+    made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.REFUSED, False, remark)
     assert all(not decisions(made, now + 5 * MS + after * MS) for after in (0, 50, 100, 200))
     (again,) = decisions(made, now + 700 * MS)
     assert (again.step, again.machine) == (DecisionKind.DISPATCH, "a")
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -82,7 +82,7 @@
     harness.engine._give_up(1000 * MS, case)
     from hazelhold.interface import DispatchOutcome, OutcomeReason
 
-    harness.engine._ended(1000 * MS, case, DispatchOutcome.OVERDUE, OutcomeReason.NONE)
+    harness.engine._ended(1000 * MS, case, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
     harness.engine.machine_said(1001 * MS, machine, of(m.Taken, offer))
     harness.run(1001 * MS)
     assert len(harness.sent(m.Placed)) == 1 and len(harness.sent(m.Offer)) == 1
--- a/tests/test_fleetconfig_settings.py
+++ b/tests/test_fleetconfig_settings.py
@@ -72,7 +72,7 @@
     assert before.items() <= engine.products.items() and engine.products["added"] == len(before)
     planner.put(products__aaa={"effect": "rerunnable", "goal_ms": 300, "patience_ms": 5000})
     assert engine.products["added"] == len(before) and engine.products["aaa"] == len(before) + 1
-    assert engine.facts.products[engine.products["added"]].effect.name == "EXCLUSIVE"
+    assert engine.facts.products[engine.products["added"]].effect.name == "AT_MOST_ONCE"
     assert engine.scheduler.deployment is engine.facts
 
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -38,28 +38,28 @@
     return Fellow("a", "a:1", mode, 0, 0, 0)
 
 
-EXCLUSIVE, TICKETED = product(RepeatSemantics.EXCLUSIVE), product(RepeatSemantics.TICKETED)
-RERUNNABLE = product(RepeatSemantics.RERUNNABLE)
+AT_MOST_ONCE, DEDUPLICATED = product(RepeatSemantics.AT_MOST_ONCE), product(RepeatSemantics.DEDUPLICATED)
+IDEMPOTENT = product(RepeatSemantics.IDEMPOTENT)
 
 
 @pytest.mark.parametrize(
     "in_hand,attempt,of,where,list_holds,denial",
     [
-        (case(), 0, EXCLUSIVE, fellow(), True, None),
-        (None, 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(placed=True), 0, EXCLUSIVE, fellow(), True, Denial.OVER),
-        (case(sent=False), 0, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(attempt=2), 1, EXCLUSIVE, fellow(), True, Denial.OTHER_ATTEMPT),
-        (case(cancelled=True), 0, EXCLUSIVE, fellow(), True, Denial.CANCELLED),
-        (case(ran_from=1), 0, EXCLUSIVE, fellow(), True, Denial.MAY_HAVE_RUN),
-        (case(ran_from=1, due_at=9000), 0, TICKETED, fellow(), True, None),
-        (case(ran_from=1), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=3), 0, RERUNNABLE, fellow(), True, None),
-        (case(offers=4), 0, RERUNNABLE, fellow(), True, Denial.TOO_MANY),
-        (case(due_at=50), 0, RERUNNABLE, fellow(), True, Denial.OUT_OF_TIME),
-        (case(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (case(), 0, RERUNNABLE, fellow(MachineMode.CORDONED), True, Denial.MACHINE_DRAINING),
-        (case(), 0, RERUNNABLE, fellow(), False, Denial.LIST_NOT_CURRENT),
+        (case(), 0, AT_MOST_ONCE, fellow(), True, None),
+        (None, 0, AT_MOST_ONCE, fellow(), True, Denial.OVER),
+        (case(placed=True), 0, AT_MOST_ONCE, fellow(), True, Denial.OVER),
+        (case(sent=False), 0, AT_MOST_ONCE, fellow(), True, Denial.OTHER_ATTEMPT),
+        (case(attempt=2), 1, AT_MOST_ONCE, fellow(), True, Denial.OTHER_ATTEMPT),
+        (case(cancelled=True), 0, AT_MOST_ONCE, fellow(), True, Denial.CANCELLED),
+        (case(ran_from=1), 0, AT_MOST_ONCE, fellow(), True, Denial.MAY_HAVE_RUN),
+        (case(ran_from=1, due_at=9000), 0, DEDUPLICATED, fellow(), True, None),
+        (case(ran_from=1), 0, IDEMPOTENT, fellow(), True, None),
+        (case(offers=3), 0, IDEMPOTENT, fellow(), True, None),
+        (case(offers=4), 0, IDEMPOTENT, fellow(), True, Denial.TOO_MANY),
+        (case(due_at=50), 0, IDEMPOTENT, fellow(), True, Denial.OUT_OF_TIME),
+        (case(), 0, IDEMPOTENT, None, True, Denial.MACHINE_GONE),
+        (case(), 0, IDEMPOTENT, fellow(MachineMode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (case(), 0, IDEMPOTENT, fellow(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
 def test_an_offer_leaves_only_if_all_that_it_rested_on_still_holds(
@@ -75,8 +75,8 @@
 
 def test_a_repeat_within_its_group_ends_with_its_window() -> None:
     late = case(ran_from=1, due_at=9000)
-    assert offer_denied(1000, late, 0, TICKETED, 4, fellow(), True) is None
-    assert offer_denied(1001, late, 0, TICKETED, 4, fellow(), True) is Denial.WINDOW_CLOSED
+    assert offer_denied(1000, late, 0, DEDUPLICATED, 4, fellow(), True) is None
+    assert offer_denied(1001, late, 0, DEDUPLICATED, 4, fellow(), True) is Denial.WINDOW_CLOSED
 
 
 def test_requests_and_connections() -> None:
@@ -91,7 +91,7 @@
 
 def test_each_broken_rule_is_seen_and_sound_lives_are_not() -> None:
     monitor = RuleMonitor(most_attempts=2)
-    once = RepeatSemantics.EXCLUSIVE
+    once = RepeatSemantics.AT_MOST_ONCE
     assert monitor.attempt_leaves("sound", "a", once, list_holds=True) == []
     monitor.attempt_ended("sound", may_have_run=False)
     assert monitor.attempt_leaves("sound", "b", once, list_holds=True) == []
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -362,36 +362,36 @@
 @pytest.mark.parametrize(
     ("line", "placed", "ending", "remark"),
     [
-        ({"why": 34, "note": "mem_full"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_MEMORY),
-        ({"why": 34, "note": "cpu_full"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NO_CORES),
-        ({"why": 34, "note": "busy"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.LINE_FULL),
-        ({"why": 34, "note": "wrong_host"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NOT_HERE),
-        ({"why": 34}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+        ({"why": 34, "note": "mem_full"}, False, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY),
+        ({"why": 34, "note": "cpu_full"}, False, DispatchOutcome.REFUSED, OutcomeReason.NO_CORES),
+        ({"why": 34, "note": "busy"}, False, DispatchOutcome.REFUSED, OutcomeReason.QUEUE_FULL),
+        ({"why": 34, "note": "wrong_host"}, False, DispatchOutcome.REFUSED, OutcomeReason.NOT_ACCEPTED),
+        ({"why": 34}, False, DispatchOutcome.REFUSED, OutcomeReason.NONE),
         ({"why": 47}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
         ({"why": 102}, False, DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
-        ({"why": 41}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
-        ({"why": 41, "note": "oom"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
-        ({"why": 41, "note": "preempted"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
-        ({"why": 41, "note": "busy"}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 41}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+        ({"why": 41, "note": "drained"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+        ({"why": 41, "note": "busy"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
         ({"why": 47, "note": "oom"}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
-        ({"why": 34, "note": "oom"}, False, DispatchOutcome.TURNED_BACK, OutcomeReason.NONE),
+        ({"why": 34, "note": "oom"}, False, DispatchOutcome.REFUSED, OutcomeReason.NONE),
         (
             {"why": 16},
             False,
-            DispatchOutcome.DONE,
+            DispatchOutcome.COMPLETED,
             OutcomeReason.NONE,
         ),  # its answer is late: it was accepted, and ran
-        ({"why": 31}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
-        ({"why": 99}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
-        ({}, False, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
-        ({"why": 16}, True, DispatchOutcome.DONE, OutcomeReason.NONE),
-        ({"why": 31}, True, DispatchOutcome.CALLED_OFF, OutcomeReason.NONE),
-        ({"why": 41, "note": "oom"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.EVICTED),
-        ({"why": 41, "note": "preempted"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, True, DispatchOutcome.CUT_OFF, OutcomeReason.SENT_AWAY),
-        ({"why": 41}, True, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
-        ({"why": 34}, True, DispatchOutcome.CUT_OFF, OutcomeReason.NONE),
+        ({"why": 31}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 99}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 16}, True, DispatchOutcome.COMPLETED, OutcomeReason.NONE),
+        ({"why": 31}, True, DispatchOutcome.WITHDRAWN, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+        ({"why": 41, "note": "drained"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+        ({"why": 41}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 34}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
     ],
 )
 def test_every_ending_means_what_it_means_on_the_simulator(
@@ -403,11 +403,11 @@
         from hazelhold.engine.links import REMARKS
 
         assert (ending, remark) == (
-            DispatchOutcome.TURNED_BACK,
+            DispatchOutcome.REFUSED,
             REMARKS.get(message.remark, OutcomeReason.NONE),
         )
     else:
-        assert ENDINGS.get(message.how, (DispatchOutcome.CUT_OFF, OutcomeReason.NONE)) == (ending, remark)
+        assert ENDINGS.get(message.how, (DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)) == (ending, remark)
 
 
 def test_notes_reports_and_tests_mean_what_they_mean_on_the_simulator() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,7 @@
 from hazelhold.scheduler import Scheduler
 from tests.helpers import DEPLOYMENT, MS, PRODUCTS, ask, entry
 
-PROOF = (DispatchOutcome.TURNED_BACK, DispatchOutcome.NO_CONNECTION, DispatchOutcome.NOT_SENT)
+PROOF = (DispatchOutcome.REFUSED, DispatchOutcome.UNREACHABLE, DispatchOutcome.NOT_SENT)
 CELLS = {name: at // 2 for at, name in enumerate("abcdef")}
 
 
@@ -44,8 +44,8 @@
         assert len(sent) < DEPLOYMENT.max_dispatches
         assert self.modes.get(machine) is MachineMode.READY
         ran = self.may_have_run(guest)
-        assert not (ran and effect is RepeatSemantics.EXCLUSIVE)
-        if ran and effect is RepeatSemantics.TICKETED:
+        assert not (ran and effect is RepeatSemantics.AT_MOST_ONCE)
+        if ran and effect is RepeatSemantics.DEDUPLICATED:
             assert now <= min(d[1] for d in ran) + PRODUCTS[product].window
             assert PRODUCTS[product].group is Scope.ALL or CELLS[machine] == CELLS[ran[0][0]]
         if PRODUCTS[product].spread is Scope.MACHINE:
@@ -65,13 +65,13 @@
     def answer(self, now: int, guest: str, step: DecisionKind) -> None:
         product, ends, answered, placed, _ = self.history[guest]
         assert not answered and not placed and now <= ends + 8 * MS
-        if step is DecisionKind.TURN_BACK:
+        if step is DecisionKind.REFUSE:
             effect, ran = PRODUCTS[product].effect, self.may_have_run(guest) or self.out(guest)
             assert not (
                 ran
                 and (
-                    effect is RepeatSemantics.EXCLUSIVE
-                    or effect is RepeatSemantics.TICKETED
+                    effect is RepeatSemantics.AT_MOST_ONCE
+                    or effect is RepeatSemantics.DEDUPLICATED
                     and PRODUCTS[product].group is not Scope.ALL
                 )
             )
@@ -143,11 +143,11 @@
         elif what == "late" and model.history:
             guest = list(model.history)[pick % len(model.history)]
             asked, ends, answered, placed, sent = model.history[guest]
-            given_up = [d for d in sent if d[2] is DispatchOutcome.OVERDUE]
+            given_up = [d for d in sent if d[2] is DispatchOutcome.TIMED_OUT]
             if given_up and PRODUCTS[asked].spread is Scope.NOWHERE:
                 held = not answered and not placed and not model.out(guest)
                 unknown = (
-                    guest not in scheduler.guests and PRODUCTS[asked].effect is not RepeatSemantics.RERUNNABLE
+                    guest not in scheduler.guests and PRODUCTS[asked].effect is not RepeatSemantics.IDEMPOTENT
                 )
                 scheduler.copy_stands(now, given_up[0][0], ask(guest, asked))
                 if held or unknown:  # it is the guest's place from here on; no final answer may follow
@@ -167,10 +167,10 @@
                     break
                 if decision.step is DecisionKind.DISPATCH:
                     model.dispatch(now, decision.guest, decision.machine, decision.span)
-                elif decision.step is DecisionKind.CALL_OFF:
-                    copy = any(d[2] is DispatchOutcome.OVERDUE for d in model.history[decision.guest][4])
+                elif decision.step is DecisionKind.WITHDRAW:
+                    copy = any(d[2] is DispatchOutcome.TIMED_OUT for d in model.history[decision.guest][4])
                     assert decision.guest in model.cancelled or copy
-                elif decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF):
+                elif decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL):
                     model.answer(now, decision.guest, decision.step)
             else:
                 raise AssertionError("decide does not come to an end")
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -73,10 +73,10 @@
         else:
             ending = random.choice(
                 [
-                    DispatchOutcome.TURNED_BACK,
-                    DispatchOutcome.OVERDUE,
-                    DispatchOutcome.CUT_OFF,
-                    DispatchOutcome.DONE,
+                    DispatchOutcome.REFUSED,
+                    DispatchOutcome.TIMED_OUT,
+                    DispatchOutcome.INTERRUPTED,
+                    DispatchOutcome.COMPLETED,
                 ]
             )
             made.dispatch_ended(now, name, ending, guest.placed, random.choice(list(OutcomeReason)))
@@ -88,7 +88,7 @@
         made.guest_cancelled(now, random.choice(names))
     while (decision := made.decide(now)) is not None:
         found.append(decision)
-        if decision.step in (DecisionKind.TURN_BACK, DecisionKind.BREAK_OFF):
+        if decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL):
             made.guest_left(now, decision.guest)
     return found
 
