--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -69,8 +69,8 @@
     found = []
     while (decision := made.decide(now)) is not None:
         if decision.step is DecisionKind.DISPATCH:
-            made.dispatch_taken(now, decision.guest, 1000)
-            made.guest_runs(now, decision.guest)
+            made.dispatch_accepted(now, decision.guest, 1000)
+            made.guest_started(now, decision.guest)
             found.append(decision.guest)
     return found
 
@@ -96,7 +96,7 @@
         spent = 0.0
         for service in range(SERVICES):
             now, number = now + 3000, number + 1
-            made.guest_arrived(now, Submission(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
+            made.guest_submitted(now, Submission(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
             spent += processor_time(partial(decide_all, made, now))
         return spent / SERVICES
 
--- a/bench/module.py
+++ b/bench/module.py
@@ -102,7 +102,7 @@
         if what < 0.45:
             for _ in range(random.choice([1, 1, 5])):
                 names += 1
-                made.guest_arrived(
+                made.guest_submitted(
                     now,
                     Submission(
                         f"g{names}",
@@ -135,25 +135,22 @@
                 False,
             )
         elif what < 0.985:
-            made.state_kept(now, random.random() < 0.5)
+            made.persistence_changed(now, random.random() < 0.5)
         else:
             made.probe_answered(now, f"m{random.randrange(machines)}", random.random() < 0.5)
         while (decision := made.decide(now)) is not None:
             found.append(decision)
-            if (
-                decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL)
-                and decision.guest in made.guests
-            ):
+            if decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL) and decision.guest in made.guests:
                 made.dispatch_ended(now, decision.guest, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE)
-        found.append(Decision(DecisionKind.PROBE, "next", str(made.next_look(now))))
+        found.append(Decision(DecisionKind.PROBE, "next", str(made.next_decision_at(now))))
     return found
 
 
 def _happens(made: Any, now: int, name: str, random: Random) -> None:  # noqa: ANN401 - a Brain of either version
     guest = made.guests[name]
     if not guest.placed and random.random() < 0.6:
-        made.dispatch_taken(now, name, random.randrange(5, 400) * MS)
-        made.guest_runs(now, name)
+        made.dispatch_accepted(now, name, random.randrange(5, 400) * MS)
+        made.guest_started(now, name)
         made.cores_used(now, name, random.random() * guest.ask.cores)
         made.memory_used(now, name, random.random() * guest.ask.memory)
     else:
--- a/bench/state.py
+++ b/bench/state.py
@@ -197,7 +197,7 @@
         troubles=[Trouble(kind="planner_kill", at_s=15.0, for_s=1.0)],
     )
     if mode == "kept, not learned":
-        Scheduler.remembered = lambda *given: None
+        Scheduler.restore_learned = lambda *given: None
     with tempfile.TemporaryDirectory() as folder:
         if mode == "nothing kept":
             said = play_virtual(day, seed, Path(folder))
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -78,12 +78,12 @@
         self.spent = 0.0
         for name in (
             "decide",
-            "next_look",
-            "guest_arrived",
-            "dispatch_taken",
+            "next_decision_at",
+            "guest_submitted",
+            "dispatch_accepted",
             "dispatch_ended",
             "machine_reported",
-            "guest_runs",
+            "guest_started",
             "machines_listed",
             "cores_used",
             "memory_used",
@@ -118,15 +118,15 @@
         now += 3000
         service, cores, memory = shape(number)
         began = time.perf_counter()
-        scheduler.guest_arrived(now, Submission(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
+        scheduler.guest_submitted(now, Submission(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
         while (decision := scheduler.decide(now)) is not None:
             if decision.step is DecisionKind.DISPATCH:
-                scheduler.dispatch_taken(now, decision.guest, 1000)
-                scheduler.guest_runs(now, decision.guest)
+                scheduler.dispatch_accepted(now, decision.guest, 1000)
+                scheduler.guest_started(now, decision.guest)
                 scheduler.cores_used(now, decision.guest, cores * random.uniform(0.3, 1))
                 scheduler.memory_used(now, decision.guest, memory * random.uniform(0.3, 1))
                 held.append(decision.guest)
-        scheduler.next_look(now)
+        scheduler.next_decision_at(now)
         if number >= running:
             waits.record_value(max(1, round((time.perf_counter() - began) * 1e6)))
         if len(held) > running:
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -54,7 +54,7 @@
         self._unhold(case)
         case.machine = machine
         self._hold(case)
-        self.scheduler.guest_found(now, machine, self._ask(case, 0))
+        self.scheduler.guest_discovered(now, machine, self._ask(case, 0))
         self._task_event("moved", case, f"from {before}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -85,7 +85,7 @@
     def _drop(self, now: int, case: Case) -> None:
         """The Brain has no more to do with it: it is answered by what was agreed, or was not."""
         self._unhold(case)
-        self.scheduler.guest_left(now, case.name)
+        self.scheduler.guest_abandoned(now, case.name)
         if case.machine:
             self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.NOT_SENT, True, OutcomeReason.NONE)
         case.machine = ""
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -95,7 +95,9 @@
         """A placed guest's end, or a dispatch whose machine is lost."""
         if not case.placed:
             self._give_up(now, case)
-            self._ended(now, case, DispatchOutcome.INTERRUPTED if case.sent else DispatchOutcome.NOT_SENT, remark)
+            self._ended(
+                now, case, DispatchOutcome.INTERRUPTED if case.sent else DispatchOutcome.NOT_SENT, remark
+            )
             return
         self.counts["ended_" + how[:20]] += 1
         self._task_event("released", case, how)
@@ -197,7 +199,7 @@
                 continue
             held = self.newest.get(guest)
             case = held or loose.case
-            self.scheduler.copy_stands(now, loose.machine, self._ask(case, 0))
+            self.scheduler.late_copy_accepted(now, loose.machine, self._ask(case, 0))
             mine = self.scheduler.guests.get(case.name)
             if held and held.machine or not (mine and mine.placed):
                 continue
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -45,14 +45,14 @@
         harm."""
         self.kept_well = well
         self.counts["state_failures"] += not well
-        self.scheduler.state_kept(now, well)
+        self.scheduler.persistence_changed(now, well)
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
         """An offer did not leave, since what it rests on could not be made safe."""
         case = self.cases.get(f"{offer.guest}/{offer.ask}") or self.newest.get(offer.guest)
         if case and case.sent and not case.placed and (case.ask, case.attempt) == (offer.ask, offer.attempt):
             if self.facts.list_lease:
-                self.scheduler.dispatch_held_back(now, case.name)
+                self.scheduler.dispatch_not_sent(now, case.name)
             self._not_sent(now, case, DispatchOutcome.NOT_SENT)
 
     # The passing of time.
@@ -73,7 +73,7 @@
         """When to pump again if nothing happens; None if nothing is due."""
         if self.more:
             return now
-        times = [t for t in (self.scheduler.next_look(now), self.list_due) if t]
+        times = [t for t in (self.scheduler.next_decision_at(now), self.list_due) if t]
         if self.overdue:
             times.append(self.overdue[0][0])
         times += [probe.due for probe in self.probes.values()]
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -139,7 +139,7 @@
         return put("list", "", ListImage(engine.list_version, self.wall(now), entries))
 
     def learned(self, engine: Tables) -> Change:
-        return put("learned", "", LearnedImage(self.epoch, engine.scheduler.learned()))
+        return put("learned", "", LearnedImage(self.epoch, engine.scheduler.learned_state()))
 
 
 def recover(engine: Tables, now: int, ledger: Ledger, complete: bool) -> dict[str, int]:
@@ -165,9 +165,9 @@
     for image in ledger.images("learned"):
         past = moved(image.data, image.epoch - epoch)
     if any(counts.values()):
-        engine.scheduler.remembered(now, past, complete)
+        engine.scheduler.restore_learned(now, past, complete)
     for image in ledger.images("cold"):
-        engine.scheduler.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
+        engine.scheduler.restore_offers(now, image.machine, tuple(at - epoch for at in image.times))
     cases = [image for image in ledger.images("guest") if image.product in engine.products]
     counts["of_unknown_products"] = ledger.sizes()["guest"] - len(cases)
     for image in sorted(cases, key=lambda i: (i.placed, i.ask, i.name)):
@@ -250,7 +250,7 @@
         engine.counts["held_unsure"] += 1
     ask = engine._ask(case, patience, earlier)._replace(spent=image.spent)
     if not image.machine:
-        engine.scheduler.guest_arrived(now, ask)
+        engine.scheduler.guest_submitted(now, ask)
     else:
         case.machine, case.sent, case.placed = image.machine, True, image.placed
         case.sent_at = image.sent_at - epoch
@@ -259,10 +259,10 @@
         link.incarnation, link.lost_at = image.incarnation, now
         engine.restless[case.machine] = None
         if image.placed:
-            engine.scheduler.guest_found(now, case.machine, ask)
+            engine.scheduler.guest_discovered(now, case.machine, ask)
         else:
-            engine.scheduler.guest_arrived(now, ask)
-            engine.scheduler.dispatch_stands(now, case.machine, case.name, case.sent_at)
+            engine.scheduler.guest_submitted(now, ask)
+            engine.scheduler.restore_dispatch(now, case.machine, case.name, case.sent_at)
             due = max(image.due_at - epoch, now + micros(engine.limits.reconnect_ms))
             engine._overdue(due, case)
     if case.cancelled:
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -142,7 +142,7 @@
                 self._probe_over(now, machine, message.well)
             return
         if isinstance(message, m.Pressed):
-            self.scheduler.memory_pressed(now, machine, message.share)
+            self.scheduler.memory_pressure_reported(now, machine, message.share)
             return
         if not isinstance(message, m.Offered):
             return
@@ -173,7 +173,7 @@
             case.placed = True
             self._mark("guest", case.name)
             self._fact(now, case, "placed")
-            self.scheduler.dispatch_taken(now, case.name, now - case.sent_at)
+            self.scheduler.dispatch_accepted(now, case.name, now - case.sent_at)
             if self.peers.advised:
                 self.advice.placed(now, case.guest)
             self._answer(
@@ -191,18 +191,16 @@
                 self._move_task(now, case, link.heir)
         elif isinstance(message, m.Refused) and not case.placed:
             self.counts["refused_" + message.remark[:20]] += 1
-            self._ended(
-                now, case, DispatchOutcome.REFUSED, REMARKS.get(message.remark, OutcomeReason.NONE)
-            )
+            self._ended(now, case, DispatchOutcome.REFUSED, REMARKS.get(message.remark, OutcomeReason.NONE))
         elif isinstance(message, m.Started):
-            self.scheduler.guest_runs(now, case.name)
+            self.scheduler.guest_started(now, case.name)
         elif isinstance(message, m.Use):
             if message.cores is not None:
                 self.scheduler.cores_used(now, case.name, message.cores)
             if message.memory is not None:
                 self.scheduler.memory_used(now, case.name, message.memory)
         elif isinstance(message, m.Served):
-            self.scheduler.guest_served(now, case.name, message.share)
+            self.scheduler.service_level_reported(now, case.name, message.share)
         elif isinstance(message, m.Ended):
             ending, remark = ENDINGS.get(message.how, (DispatchOutcome.INTERRUPTED, OutcomeReason.NONE))
             if case.placed:
@@ -276,7 +274,7 @@
             ):
                 self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
             if stand and stand.state == "runs":
-                self.scheduler.guest_runs(now, name)
+                self.scheduler.guest_started(now, name)
             if stand is None and case.placed:
                 self._gone(now, case, "lost")
             elif stand is None and same_life and running.complete:
@@ -338,7 +336,7 @@
             return
         case.machine, case.sent, case.placed = link.machine, True, True
         if held:  # asked again while its planner was away: what runs is the answer
-            self.scheduler.guest_left(now, held.name)
+            self.scheduler.guest_abandoned(now, held.name)
             self._answer(now, held, m.Placed(guest=held.guest, ask=held.ask, machine=link.machine), held.asks)
             del self.cases[held.name]
             self._mark("guest", held.name)
@@ -346,7 +344,7 @@
         case.incarnation = link.incarnation
         self._hold(case)
         self._mark("guest", name)
-        self.scheduler.guest_found(now, link.machine, self._ask(case, 0))
+        self.scheduler.guest_discovered(now, link.machine, self._ask(case, 0))
         self._fact(now, case, "placed")
 
 
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -68,7 +68,7 @@
             self._send_owner(owner, m.Held(guest=guest, ask=ask))
         earlier = self._earlier(now, submit, old)
         case.unsure = earlier.machine if earlier else ""
-        self.scheduler.guest_arrived(now, self._ask(case, submit.patience, earlier))
+        self.scheduler.guest_submitted(now, self._ask(case, submit.patience, earlier))
         self._adopt(now, guest)
 
     def _earlier(self, now: int, submit: m.Submit, old: Case | None) -> EarlierDispatch | None:
@@ -140,12 +140,10 @@
             self._tell(now, case.machine, m.Stop(guest=guest, ask=case.ask, attempt=case.attempt))
         elif case.machine:
             self._give_up(now, case)
-        self.scheduler.guest_left(now, case.name)
+        self.scheduler.guest_abandoned(now, case.name)
         if case.machine:
             self._unhold(case)
-            self.scheduler.dispatch_ended(
-                now, case.name, DispatchOutcome.WITHDRAWN, True, OutcomeReason.NONE
-            )
+            self.scheduler.dispatch_ended(now, case.name, DispatchOutcome.WITHDRAWN, True, OutcomeReason.NONE)
         self._forget(case)
         return True
 
@@ -202,7 +200,7 @@
         self._doubt_handed_over(case)
         self._hold(case)
         self._task_event("handed_over", case)
-        self.scheduler.guest_found(now, machine, self._ask(case, submit.patience))
+        self.scheduler.guest_discovered(now, machine, self._ask(case, submit.patience))
         link = self._dial(now, fellow)
         link.heard_at = link.heard_at or now
         return ""
--- a/hazelhold/scheduler.py
+++ b/hazelhold/scheduler.py
@@ -250,7 +250,7 @@
     def list_failed(self, now: int) -> None:
         self.ask_list_at = now + int(self.random.uniform(1, 3) * SECOND)  # drawn, so as not to march in step
 
-    def guest_arrived(self, now: int, ask: interface.Submission) -> None:
+    def guest_submitted(self, now: int, ask: interface.Submission) -> None:
         guest = self._known(now, ask)
         if ask.earlier:  # guards against a second run by way of a second ask while the first is unsettled
             host, group = self.machines.get(ask.earlier.machine), guest.product.group
@@ -261,20 +261,20 @@
         self.answer_at = 0 if ask.earlier or ask.spent else min(self.answer_at, guest.answer_by)
         self.due = None
 
-    def dispatch_stands(self, now: int, machine: str, name: str, sent_at: int) -> None:
+    def restore_dispatch(self, now: int, machine: str, name: str, sent_at: int) -> None:
         """A dispatch of a held guest from before this life of the planner: out until its machine speaks."""
         guest = self.waiting.pop(name)
         guest.sent_at, self.due = sent_at, None
         self._seat(guest, self._host(machine, now))
 
-    def state_kept(self, now: int, well: bool) -> None:
+    def persistence_changed(self, now: int, well: bool) -> None:
         """Whether what is sent is sure to be known after a crash. Guards against a second run of a guest
         whose dispatch was forgotten; costs those guests their place while the disk fails."""
         self.kept_well = well
         self._changed(now)
 
 
-    def learned(self) -> interface.LearnedState:
+    def learned_state(self) -> interface.LearnedState:
         """What a later life of this planner may use."""
         return interface.LearnedState(
             {n: (s.seen, tuple(s.samples)) for n, s in self.services.items() if s.samples},
@@ -283,11 +283,11 @@
             {n: interface.MachineHealth(m.listed.started, m.cold_at, tuple(m.answers), tuple(m.kept), m.strikes,
                                  m.avoid_until, m.mute) for n, m in self.machines.items() if m.ready})
 
-    def offers_kept(self, now: int, name: str, times: tuple[int, ...]) -> None:
+    def restore_offers(self, now: int, name: str, times: tuple[int, ...]) -> None:
         """Offers to a cold machine from before this life of the planner count against its budget."""
         self._host(name, now).offers.extend(times)
 
-    def remembered(self, now: int, past: interface.LearnedState, complete: bool) -> None:
+    def restore_learned(self, now: int, past: interface.LearnedState, complete: bool) -> None:
         """Takes what an earlier life learned, for machines that are still in the same life. Samples of
         services that were not seen for a minute are let go; strikes and rests go on by their own times. Where
         offers to cold machines may be forgotten, these get nothing until they would count no more."""
@@ -312,7 +312,7 @@
                 machine.strikes, machine.mute = max(machine.strikes, health.strikes), health.mute
                 machine.avoid_until = max(machine.avoid_until, health.avoid_until)
 
-    def guest_found(self, now: int, machine: str, ask: interface.Submission) -> None:
+    def guest_discovered(self, now: int, machine: str, ask: interface.Submission) -> None:
         if ask.guest in self.guests:
             self._drop(self.guests[ask.guest])
         guest = self._known(now, ask)
@@ -327,7 +327,7 @@
             self.machines[name] = Machine(gone, self.deployment.kinds[0], now)
         return self.machines[name]
 
-    def guest_left(self, now: int, name: str) -> None:
+    def guest_abandoned(self, now: int, name: str) -> None:
         if guest := self.guests.get(name):
             guest.over = True
             if guest.machine is None:
@@ -340,17 +340,17 @@
             if guest.machine:
                 self.to_call_off.append((name, guest.machine.listed.machine))
 
-    def copy_stands(self, now: int, machine: str, ask: interface.Submission) -> None:
+    def late_copy_accepted(self, now: int, machine: str, ask: interface.Submission) -> None:
         """A machine accepted a dispatch that was given up. Guards against a guest that runs in nobody's
         hands, and against two copies; a rerunnable copy goes even if the other dispatch is then refused."""
         held = self.guests.get(ask.guest)
         effect = self.deployment.products[ask.product].effect
         if ask.guest in self.waiting or not held and effect is not RepeatSemantics.IDEMPOTENT:
-            self.guest_found(now, machine, ask)
+            self.guest_discovered(now, machine, ask)
         elif effect is RepeatSemantics.IDEMPOTENT or effect is RepeatSemantics.DEDUPLICATED and held.placed:
             self.to_call_off.append((ask.guest, machine))
 
-    def dispatch_taken(self, now: int, name: str, took: int) -> None:
+    def dispatch_accepted(self, now: int, name: str, took: int) -> None:
         if not (guest := self.guests.get(name)) or not guest.machine:
             return
         guest.placed, guest.machine.left, guest.machine.asked = True, None, None
@@ -363,11 +363,11 @@
         if self.deployment.confirms_running:
             self._started(guest, now)
 
-    def guest_runs(self, now: int, name: str) -> None:
+    def guest_started(self, now: int, name: str) -> None:
         if (guest := self.guests.get(name)) and guest.machine and not guest.runs:
             self._started(guest, now)
 
-    def dispatch_held_back(self, now: int, name: str) -> None:
+    def dispatch_not_sent(self, now: int, name: str) -> None:
         """The dispatch that is about to end did not leave this planner: it is none of those that the guest
         may have. What kept it here may hold for a moment."""
         if (guest := self.guests.get(name)) and guest.machine:
@@ -429,13 +429,13 @@
             self.seen = [0.98 * s + n for s, n in zip(self.seen, news, strict=True)]  # some fifty notes
             guest.service.samples.append(guest.use)
 
-    def guest_served(self, now: int, name: str, share: float) -> None:
+    def service_level_reported(self, now: int, name: str, share: float) -> None:
         if (guest := self.guests.get(name)) and (machine := guest.machine) and share < 0.95:
             # A poorly served guest tells how far the cores are past what its product bears.
             busy = guest.product.easy_until + (1 - share) * guest.product.lost_after
             self._reported(machine, max((machine.used or (0.0,))[0], busy * machine.size.cores), None, now)
 
-    def memory_pressed(self, now: int, name: str, share: float) -> None:
+    def memory_pressure_reported(self, now: int, name: str, share: float) -> None:
         if name in self.machines:
             self._reported(self.machines[name], None, share * self.machines[name].size.memory, now)
 
@@ -590,7 +590,7 @@
             return Decision(DecisionKind.WITHDRAW, *self.to_call_off.popleft())
         return self._keep_list(now) or self._answer_due(now) or self._place_next(now) or self._probe(now)
 
-    def next_look(self, now: int) -> int | None:
+    def next_decision_at(self, now: int) -> int | None:
         times = [min(g.look_at, g.answer_by) for g in self.waiting.values()]
         if self.deployment.list_is_asked:
             times.append(self.ask_list_at)
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -265,7 +265,7 @@
 
     def submit(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, product, customer, _unit, left, _life, service, cores, memory, _marks = parts[2:12]
-        scheduler.guest_arrived(
+        scheduler.guest_submitted(
             now,
             Submission(
                 call, int(product), whole(customer), service, number(cores), number(memory), micros(left)
@@ -274,7 +274,7 @@
 
     def found(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, machine, memory, _life, service, _unit, _marks, left, product, customer, cores = parts[2:13]
-        scheduler.guest_found(
+        scheduler.guest_discovered(
             now,
             machine,
             Submission(
@@ -290,10 +290,10 @@
         scheduler.dispatch_ended(now, call, ENDINGS[reason], truth(final), read_remark(remark))
 
     def taken(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        scheduler.dispatch_taken(now, parts[2], micros(parts[5]))
+        scheduler.dispatch_accepted(now, parts[2], micros(parts[5]))
 
     def dropped(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        scheduler.guest_left(now, parts[2])
+        scheduler.guest_abandoned(now, parts[2])
 
     def probed(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         machine, reason, _took, metrics = parts[2:6]
@@ -303,15 +303,15 @@
     def note(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, machine, sort, _attempt, value = parts[2:7]
         if sort == "1":
-            scheduler.guest_runs(now, call)
+            scheduler.guest_started(now, call)
         elif sort == "2":
             scheduler.cores_used(now, call, number(value))
         elif sort == "3":
             scheduler.memory_used(now, call, number(value))
         elif sort == "4":
-            scheduler.guest_served(now, call, number(value))
+            scheduler.service_level_reported(now, call, number(value))
         elif sort == "5":
-            scheduler.memory_pressed(now, machine, number(value))
+            scheduler.memory_pressure_reported(now, machine, number(value))
 
     def replies(self, now: int) -> Iterator[str]:
         """What the instances that had an event want done, in the order in which they were first named."""
@@ -324,7 +324,7 @@
             instance = self.instances[who]
             while (decision := instance.scheduler.decide(now)) is not None:
                 yield encode(who, decision)
-            wake = instance.scheduler.next_look(now)
+            wake = instance.scheduler.next_decision_at(now)
             if wake is not None and (instance.alarm <= now or wake < instance.alarm):
                 instance.alarm = max(wake, now + 1)
                 instance.token += 1
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -49,13 +49,15 @@
                 made.machines_listed(now, [entry("cold", started=BEGUN, room=10_000.0)], False)
             for _ in range(random.randrange(4) if planners < 100 else random.randrange(2)):
                 number += 1
-                made.guest_arrived(now, Submission(f"g{number}", 0, 0, f"s{number % 7}", 1.0, 2.0, 3_000_000))
+                made.guest_submitted(
+                    now, Submission(f"g{number}", 0, 0, f"s{number % 7}", 1.0, 2.0, 3_000_000)
+                )
             while (decision := made.decide(now)) is not None:
                 if decision.step is not DecisionKind.DISPATCH:
                     continue
                 if decision.machine == "cold":  # else it is offered past the list's room
                     sent.append(now)
-                made.dispatch_taken(now, decision.guest, 10 * MS)
+                made.dispatch_accepted(now, decision.guest, 10 * MS)
                 made.dispatch_ended(now, decision.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     return sent
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -18,7 +18,7 @@
 
 
 def place(made: object, now: int, name: str, product: int = 0, **more: object) -> object:
-    made.guest_arrived(now, ask(name, product, **more))
+    made.guest_submitted(now, ask(name, product, **more))
     return decisions(made, now)[0]
 
 
@@ -63,7 +63,7 @@
 def test_held_guest_is_answered_before_its_patience_ends() -> None:
     made = scheduler("a")
     made.machines_listed(0, [entry("a", MachineMode.CORDONED)], False)
-    made.guest_arrived(0, ask("g"))
+    made.guest_submitted(0, ask("g"))
     assert decisions(made, 0) == []
     assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
     assert decisions(made, 5100 * MS) == []
@@ -71,12 +71,12 @@
 
 def test_no_machines_and_unknown_ids_are_quiet() -> None:
     made = scheduler("")
-    made.guest_left(0, "nobody")
+    made.guest_abandoned(0, "nobody")
     made.dispatch_ended(0, "nobody", DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
-    made.dispatch_taken(0, "nobody", 0)
-    made.memory_pressed(0, "a", 0.9)
+    made.dispatch_accepted(0, "nobody", 0)
+    made.memory_pressure_reported(0, "a", 0.9)
     made.machine_reported(0, "a", Load(None, None, None))
-    made.guest_arrived(0, ask("g", patience=0))
+    made.guest_submitted(0, ask("g", patience=0))
     assert [d.step for d in decisions(made, 0)] == [DecisionKind.REFUSE]
 
 
@@ -111,7 +111,7 @@
     for turn in range(40):
         now = turn * 100 * MS
         sent = place(made, now, f"g{turn}")
-        made.dispatch_taken(now, sent.guest, 4000 * MS if sent.machine == "a" else 10 * MS)
+        made.dispatch_accepted(now, sent.guest, 4000 * MS if sent.machine == "a" else 10 * MS)
         end(made, now, sent, DispatchOutcome.COMPLETED)
     assert made.machines["a"].strikes or len(made.machines["a"].answers) < 4
     assert not made.machines["b"].strikes and not made.machines["c"].strikes
@@ -141,7 +141,7 @@
 def test_restart_is_suspected_from_a_lost_guest() -> None:
     made = scheduler("ab")
     sent = place(made, 20_000 * MS, "g")
-    made.dispatch_taken(20_010 * MS, "g", 10 * MS)
+    made.dispatch_accepted(20_010 * MS, "g", 10 * MS)
     made.dispatch_ended(30_000 * MS, "g", DispatchOutcome.INTERRUPTED, True, OutcomeReason.NONE)
     assert made.machines[sent.machine].cold_at == 30_000 * MS and not made.guests
 
@@ -166,9 +166,9 @@
     made = scheduler("ab")
     for n in range(30):
         sent = place(made, n * MS, f"g{n}")
-        made.dispatch_taken(n * MS, sent.guest, MS)
+        made.dispatch_accepted(n * MS, sent.guest, MS)
         made.dispatch_ended(n * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
-    made.guest_arrived(200_000 * MS, ask("late", 4))
+    made.guest_submitted(200_000 * MS, ask("late", 4))
     decisions(made, 200_000 * MS)
     assert list(made.services) == ["service-4"] and list(made.guests) == ["late"] and not made.waiting
 
@@ -180,7 +180,7 @@
             made = scheduler("a", planners=planners, slot=slot, probing=False)
             made.machines_listed(MS, [entry("a", started=MS)], False)
             for n in range(20):
-                made.guest_arrived(MS, ask(f"g{n}", cores=0.1))
+                made.guest_submitted(MS, ask(f"g{n}", cores=0.1))
             offers += len(decisions(made, MS))
         assert offers == 16
 
@@ -217,18 +217,18 @@
     made = scheduler("abcdefghijkl", planners=16)
     for number in range(20):
         now = number * 700 * MS
-        made.guest_arrived(now, ask(f"g{number}"))
+        made.guest_submitted(now, ask(f"g{number}"))
         found = []
         while (decision := made.decide(now)) is not None:
             found.append(decision.step)
             if decision.step is DecisionKind.DISPATCH:
-                made.dispatch_taken(now, decision.guest, 9 * MS)
+                made.dispatch_accepted(now, decision.guest, 9 * MS)
         assert [step for step in found if step is not DecisionKind.WATCH_LIST] == [DecisionKind.DISPATCH]
 
 
 def test_where_only_probes_bring_reports_the_few_to_be_weighed_are_asked_first() -> None:
     made = scheduler("abcdefghijkl", planners=60, reports_on_probe=True)
-    made.guest_arrived(0, ask("g"))
+    made.guest_submitted(0, ask("g"))
     asked = []
     while (decision := made.decide(0)) is not None:
         asked.append(decision)
@@ -259,7 +259,7 @@
     made = scheduler("ab")
     for n in range(20):
         sent = place(made, n * MS, f"g{n}", cores=0.1)
-        made.dispatch_taken(n * MS, sent.guest, 100 * MS)
+        made.dispatch_accepted(n * MS, sent.guest, 100 * MS)
     assert place(made, 30 * MS, "small").span == 500 * MS
     assert place(made, 30 * MS, "large", 3, cores=8.0).span > 4000 * MS
 
@@ -267,7 +267,7 @@
 def test_silent_list_does_not_hold_guests_back() -> None:
     made = scheduler("ab")
     made.machines_listed(0, [entry(name, room=-60.0) for name in "ab"], True)
-    made.guest_arrived(0, ask("g"))
+    made.guest_submitted(0, ask("g"))
     assert decisions(made, 1900 * MS) == []
     assert [d.step for d in decisions(made, 2200 * MS)] == [DecisionKind.DISPATCH]
 
@@ -276,9 +276,9 @@
     for makes_room in (True, False):
         made = scheduler("a", makes_room=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
         place(made, 0, "low")
-        made.dispatch_taken(MS, "low", MS)
+        made.dispatch_accepted(MS, "low", MS)
         made.machines_listed(MS, [entry("a", room=-36.0)], False)
-        made.guest_arrived(2 * MS, ask("high", 1))
+        made.guest_submitted(2 * MS, ask("high", 1))
         assert bool(decisions(made, 2 * MS)) is makes_room
 
 
@@ -289,7 +289,7 @@
     assert decisions(made, 1 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
     assert [d.step for d in end(made, 2 * MS, sent, DispatchOutcome.REFUSED)] == [DecisionKind.REFUSE]
     made.machines_listed(3 * MS, [entry(n, MachineMode.CORDONED) for n in "ab"], False)
-    made.guest_arrived(3 * MS, ask("h", 1))
+    made.guest_submitted(3 * MS, ask("h", 1))
     made.guest_cancelled(4 * MS, "h")
     assert [d.step for d in decisions(made, 4 * MS)] == [DecisionKind.REFUSE]
 
@@ -299,17 +299,17 @@
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
     decisions(made, 1 * MS)
-    made.dispatch_taken(2 * MS, "g", 2 * MS)
+    made.dispatch_accepted(2 * MS, "g", 2 * MS)
     assert decisions(made, 2 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
 
 
 def test_an_unsettled_earlier_dispatch_breaks_an_exclusive_guest_off_and_binds_a_ticketed_one() -> None:
     made = scheduler("abcdef")
-    made.guest_arrived(0, ask("g", 1)._replace(earlier=EarlierDispatch("a", 0)))
+    made.guest_submitted(0, ask("g", 1)._replace(earlier=EarlierDispatch("a", 0)))
     assert [d.step for d in decisions(made, 0)] == [DecisionKind.FAIL]
-    made.guest_arrived(0, ask("h", 2)._replace(earlier=EarlierDispatch("c", 0)))
+    made.guest_submitted(0, ask("h", 2)._replace(earlier=EarlierDispatch("c", 0)))
     assert decisions(made, 0)[0].machine in ("c", "d")
-    made.guest_arrived(0, ask("i")._replace(earlier=EarlierDispatch("nobody", 0)))
+    made.guest_submitted(0, ask("i")._replace(earlier=EarlierDispatch("nobody", 0)))
     assert [d.step for d in decisions(made, 0)] == [DecisionKind.DISPATCH]
 
 
@@ -318,9 +318,9 @@
     for product, name in ((0, "g"), (3, "h"), (1, "i")):
         sent = place(made, 0, name, product)
         made.dispatch_ended(1 * MS, name, DispatchOutcome.TIMED_OUT, product == 1, OutcomeReason.NONE)
-        made.copy_stands(2 * MS, sent.machine, ask(name, product))
+        made.late_copy_accepted(2 * MS, sent.machine, ask(name, product))
         assert made.guests[name].placed and decisions(made, 2 * MS) == []
-    made.copy_stands(3 * MS, "a", ask("g"))
+    made.late_copy_accepted(3 * MS, "a", ask("g"))
     assert decisions(made, 3 * MS) == [Decision(DecisionKind.WITHDRAW, "g", "a")]
 
 
@@ -338,8 +338,8 @@
 
 def test_a_ticket_of_a_machine_that_the_list_does_not_have_is_bound_to_no_known_group() -> None:
     made = scheduler("ab")
-    made.guest_arrived(0, ask("g", 2))
-    made.dispatch_stands(0, "elsewhere", "g", 0)
+    made.guest_submitted(0, ask("g", 2))
+    made.restore_dispatch(0, "elsewhere", "g", 0)
     made.dispatch_ended(MS, "g", DispatchOutcome.TIMED_OUT, False, OutcomeReason.NONE)
     made_at = [d for now in range(MS, 4000 * MS, 100 * MS) for d in decisions(made, now)]
     assert all(d.step is not DecisionKind.DISPATCH for d in made_at)
@@ -352,11 +352,11 @@
     for at, machine in enumerate("abcd"):  # as many guests on each, of a's service only there
         for n in range(4):
             service = "mine" if machine == "a" else machine
-            made.guest_found(0, machine, ask(f"f{at}{n}")._replace(service=service))
+            made.guest_discovered(0, machine, ask(f"f{at}{n}")._replace(service=service))
     made.starts[0, True].extend([100 * MS] * 5)
     picked = []
     for n in range(3):
-        made.guest_arrived(n * MS, ask(f"g{n}")._replace(service="mine"))
+        made.guest_submitted(n * MS, ask(f"g{n}")._replace(service="mine"))
         picked += [d.machine for d in decisions(made, n * MS) if d.step is DecisionKind.DISPATCH]
     assert picked == ["a", "a", "a"]
 
@@ -382,7 +382,7 @@
     """Where words do not name the dispatch, a copy some milliseconds late is heard as of the next one."""
     made = scheduler("a", dispatches_named=False)
     now = 20_000 * MS
-    made.guest_arrived(now, ask("g"))
+    made.guest_submitted(now, ask("g"))
     (first,) = decisions(made, now)
     made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.REFUSED, False, remark)
     assert all(not decisions(made, now + 5 * MS + after * MS) for after in (0, 50, 100, 200))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -110,10 +110,10 @@
             patience = (5000 if pick else 10) * MS
             for more in range(15 if wait > 250 else 1):  # a crowd at times
                 model.history[f"{name}.{more}"] = [kind % 5, now + patience, False, False, []]
-                scheduler.guest_arrived(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
+                scheduler.guest_submitted(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
         elif what == "found" and PRODUCTS[kind % 5].spread is Scope.NOWHERE:
             model.history[name] = [kind % 5, now, False, True, [[machine, now, None]]]
-            scheduler.guest_found(now, machine, ask(name, kind % 5))
+            scheduler.guest_discovered(now, machine, ask(name, kind % 5))
         elif what == "end" and open_now:
             guest, held = open_now[pick % len(open_now)]
             ending = list(DispatchOutcome)[kind % 8]
@@ -125,7 +125,7 @@
             guest, held = open_now[pick % len(open_now)]
             if not held[2] and not held[3]:
                 held[3] = True
-                scheduler.dispatch_taken(now, guest, 5 * MS)
+                scheduler.dispatch_accepted(now, guest, 5 * MS)
         elif what == "list":
             mode, started = list(MachineMode)[pick % 3], now if pick % 2 else 0
             named = machine if kind < 6 else "abcdef"[: kind - 3]  # one machine, or most or all of them
@@ -149,7 +149,7 @@
                 unknown = (
                     guest not in scheduler.guests and PRODUCTS[asked].effect is not RepeatSemantics.IDEMPOTENT
                 )
-                scheduler.copy_stands(now, given_up[0][0], ask(guest, asked))
+                scheduler.late_copy_accepted(now, given_up[0][0], ask(guest, asked))
                 if held or unknown:  # it is the guest's place from here on; no final answer may follow
                     assert scheduler.guests[guest].placed
                     model.history[guest][2:4] = [True, True]
@@ -158,7 +158,7 @@
             guest = list(model.history)[pick % len(model.history)]
             if not model.history[guest][3]:
                 model.history[guest][2] = True
-                scheduler.guest_left(now, guest)
+                scheduler.guest_abandoned(now, guest)
         last = now + wait * MS
         while True:  # the host calls again whenever the module asked for it
             for _ in range(10_000):
@@ -175,7 +175,7 @@
             else:
                 raise AssertionError("decide does not come to an end")
             model.nobody_lost(now)
-            ask_again = scheduler.next_look(now)
+            ask_again = scheduler.next_decision_at(now)
             if ask_again is None or max(ask_again, now + MS) > last:
                 break
             now = max(ask_again, now + MS)
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -134,17 +134,17 @@
 def test_what_was_learned_comes_back_for_machines_in_the_same_life() -> None:
     made = scheduler("ab", at=S)
     for n in range(4):
-        made.guest_arrived(S, ask(f"g{n}"))
+        made.guest_submitted(S, ask(f"g{n}"))
         decision = made.decide(S)
-        made.dispatch_taken(S, f"g{n}", 5 * MS)
-        made.guest_runs(2 * S, f"g{n}")
+        made.dispatch_accepted(S, f"g{n}", 5 * MS)
+        made.guest_started(2 * S, f"g{n}")
         made.memory_used(2 * S, f"g{n}", 1.5)
     made.probe_answered(2 * S, decision.machine, False)
     later = scheduler("ab", at=10 * S)
-    past = made.learned()
-    later.remembered(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
+    past = made.learned_state()
+    later.restore_learned(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
     assert len(later.services["service-0"].samples) == 4 and later.answers[0]
     assert later.machines[decision.machine].mute and later.no_cold_until == 14 * S
     late = scheduler("ab", at=100 * S)
-    late.remembered(100 * S, made.learned(), True)
+    late.restore_learned(100 * S, made.learned_state(), True)
     assert not late.services and not late.no_cold_until
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -15,7 +15,7 @@
 
 def test_every_field_of_the_module_has_its_place_in_a_snapshot() -> None:
     made = scheduler("ab")
-    made.guest_arrived(0, ask("g"))
+    made.guest_submitted(0, ask("g"))
     own = {
         "deployment",
         "spread",
@@ -60,14 +60,14 @@
     what, found = random.randrange(9), []
     if what < 4:
         names.append(f"g{len(names)}")
-        made.guest_arrived(now, ask(names[-1], random.randrange(5), random.choice([0.5, 2.0, 6.0])))
+        made.guest_submitted(now, ask(names[-1], random.randrange(5), random.choice([0.5, 2.0, 6.0])))
     out = [n for n, g in made.guests.items() if g.machine]
     if out and what in (4, 5, 6):
         name = random.choice(out)
         guest = made.guests[name]
         if not guest.placed and random.random() < 0.7:
-            made.dispatch_taken(now, name, 20 * MS)
-            made.guest_runs(now + MS, name)
+            made.dispatch_accepted(now, name, 20 * MS)
+            made.guest_started(now + MS, name)
             made.cores_used(now, name, random.random())
             made.memory_used(now, name, random.random())
         else:
@@ -89,7 +89,7 @@
     while (decision := made.decide(now)) is not None:
         found.append(decision)
         if decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL):
-            made.guest_left(now, decision.guest)
+            made.guest_abandoned(now, decision.guest)
     return found
 
 
@@ -109,4 +109,4 @@
         random.setstate(state)
         assert drive(copy, random, now, others) == here
         state = after
-    assert DEPLOYMENT and copy.next_look(now) == made.next_look(now)
+    assert DEPLOYMENT and copy.next_decision_at(now) == made.next_decision_at(now)
