--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -68,7 +68,7 @@
 def decide_all(made: Scheduler, now: int) -> list[str]:
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step is DecisionKind.DISPATCH:
+        if decision.kind is DecisionKind.DISPATCH:
             made.dispatch_accepted(now, decision.guest, 1000)
             made.guest_started(now, decision.guest)
             found.append(decision.guest)
--- a/bench/capacity/rows_probes.py
+++ b/bench/capacity/rows_probes.py
@@ -26,7 +26,7 @@
     for now in range(TURN, seconds * SECOND, TURN):
         start = time.process_time()
         while (decision := made.decide(now)) is not None:
-            if decision.step is not DecisionKind.PROBE:
+            if decision.kind is not DecisionKind.PROBE:
                 continue
             made.machine_reported(now, decision.machine, Load(1000.0, 2000.0, 0.5))
             made.probe_answered(now, decision.machine, True)
--- a/bench/module.py
+++ b/bench/module.py
@@ -64,13 +64,13 @@
     )
     products = tuple(
         plain.products[0]._replace(
-            effect=effect,
-            group=group,
-            window=4 * SECOND,
-            goal_time=SECOND,
-            payoff=payoff,
-            spread=spread,
-            spread_most=3,
+            repeat=effect,
+            dedup_scope=group,
+            dedup_window=4 * SECOND,
+            start_target=SECOND,
+            value=payoff,
+            spread_scope=spread,
+            spread_limit=3,
         )
         for effect, group, payoff, spread in kinds
     )
@@ -82,9 +82,9 @@
         kinds=(today.interface.MachineKind(24.0, 40.0),),
         cores_multiple=2.5,
         memory_multiple=1.5,
-        list_is_asked=random.random() < 0.5,
+        list_is_polled=random.random() < 0.5,
         planners=random.choice([1, 3, 40]),
-        confirms_running=random.random() < 0.5,
+        confirms_when_running=random.random() < 0.5,
     )
     made = module.Scheduler(seed, facts)
     names, found, now = 0, [], SECOND
@@ -128,7 +128,7 @@
             made.machines_listed(
                 now,
                 [
-                    e._replace(mode=random.choice(list(MachineMode)), cores_room=random.uniform(0, 24))
+                    e._replace(mode=random.choice(list(MachineMode)), free_cores=random.uniform(0, 24))
                     for e in entries
                     if random.random() < 0.3
                 ],
@@ -140,7 +140,7 @@
             made.probe_answered(now, f"m{random.randrange(machines)}", random.random() < 0.5)
         while (decision := made.decide(now)) is not None:
             found.append(decision)
-            if decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL) and decision.guest in made.guests:
+            if decision.kind in (DecisionKind.REFUSE, DecisionKind.FAIL) and decision.guest in made.guests:
                 made.dispatch_ended(now, decision.guest, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE)
         found.append(Decision(DecisionKind.PROBE, "next", str(made.next_decision_at(now))))
     return found
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -120,7 +120,7 @@
         began = time.perf_counter()
         scheduler.guest_submitted(now, Submission(f"g{number}", 0, 0, service, cores, memory, 60 * 10**6))
         while (decision := scheduler.decide(now)) is not None:
-            if decision.step is DecisionKind.DISPATCH:
+            if decision.kind is DecisionKind.DISPATCH:
                 scheduler.dispatch_accepted(now, decision.guest, 1000)
                 scheduler.guest_started(now, decision.guest)
                 scheduler.cores_used(now, decision.guest, cores * random.uniform(0.3, 1))
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -161,10 +161,10 @@
         machines = {
             n: {
                 "mode": x.listed.mode.name,
-                "room": x.room(scheduler.deployment),
+                "room": x.free_capacity(scheduler.deployment),
                 "used": x.used,
                 "guests": len(x.guests),
-                "rests": max(0, x.avoid_until - self.engine_now),
+                "rests": max(0, x.backoff_until - self.engine_now),
             }
             for n, x in list(scheduler.machines.items())[:50]
         }
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -44,7 +44,7 @@
         case.sent_claim, case.sent_unconfirmed = case.claim, link.unconfirmed
         self._mark("guest", case.name)
         host = self.scheduler.machines.get(case.machine)
-        if host and now - host.cold_at < self.facts.cold_for:
+        if host and now - host.cold_at < self.facts.warmup_time:
             self._mark("cold", case.machine)
         self.counts["dispatches"] += 1
         self._send_machine(
@@ -171,7 +171,7 @@
             "answered", case, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
         if not self.peers.asks_again:
-            self._violated(self.monitor.answered(case.name, self.facts.products[case.product].effect), case)
+            self._violated(self.monitor.answered(case.name, self.facts.products[case.product].repeat), case)
         keep = now + micros(self.limits.keep_answers_ms)
         for ask in list(asks):
             told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -69,7 +69,7 @@
 
     def image(self, engine: Tables, case: Case) -> GuestImage:
         s, known = case.submit, engine.scheduler.guests.get(case.name)
-        unsure = known.window_ends - known.product.window if known and known.may_run else 0
+        unsure = known.window_ends - known.product.dedup_window if known and known.may_have_run else 0
         sent = case.machine if case.sent else ""  # an offer that waits for its link has not left
         return GuestImage(
             case.name,
@@ -80,7 +80,7 @@
             s.service,
             s.cores,
             s.memory,
-            self.wall(known.patience_at) if known and not case.placed else 0,
+            self.wall(known.deadline) if known and not case.placed else 0,
             tuple(case.asks),
             s.customer,
             getattr(s, "life", 0),
@@ -119,7 +119,7 @@
         return put("end", guest, EndImage(guest, kept[0]), self.wall(kept[1])) if kept else drop("end", guest)
 
     def _cold(self, engine: Tables, now: int, machine: str) -> Change | None:
-        host, window = engine.scheduler.machines.get(machine), 2 * engine.facts.cold_window
+        host, window = engine.scheduler.machines.get(machine), 2 * engine.facts.cold_budget_window
         if host is None:
             return None
         times = tuple(self.wall(at) for at in host.offers if at > now - window)
@@ -241,14 +241,14 @@
     case = case_of(engine, image)
     engine.cases[case.name] = engine.newest[case.guest] = case
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.facts.products[case.product].effect is not RepeatSemantics.IDEMPOTENT
+    harmful = engine.facts.products[case.product].repeat is not RepeatSemantics.IDEMPOTENT
     earlier = None
     if image.unsure_at:
         earlier = EarlierDispatch(image.unsure_machine, image.unsure_at - epoch)
     elif not complete and harmful and not image.placed and not image.machine:
         earlier = EarlierDispatch("", now)
         engine.counts["held_unsure"] += 1
-    ask = engine._ask(case, patience, earlier)._replace(spent=image.spent)
+    ask = engine._ask(case, patience, earlier)._replace(dispatches_used=image.spent)
     if not image.machine:
         engine.scheduler.guest_submitted(now, ask)
     else:
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -215,7 +215,7 @@
         may push it out before. Where machines roll, their answer always comes first."""
         if self.peers.rolls:
             return False
-        return how == "done" or how in STOOD and not self.facts.confirms_running
+        return how == "done" or how in STOOD and not self.facts.confirms_when_running
 
     def _over_before_its_answer(self, now: int, case: Case) -> None:
         """The machine's answer is late, and the task that it accepted is over. Its owner is told now; another
@@ -270,7 +270,7 @@
                 stand
                 and stand.state != "line"
                 and not case.placed
-                and not (stand.state == "accepted" and self.facts.confirms_running)
+                and not (stand.state == "accepted" and self.facts.confirms_when_running)
             ):
                 self._heard(now, case, m.Taken(guest=case.guest, ask=case.ask))
             if stand and stand.state == "runs":
@@ -289,7 +289,7 @@
             elif stand.state == "line":
                 loose.roll_at = now  # taken back once more
             elif not loose.stands and (
-                stand.state == "runs" or stand.state == "accepted" and not self.facts.confirms_running
+                stand.state == "runs" or stand.state == "accepted" and not self.facts.confirms_when_running
             ):
                 self._stands(now, loose)
         for stand in there.values():
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -90,7 +90,7 @@
             return "unknown_customer", f"no customer is called {submit.customer!r}"
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
-        if not self.kept_well and self.facts.products[self.products[submit.product]].effect is not (
+        if not self.kept_well and self.facts.products[self.products[submit.product]].repeat is not (
             RepeatSemantics.IDEMPOTENT
         ):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
@@ -107,7 +107,7 @@
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
-            known is not None and self.facts.products[known].effect is RepeatSemantics.IDEMPOTENT
+            known is not None and self.facts.products[known].repeat is RepeatSemantics.IDEMPOTENT
         )
         if asked and not (guest in self.newest or self.loose.get(guest) or guest in self.ends):
             self.claims.look(now, guest, f"{owner}\0{guest}\0{message.ask}")
@@ -251,7 +251,7 @@
         case = self.newest[guest]
         case.offers += 1
         self.links[case.machine].offered_at = now
-        effect, list_holds = self.facts.products[case.product].effect, self.lease.holds(now)
+        effect, list_holds = self.facts.products[case.product].repeat, self.lease.holds(now)
         self._violated(self.monitor.attempt_leaves(case.name, case.machine, effect, list_holds), case)
         as_of = self.lease.confirmed_as_of
         self._task_event("sent", case, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -61,9 +61,9 @@
         return Denial.TOO_MANY
     if not case.ran_from:
         return None
-    if product.effect is RepeatSemantics.AT_MOST_ONCE:
+    if product.repeat is RepeatSemantics.AT_MOST_ONCE:
         return Denial.MAY_HAVE_RUN
-    if product.effect is RepeatSemantics.DEDUPLICATED and now - case.ran_from >= product.window:
+    if product.repeat is RepeatSemantics.DEDUPLICATED and now - case.ran_from >= product.dedup_window:
         return Denial.WINDOW_CLOSED
     return None
 
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -130,7 +130,7 @@
     def _claimed(self, case: Case) -> bool:
         """Whether offers of this guest need a claim."""
         return self.claims is not None and (
-            self.facts.products[case.product].effect is not RepeatSemantics.IDEMPOTENT
+            self.facts.products[case.product].repeat is not RepeatSemantics.IDEMPOTENT
         )
 
     def _wanted(self) -> None:
--- a/hazelhold/interface.py
+++ b/hazelhold/interface.py
@@ -62,18 +62,18 @@
 class GuestClass(NamedTuple):
     """What the operators promise and ask for one product."""
 
-    effect: RepeatSemantics
-    group: Scope
-    window: int
-    goal_time: int
-    payoff: float
-    start_bonus: float
+    repeat: RepeatSemantics
+    dedup_scope: Scope
+    dedup_window: int
+    start_target: int
+    value: float
+    start_value: float
     priority: int
-    easy_until: float
-    lost_after: float
-    kind: int
-    spread: Scope
-    spread_most: int
+    full_service_load: float
+    service_fade: float
+    machine_kind: int
+    spread_scope: Scope
+    spread_limit: int
 
 
 class MachineKind(NamedTuple):
@@ -90,23 +90,23 @@
     slot: int  # this planner's number among them, from 0
     products: tuple[GuestClass, ...]
     kinds: tuple[MachineKind, ...]
-    list_is_asked: bool
-    ask_within: int
-    list_has_room: bool
+    list_is_polled: bool
+    list_poll_limit: int
+    list_shows_free: bool
     cores_multiple: float
     memory_multiple: float
-    makes_room: bool
-    confirms_running: bool
+    preempts: bool
+    confirms_when_running: bool
     probing: bool
-    reports_count_asked: bool
+    reports_count_requested: bool
     max_dispatches: int
-    cold_for: int
+    warmup_time: int
     cold_from: float
-    cold_window: int
+    cold_budget_window: int
     cold_offers: float
     fleet_price: float
     reports_on_probe: bool = False  # machines report their load to probes alone
-    dispatches_named: bool = True  # machines say which dispatch of a guest they speak of
+    dispatches_identified: bool = True  # machines say which dispatch of a guest they speak of
     ages_by_clock: bool = False  # how old machines are is told by a clock that may differ from this one
     list_lease: int = 0  # for how long a confirmed list may be sent work by; 0: the list is taken as it is
 
@@ -119,9 +119,9 @@
     started: int
     zone: int
     cell: int
-    kind: int
-    cores_room: float
-    memory_room: float
+    machine_kind: int
+    free_cores: float
+    free_memory: float
 
 
 class Load(NamedTuple):
@@ -148,9 +148,9 @@
     service: str
     cores: float
     memory: float
-    patience: int
-    earlier: EarlierDispatch | None = None
-    spent: int = 0  # dispatches that were made before this life of the planner
+    time_left: int
+    earlier_dispatch: EarlierDispatch | None = None
+    dispatches_used: int = 0  # dispatches that were made before this life of the planner
 
 
 class MachineHealth(NamedTuple):
@@ -191,7 +191,7 @@
 class Decision(NamedTuple):
     """One thing to do now; what a step does not need stays empty."""
 
-    step: DecisionKind
+    kind: DecisionKind
     guest: str = ""
     machine: str = ""
-    span: int = 0
+    timeout: int = 0
--- a/hazelhold/platform/beliefs.py
+++ b/hazelhold/platform/beliefs.py
@@ -10,11 +10,11 @@
         known, link = engine.scheduler.machines.get(name), engine.links.get(name)
         if known is None:
             continue
-        cores, memory = known.room(engine.facts)
+        cores, memory = known.free_capacity(engine.facts)
         found[name] = (
             f"{fellow.mode.name} room={cores:.1f}/{memory:.1f} used={known.used} "
-            f"guests={len(known.guests)} strikes={known.strikes} mute={known.mute} "
-            f"rests={max(0, known.avoid_until - now) // 1000} "
+            f"guests={len(known.guests)} strikes={known.failures} mute={known.unresponsive} "
+            f"rests={max(0, known.backoff_until - now) // 1000} "
             f"link={link.state if link else '-'} "
             f"heard={(now - link.heard_at) // 1000 if link else '-'}"
         )
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -158,7 +158,7 @@
         try:
             facts = read_deployment(pairs)
             facts = facts._replace(
-                dispatches_named=PLATFORM.names_attempts,
+                dispatches_identified=PLATFORM.names_attempts,
                 ages_by_clock=True,
                 list_lease=list_lease(pairs) if PLATFORM.list_confirms else 0,
             )
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -293,7 +293,7 @@
         self.log.debug(
             "beliefs",
             waiting=len(engine.scheduler.waiting),
-            out=len(engine.scheduler.out),
+            out=len(engine.scheduler.outstanding),
             cases=len(engine.cases),
             owners=len(self.door.peers),
             links=len(self.links.by_machine),
--- a/hazelhold/scheduler.py
+++ b/hazelhold/scheduler.py
@@ -53,7 +53,7 @@
 
     def __init__(self, ask: interface.Submission, product: interface.GuestClass, service: ServiceUsage, now: int) -> None:
         self.ask, self.product, self.service = ask, product, service
-        self.goal_at, self.patience_at = now + product.goal_time, now + ask.patience
+        self.goal_at, self.patience_at = now + product.start_target, now + ask.time_left
         self.answer_by = self.patience_at - SECOND // 50  # a few ticks early: the last safe moment
         self.machine: Machine | None = None  # where a dispatch is out, or where it runs
         self.placed = self.runs = self.warm = self.may_run = False
@@ -70,9 +70,9 @@
 
     def may_turn_back(self) -> bool:
         """A turn-back promises that another try is harmless."""
-        effect = self.product.effect
+        effect = self.product.repeat
         return (not self.may_run or effect is RepeatSemantics.IDEMPOTENT
-                or effect is RepeatSemantics.DEDUPLICATED and self.product.group is Scope.ALL)
+                or effect is RepeatSemantics.DEDUPLICATED and self.product.dedup_scope is Scope.ALL)
 
 
 class Machine:
@@ -87,7 +87,7 @@
         self.others = (0.0, 0.0)  # last reported use less our guests' share
         self.reported_at = self.probed_at = self.heard_at = -10**15
         self.guests: dict[str, Guest] = {}
-        self.bears, self.starting = 1.0, 0  # of our guests: the least easy_until, and how many do not run yet
+        self.bears, self.starting = 1.0, 0  # of our guests: the least full_service_load, and how many do not run yet
         self.services: dict[str, int] = {}  # our guests here by service; emptied as they go
         self.kept: dict[str, None] = {}  # services that ended here lately; the oldest falls out
         self.left: tuple[float, float] | None = None  # see room
@@ -108,10 +108,10 @@
         if self.left is None:
             recent = list(self.guests.values())
             cores, memory = self.size
-            if facts.list_has_room:
+            if facts.list_shows_free:
                 # A quarter second before the entry came: 1 s and 2.5 s left room unused in bursts.
                 recent = [g for g in recent if g.sent_at > self.listed_at - SECOND // 4]
-                cores, memory = self.listed.cores_room, self.listed.memory_room
+                cores, memory = self.listed.free_cores, self.listed.free_memory
             cores += (facts.cores_multiple - 1) * self.size.cores - sum(g.ask.cores for g in recent)
             memory += (facts.memory_multiple - 1) * self.size.memory - sum(g.ask.memory for g in recent)
             self.left = cores, memory
@@ -154,7 +154,7 @@
     def changed(self, guest: Guest, sign: int) -> None:
         """A guest comes or goes: the sums follow if its draws are known, else they are drawn anew."""
         self.left = self.asked = None
-        self.bears = min([g.product.easy_until for g in self.guests.values()], default=1.0)
+        self.bears = min([g.product.full_service_load for g in self.guests.values()], default=1.0)
         self.starting += sign * (not guest.runs)
         here = self.services[guest.ask.service] = self.services.get(guest.ask.service, 0) + sign
         if not here:
@@ -206,11 +206,11 @@
     def machines_listed(self, now: int, entries: list[ListedMachine], whole: bool) -> None:
         self.list_heard_at = now if self.machines else now - 2 * SECOND  # the first may be an old copy
         if self.began == -10**15:  # what was cold before this life may have had an earlier one's share
-            self.began, self.no_cold_until = now, now + self.deployment.cold_window
+            self.began, self.no_cold_until = now, now + self.deployment.cold_budget_window
         for entry in entries:
             machine = self.machines.get(entry.machine)
             if machine is None:
-                self.machines[entry.machine] = Machine(entry, self.deployment.kinds[entry.kind], now)
+                self.machines[entry.machine] = Machine(entry, self.deployment.kinds[entry.machine_kind], now)
                 self.list_version += 1
                 continue
             self.list_version += entry.mode is not machine.listed.mode
@@ -218,7 +218,7 @@
                 self._restarted(machine, entry.started)
                 machine.listed_since = now
             machine.listed, machine.listed_at, machine.left, machine.asked = entry, now, None, None
-            machine.size = self.deployment.kinds[entry.kind]
+            machine.size = self.deployment.kinds[entry.machine_kind]
             machine.ready = entry.mode is MachineMode.READY
         if whole:
             for name in self.machines.keys() - {entry.machine for entry in entries}:
@@ -227,9 +227,9 @@
                 self.machines[name].listed = self.machines[name].listed._replace(mode=MachineMode.GONE)
         # One gone while cold is kept until it would be warm: a list may name it again without its start.
         self.machines = {n: m for n, m in self.machines.items() if m.guests or m.listed.mode is not MachineMode.GONE
-                         or now - m.cold_at < self.deployment.cold_for}
+                         or now - m.cold_at < self.deployment.warmup_time}
         # News within two fifths of the time allowed shows that the list is still heard.
-        self.ask_list_at = now + int(self.deployment.ask_within * 0.4 * self.random.uniform(0.8, 1.2))
+        self.ask_list_at = now + int(self.deployment.list_poll_limit * 0.4 * self.random.uniform(0.8, 1.2))
         self._changed(now)
 
     def list_taken(self, now: int, current: bool) -> None:
@@ -240,7 +240,7 @@
     def list_heard(self, now: int) -> None:
         """The list service answered that nothing has changed."""
         self.list_heard_at = now
-        self.ask_list_at = now + int(self.deployment.ask_within * 0.4)
+        self.ask_list_at = now + int(self.deployment.list_poll_limit * 0.4)
 
     def machine_refuses(self, now: int, name: str) -> None:
         """A machine failed a test in so many words: it takes no work, whatever the list says."""
@@ -252,13 +252,13 @@
 
     def guest_submitted(self, now: int, ask: interface.Submission) -> None:
         guest = self._known(now, ask)
-        if ask.earlier:  # guards against a second run by way of a second ask while the first is unsettled
-            host, group = self.machines.get(ask.earlier.machine), guest.product.group
+        if ask.earlier_dispatch:  # guards against a second run by way of a second ask while the first is unsettled
+            host, group = self.machines.get(ask.earlier_dispatch.machine), guest.product.dedup_scope
             guest.may_run, guest.bound = True, host.place(group) if host else (group, "")
-            guest.window_ends = ask.earlier.sent_at + guest.product.window
-        guest.dispatches = ask.spent
+            guest.window_ends = ask.earlier_dispatch.sent_at + guest.product.dedup_window
+        guest.dispatches = ask.dispatches_used
         self.guests[ask.guest] = self.waiting[ask.guest] = guest
-        self.answer_at = 0 if ask.earlier or ask.spent else min(self.answer_at, guest.answer_by)
+        self.answer_at = 0 if ask.earlier_dispatch or ask.dispatches_used else min(self.answer_at, guest.answer_by)
         self.due = None
 
     def restore_dispatch(self, now: int, machine: str, name: str, sent_at: int) -> None:
@@ -291,7 +291,7 @@
         """Takes what an earlier life learned, for machines that are still in the same life. Samples of
         services that were not seen for a minute are let go; strikes and rests go on by their own times. Where
         offers to cold machines may be forgotten, these get nothing until they would count no more."""
-        self.began, self.no_cold_until = now, 0 if complete else now + 2 * self.deployment.cold_window
+        self.began, self.no_cold_until = now, 0 if complete else now + 2 * self.deployment.cold_budget_window
         for name, (seen, samples) in past.services.items():
             if seen >= now - 60 * SECOND:
                 service = self.services.setdefault(name, ServiceUsage())
@@ -344,7 +344,7 @@
         """A machine accepted a dispatch that was given up. Guards against a guest that runs in nobody's
         hands, and against two copies; a rerunnable copy goes even if the other dispatch is then refused."""
         held = self.guests.get(ask.guest)
-        effect = self.deployment.products[ask.product].effect
+        effect = self.deployment.products[ask.product].repeat
         if ask.guest in self.waiting or not held and effect is not RepeatSemantics.IDEMPOTENT:
             self.guest_discovered(now, machine, ask)
         elif effect is RepeatSemantics.IDEMPOTENT or effect is RepeatSemantics.DEDUPLICATED and held.placed:
@@ -360,7 +360,7 @@
         guest.machine.strikes, guest.machine.mute, guest.machine.heard_at = 0, False, now
         if guest.unwanted:  # the call-off crossed with this answer: now it stops what runs
             self.to_call_off.append((name, guest.machine.listed.machine))
-        if self.deployment.confirms_running:
+        if self.deployment.confirms_when_running:
             self._started(guest, now)
 
     def guest_started(self, now: int, name: str) -> None:
@@ -385,11 +385,11 @@
             return
         if ending not in NEVER_RAN:
             if not guest.may_run:
-                guest.window_ends = guest.sent_at + guest.product.window
-            guest.may_run, guest.bound = True, host.place(guest.product.group)
+                guest.window_ends = guest.sent_at + guest.product.dedup_window
+            guest.may_run, guest.bound = True, host.place(guest.product.dedup_scope)
         # A refusal may come twice: an exclusive guest stays away from those that refused it, too.
-        once = guest.product.effect is RepeatSemantics.AT_MOST_ONCE and ending is DispatchOutcome.REFUSED
-        if not self.deployment.dispatches_named and (once or ending not in NEVER_RAN):
+        once = guest.product.repeat is RepeatSemantics.AT_MOST_ONCE and ending is DispatchOutcome.REFUSED
+        if not self.deployment.dispatches_identified and (once or ending not in NEVER_RAN):
             guest.tried.append(host.listed.machine)
         if ending is DispatchOutcome.REFUSED and guest.dispatches > 1:
             # Twice refused: everybody is after the same room. The rest of its dispatches are spread over its
@@ -401,7 +401,7 @@
     def machine_reported(self, now: int, name: str, load: interface.Load | None) -> None:
         if not (machine := self.machines.get(name)) or load is None:
             return
-        size, used = machine.size, not self.deployment.reports_count_asked
+        size, used = machine.size, not self.deployment.reports_count_requested
         cores = None if load.busy is None else load.busy * size.cores
         if cores is None and used and load.cores_free is not None:
             cores = size.cores - load.cores_free
@@ -432,7 +432,7 @@
     def service_level_reported(self, now: int, name: str, share: float) -> None:
         if (guest := self.guests.get(name)) and (machine := guest.machine) and share < 0.95:
             # A poorly served guest tells how far the cores are past what its product bears.
-            busy = guest.product.easy_until + (1 - share) * guest.product.lost_after
+            busy = guest.product.full_service_load + (1 - share) * guest.product.service_fade
             self._reported(machine, max((machine.used or (0.0,))[0], busy * machine.size.cores), None, now)
 
     def memory_pressure_reported(self, now: int, name: str, share: float) -> None:
@@ -483,7 +483,7 @@
                 del machine.kept[next(iter(machine.kept))]
 
     def _spread_key(self, guest: Guest, machine: Machine) -> tuple[str, Scope, str]:
-        return guest.ask.service, *machine.place(guest.product.spread)
+        return guest.ask.service, *machine.place(guest.product.spread_scope)
 
     def _started(self, guest: Guest, now: int) -> None:
         guest.machine.starting -= not guest.runs
@@ -510,13 +510,13 @@
         to what others ask there by the list, in our guests' proportion of use to asks. Guards against any
         cause of late or missing reports."""
         if (now - machine.reported_at <= 2 * SECOND or machine.reported_at > self.list_heard_at
-                or not self.deployment.list_has_room):
+                or not self.deployment.list_shows_free):
             return machine.others if machine.used is not None else None
         if machine.asked is None:
             listed, size = machine.listed, machine.size
             ours = [g.ask for g in machine.guests.values() if g.sent_at <= machine.listed_at - SECOND // 4]
-            machine.asked = (max(0.0, size.cores - listed.cores_room - sum(a.cores for a in ours)),
-                             max(0.0, size.memory - listed.memory_room - sum(a.memory for a in ours)))
+            machine.asked = (max(0.0, size.cores - listed.free_cores - sum(a.cores for a in ours)),
+                             max(0.0, size.memory - listed.free_memory - sum(a.memory for a in ours)))
         cores, memory, cores_asked, memory_asked = self.seen
         return machine.asked[0] * cores / cores_asked, machine.asked[1] * memory / memory_asked
 
@@ -548,7 +548,7 @@
         elif ending in (DispatchOutcome.UNREACHABLE, DispatchOutcome.TIMED_OUT):
             if ending is DispatchOutcome.UNREACHABLE or machine.heard_at <= guest.sent_at:
                 self._strike(machine, now, mute=True)
-            if ending is DispatchOutcome.UNREACHABLE and now - machine.cold_at > self.deployment.cold_for:
+            if ending is DispatchOutcome.UNREACHABLE and now - machine.cold_at > self.deployment.warmup_time:
                 self._restarted(machine, now)
         elif not guest.placed and ending in (DispatchOutcome.ERROR, DispatchOutcome.INTERRUPTED):
             machine.answered(60 * SECOND)
@@ -592,14 +592,14 @@
 
     def next_decision_at(self, now: int) -> int | None:
         times = [min(g.look_at, g.answer_by) for g in self.waiting.values()]
-        if self.deployment.list_is_asked:
+        if self.deployment.list_is_polled:
             times.append(self.ask_list_at)
         times += [max(m.avoid_until, self.probe_at) for m in self.machines.values() if m.mute and m.ready]
         times += [g.patience_at for g in self.out.values() if not g.over]
         return max(now, min(times)) if times else None
 
     def _keep_list(self, now: int) -> Decision | None:
-        if not self.deployment.list_is_asked or now < self.ask_list_at:
+        if not self.deployment.list_is_polled or now < self.ask_list_at:
             return None
         self.ask_list_at = now + int(self.random.uniform(2, 3) * SECOND)  # an answer is due before
         return Decision(DecisionKind.WATCH_LIST)
@@ -612,8 +612,8 @@
             product = guest.product
             spent = guest.dispatches >= self.deployment.max_dispatches
             stuck = guest.may_run and (
-                product.effect is RepeatSemantics.AT_MOST_ONCE
-                or product.effect is RepeatSemantics.DEDUPLICATED and now >= guest.window_ends - SECOND // 20)
+                product.repeat is RepeatSemantics.AT_MOST_ONCE
+                or product.repeat is RepeatSemantics.DEDUPLICATED and now >= guest.window_ends - SECOND // 20)
             if spent or stuck or guest.unwanted or now >= guest.answer_by:
                 step = DecisionKind.REFUSE if guest.may_turn_back() else DecisionKind.FAIL
                 self._drop(guest)
@@ -625,7 +625,7 @@
         # A dispatch that ends clears this; until then only time makes an answer due.
         self.answer_at = min([g.patience_at for g in self.out.values() if not g.over] + [
             min(g.answer_by, g.window_ends - SECOND // 20) if g.may_run and (
-                g.product.effect is RepeatSemantics.DEDUPLICATED) else g.answer_by
+                g.product.repeat is RepeatSemantics.DEDUPLICATED) else g.answer_by
             for g in self.waiting.values()], default=now + 60 * SECOND)
         return None
 
@@ -644,14 +644,14 @@
         if self.due is None:  # sorted once a moment; who was looked at falls out at the end
             due = [g for g in self.waiting.values() if g.look_at <= now]
             if not self.kept_well:
-                for guest in [g for g in due if g.product.effect is not RepeatSemantics.IDEMPOTENT]:
+                for guest in [g for g in due if g.product.repeat is not RepeatSemantics.IDEMPOTENT]:
                     due.remove(guest)
                     guest.look_at = now + SECOND // 5
-            self.due = sorted(due, key=lambda g: (-g.product.payoff * g.ask.memory, g.patience_at))
+            self.due = sorted(due, key=lambda g: (-g.product.value * g.ask.memory, g.patience_at))
             self.due.reverse()
         while self.due:
             guest = self.due.pop()
-            shape = guest.ask._replace(guest="", patience=0), guest.bound
+            shape = guest.ask._replace(guest="", time_left=0), guest.bound
             machine = None if shape in self.no_room else self._pick(guest, now)
             if machine is None:
                 if guest.rests_until <= now:
@@ -682,18 +682,18 @@
     def _allowed(self, guest: Guest, machine: Machine, now: int) -> bool:
         """The rules: what no ranking may go round."""
         product, facts = guest.product, self.deployment
-        if not machine.ready or machine.refuses or product.kind not in (-1, machine.listed.kind):
+        if not machine.ready or machine.refuses or product.machine_kind not in (-1, machine.listed.machine_kind):
             return False
         if machine.listed.machine in guest.tried:  # guards against two copies: it may speak late
             return False
-        if guest.bound and product.effect is RepeatSemantics.DEDUPLICATED and machine.place(product.group) != guest.bound:
+        if guest.bound and product.repeat is RepeatSemantics.DEDUPLICATED and machine.place(product.dedup_scope) != guest.bound:
             return False
-        if (product.spread is not Scope.NOWHERE
-                and self.spread.get(self._spread_key(guest, machine), 0) >= product.spread_most):
+        if (product.spread_scope is not Scope.NOWHERE
+                and self.spread.get(self._spread_key(guest, machine), 0) >= product.spread_limit):
             return False
-        while machine.offers and machine.offers[0] < now - 2 * facts.cold_window:
+        while machine.offers and machine.offers[0] < now - 2 * facts.cold_budget_window:
             machine.offers.popleft()
-        cold = now - machine.cold_at < facts.cold_for
+        cold = now - machine.cold_at < facts.warmup_time
         if not cold and not self._may_be_cold(machine, now):
             return True
         if cold and now < self.no_cold_until and machine.cold_at <= self.began:
@@ -708,7 +708,7 @@
         started late is known to be warm only once it has been listed here for as long as one stays cold."""
         facts = self.deployment
         late_start = facts.ages_by_clock and machine.listed.started > 0
-        return late_start and now - machine.listed_since < facts.cold_for
+        return late_start and now - machine.listed_since < facts.warmup_time
 
     def _has_room(self, guest: Guest, machine: Machine, now: int, way: str) -> bool:
         ask = guest.ask
@@ -720,8 +720,8 @@
             # Of all that is asked there, the part that is lower among our own guests anywhere.
             lower = sum(n for priority, n in self.seated.items() if priority < guest.product.priority)
             part = lower / max(1, sum(self.seated.values()))
-            cores += part * max(0.0, machine.size.cores - machine.listed.cores_room)
-            memory += part * max(0.0, machine.size.memory - machine.listed.memory_room)
+            cores += part * max(0.0, machine.size.cores - machine.listed.free_cores)
+            memory += part * max(0.0, machine.size.memory - machine.listed.free_memory)
         return way == "unknown" or ask.cores <= cores and ask.memory <= memory
 
     def _pick(self, guest: Guest, now: int) -> Machine | None:
@@ -736,11 +736,11 @@
         if self.deployment.fleet_price > 0:
             # Each machine in use costs: the emptiest of them is left to drain, and an empty one is opened,
             # only when the best of the rest bears a likely loss (three tenths: a first guess).
-            empty = [m for m in ready if not m.guests and m.listed.cores_room >= m.size.cores]
+            empty = [m for m in ready if not m.guests and m.listed.free_cores >= m.size.cores]
             used = [m for m in ready if m not in empty]
-            drain = max(used, key=lambda m: m.listed.cores_room / m.size.cores, default=None)
+            drain = max(used, key=lambda m: m.listed.free_cores / m.size.cores, default=None)
             steps = [([m for m in used if m is not drain], 0.1), (used, 0.3), (empty[:1] + used, 9.9), *steps]
-        pushes = self.deployment.makes_room and guest.product.priority
+        pushes = self.deployment.preempts and guest.product.priority
         # Room by a list that is down, slow or old is worth little: refusals may be the cost.
         silent = now - self.list_heard_at >= 2 * SECOND
         for way in ("shown", "pushed", "unknown", "distrust"):
@@ -817,7 +817,7 @@
         size = machine.size
         others = load[0] * size.cores - machine.means[0], load[1] * size.memory - machine.means[1]
         # The design's 90%, or the load up to which the touchiest product here is fully served.
-        bears = min(0.9, guest.product.easy_until, machine.bears)
+        bears = min(0.9, guest.product.full_service_load, machine.bears)
         cores, memory = bears * size.cores - max(0.0, others[0]), 0.9 * size.memory - max(0.0, others[1])
         if machine.most[0] + most[0] <= cores and machine.most[1] + most[1] <= memory:
             return 0.0
@@ -831,13 +831,13 @@
         seen, total = starts.get(self._warm(guest, machine), ((), 0))
         if not seen:  # an unseen cold start is presumed late, but not so as to open machines that cost
             return 0.0 if self._warm(guest, machine) or self.deployment.fleet_price > 0 else 1.0
-        age = max(0.0, min(1.0, (now - machine.cold_at) / self.deployment.cold_for))
+        age = max(0.0, min(1.0, (now - machine.cold_at) / self.deployment.warmup_time))
         pace = self.deployment.cold_from + (1 - self.deployment.cold_from) * age
         slower = (1 + machine.starting / 2) / pace
         limit = (guest.goal_at - now) / slower
         wait = total / len(seen) * slower / SECOND
         late = (len(seen) - bisect_right(seen, limit)) / len(seen)
-        return late + wait / max(1.0, guest.product.start_bonus)
+        return late + wait / max(1.0, guest.product.start_value)
 
     def _probe(self, now: int) -> Decision | None:
         if self.to_probe:
--- a/hazelhold/state/snapshot.py
+++ b/hazelhold/state/snapshot.py
@@ -148,7 +148,7 @@
         machine = scheduler.machines[plain["listed"][0]]
         machine.guests = {name: scheduler.guests[name] for name in plain["guests"]}
         guests = machine.guests.values()
-        machine.bears = min((g.product.easy_until for g in guests), default=1.0)
+        machine.bears = min((g.product.full_service_load for g in guests), default=1.0)
         machine.starting = sum(not g.runs for g in guests)
         machine.services = dict(Counter(g.ask.service for g in guests))
     scheduler.waiting = {name: scheduler.guests[name] for name in data["waiting"]}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -32,29 +32,29 @@
 )
 PRODUCTS = (
     PRODUCT,
-    PRODUCT._replace(effect=RepeatSemantics.AT_MOST_ONCE),
-    PRODUCT._replace(effect=RepeatSemantics.DEDUPLICATED, group=Scope.CELL),
-    PRODUCT._replace(effect=RepeatSemantics.DEDUPLICATED, group=Scope.ALL),
-    PRODUCT._replace(spread=Scope.MACHINE),
+    PRODUCT._replace(repeat=RepeatSemantics.AT_MOST_ONCE),
+    PRODUCT._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.CELL),
+    PRODUCT._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.ALL),
+    PRODUCT._replace(spread_scope=Scope.MACHINE),
 )
 DEPLOYMENT = Deployment(
     planners=1,
     slot=0,
     products=PRODUCTS,
     kinds=(MachineKind(24.0, 40.0),),
-    list_is_asked=True,
-    ask_within=10_000 * MS,
-    list_has_room=True,
+    list_is_polled=True,
+    list_poll_limit=10_000 * MS,
+    list_shows_free=True,
     cores_multiple=2.5,
     memory_multiple=1.5,
-    makes_room=False,
-    confirms_running=False,
+    preempts=False,
+    confirms_when_running=False,
     probing=True,
-    reports_count_asked=False,
+    reports_count_requested=False,
     max_dispatches=4,
-    cold_for=15_000 * MS,
+    warmup_time=15_000 * MS,
     cold_from=0.2,
-    cold_window=2000 * MS,
+    cold_budget_window=2000 * MS,
     cold_offers=20.0,
     fleet_price=0.0,
 )
@@ -81,7 +81,7 @@
     """All that is decided at this moment, probes and list calls left out."""
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step not in (DecisionKind.PROBE, DecisionKind.WATCH_LIST):
+        if decision.kind not in (DecisionKind.PROBE, DecisionKind.WATCH_LIST):
             found.append(decision)
     return found
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -10,7 +10,7 @@
 from hazelhold.scheduler import Scheduler
 from tests.helpers import DEPLOYMENT, MS, entry
 
-WINDOW = DEPLOYMENT.cold_window
+WINDOW = DEPLOYMENT.cold_budget_window
 BEGUN = 40_000 * MS  # when the machine starts; it is cold for 15 s from then
 
 
@@ -29,7 +29,7 @@
     are restarted at drawn moments, and seven in ten together once. No other machine has room."""
     random = Random(seed)
     facts = DEPLOYMENT._replace(
-        planners=told_of or planners, cold_offers=budget, list_is_asked=False, probing=False
+        planners=told_of or planners, cold_offers=budget, list_is_polled=False, probing=False
     )
     told = [BEGUN + random.randrange(400) * MS for _ in range(planners)]
     brains = [kind(random.getrandbits(32), facts._replace(slot=slot)) for slot in range(planners)]
@@ -53,7 +53,7 @@
                     now, Submission(f"g{number}", 0, 0, f"s{number % 7}", 1.0, 2.0, 3_000_000)
                 )
             while (decision := made.decide(now)) is not None:
-                if decision.step is not DecisionKind.DISPATCH:
+                if decision.kind is not DecisionKind.DISPATCH:
                     continue
                 if decision.machine == "cold":  # else it is offered past the list's room
                     sent.append(now)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -32,25 +32,25 @@
 def test_exclusive_guest_that_may_have_run_is_broken_off_at_once() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
-    assert [d.step for d in end(made, 9 * MS, sent, DispatchOutcome.TIMED_OUT)] == [DecisionKind.FAIL]
+    assert [d.kind for d in end(made, 9 * MS, sent, DispatchOutcome.TIMED_OUT)] == [DecisionKind.FAIL]
 
 
 def test_exclusive_guest_that_never_ran_goes_again() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
     again = end(made, 9 * MS, sent, DispatchOutcome.UNREACHABLE)
-    assert [(d.step, d.machine != sent.machine) for d in again] == [(DecisionKind.DISPATCH, True)]
+    assert [(d.kind, d.machine != sent.machine) for d in again] == [(DecisionKind.DISPATCH, True)]
 
 
 def test_exclusive_guest_goes_no_second_time_to_a_machine_that_refused_it() -> None:
     """A second copy of the refusal would count as proof that the second dispatch never ran."""
-    made = scheduler("ab", dispatches_named=False)
+    made = scheduler("ab", dispatches_identified=False)
     first = place(made, 0, "g", 1)
     (second,) = end(made, 100 * MS, first, DispatchOutcome.REFUSED)
     end(made, 200 * MS, second, DispatchOutcome.REFUSED)
     assert {first.machine, second.machine} == {"a", "b"}
     assert [d for now in range(300, 4900, 50) for d in decisions(made, now * MS)] == []
-    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
+    assert [d.kind for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
 
 
 def test_ticketed_guest_stays_in_its_cell() -> None:
@@ -65,7 +65,7 @@
     made.machines_listed(0, [entry("a", MachineMode.CORDONED)], False)
     made.guest_submitted(0, ask("g"))
     assert decisions(made, 0) == []
-    assert [d.step for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
+    assert [d.kind for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
     assert decisions(made, 5100 * MS) == []
 
 
@@ -77,7 +77,7 @@
     made.memory_pressure_reported(0, "a", 0.9)
     made.machine_reported(0, "a", Load(None, None, None))
     made.guest_submitted(0, ask("g", patience=0))
-    assert [d.step for d in decisions(made, 0)] == [DecisionKind.REFUSE]
+    assert [d.kind for d in decisions(made, 0)] == [DecisionKind.REFUSE]
 
 
 def test_machine_missing_from_a_whole_list_gets_nothing() -> None:
@@ -90,7 +90,7 @@
     made = scheduler()
     made.list_failed(0)
     asked = [
-        t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.step is DecisionKind.WATCH_LIST
+        t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.kind is DecisionKind.WATCH_LIST
     ]
     assert asked and asked[0] <= 3000 and max(b - a for a, b in zip(asked, asked[1:], strict=False)) <= 3100
 
@@ -100,7 +100,7 @@
     sent = place(made, 0, "g")
     assert end(made, 600 * MS, sent, DispatchOutcome.TIMED_OUT)[0].machine != sent.machine
     probes = [d for t in range(600, 3000, 50) if (d := made.decide(t * MS)) and d.machine == sent.machine]
-    assert probes and all(d.step is DecisionKind.PROBE for d in probes)
+    assert probes and all(d.kind is DecisionKind.PROBE for d in probes)
     made.probe_answered(3000 * MS, sent.machine, True)
     made.machines_listed(3000 * MS, [entry("ab".replace(sent.machine, ""), MachineMode.CORDONED)], False)
     assert place(made, 3001 * MS, "h").machine == sent.machine
@@ -121,7 +121,7 @@
     made = scheduler("abc")
     for name in "abc":
         made.probe_answered(0, name, False)
-    assert place(made, MS, "g").step is DecisionKind.DISPATCH
+    assert place(made, MS, "g").kind is DecisionKind.DISPATCH
 
 
 def test_machine_whose_line_is_full_rests_a_quarter_second() -> None:
@@ -135,7 +135,7 @@
     made = scheduler("a")
     sent = place(made, 0, "g")
     assert end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY) == []
-    assert place(made, 2 * MS, "small", cores=0.2).step is DecisionKind.DISPATCH
+    assert place(made, 2 * MS, "small", cores=0.2).kind is DecisionKind.DISPATCH
 
 
 def test_restart_is_suspected_from_a_lost_guest() -> None:
@@ -220,8 +220,8 @@
         made.guest_submitted(now, ask(f"g{number}"))
         found = []
         while (decision := made.decide(now)) is not None:
-            found.append(decision.step)
-            if decision.step is DecisionKind.DISPATCH:
+            found.append(decision.kind)
+            if decision.kind is DecisionKind.DISPATCH:
                 made.dispatch_accepted(now, decision.guest, 9 * MS)
         assert [step for step in found if step is not DecisionKind.WATCH_LIST] == [DecisionKind.DISPATCH]
 
@@ -232,8 +232,8 @@
     asked = []
     while (decision := made.decide(0)) is not None:
         asked.append(decision)
-    probed = {d.machine for d in asked if d.step is DecisionKind.PROBE}
-    assert len(probed) >= 3 and not [d for d in asked if d.step is DecisionKind.DISPATCH]
+    probed = {d.machine for d in asked if d.kind is DecisionKind.PROBE}
+    assert len(probed) >= 3 and not [d for d in asked if d.kind is DecisionKind.DISPATCH]
     assert decisions(made, 50 * MS)[0].machine in probed
 
 
@@ -260,8 +260,8 @@
     for n in range(20):
         sent = place(made, n * MS, f"g{n}", cores=0.1)
         made.dispatch_accepted(n * MS, sent.guest, 100 * MS)
-    assert place(made, 30 * MS, "small").span == 500 * MS
-    assert place(made, 30 * MS, "large", 3, cores=8.0).span > 4000 * MS
+    assert place(made, 30 * MS, "small").timeout == 500 * MS
+    assert place(made, 30 * MS, "large", 3, cores=8.0).timeout > 4000 * MS
 
 
 def test_silent_list_does_not_hold_guests_back() -> None:
@@ -269,12 +269,12 @@
     made.machines_listed(0, [entry(name, room=-60.0) for name in "ab"], True)
     made.guest_submitted(0, ask("g"))
     assert decisions(made, 1900 * MS) == []
-    assert [d.step for d in decisions(made, 2200 * MS)] == [DecisionKind.DISPATCH]
+    assert [d.kind for d in decisions(made, 2200 * MS)] == [DecisionKind.DISPATCH]
 
 
 def test_higher_priority_counts_lower_guests_as_room_where_machines_push_out() -> None:
     for makes_room in (True, False):
-        made = scheduler("a", makes_room=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
+        made = scheduler("a", preempts=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
         place(made, 0, "low")
         made.dispatch_accepted(MS, "low", MS)
         made.machines_listed(MS, [entry("a", room=-36.0)], False)
@@ -287,11 +287,11 @@
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
     assert decisions(made, 1 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
-    assert [d.step for d in end(made, 2 * MS, sent, DispatchOutcome.REFUSED)] == [DecisionKind.REFUSE]
+    assert [d.kind for d in end(made, 2 * MS, sent, DispatchOutcome.REFUSED)] == [DecisionKind.REFUSE]
     made.machines_listed(3 * MS, [entry(n, MachineMode.CORDONED) for n in "ab"], False)
     made.guest_submitted(3 * MS, ask("h", 1))
     made.guest_cancelled(4 * MS, "h")
-    assert [d.step for d in decisions(made, 4 * MS)] == [DecisionKind.REFUSE]
+    assert [d.kind for d in decisions(made, 4 * MS)] == [DecisionKind.REFUSE]
 
 
 def test_a_cancel_that_crosses_the_answer_stops_what_runs() -> None:
@@ -305,12 +305,12 @@
 
 def test_an_unsettled_earlier_dispatch_breaks_an_exclusive_guest_off_and_binds_a_ticketed_one() -> None:
     made = scheduler("abcdef")
-    made.guest_submitted(0, ask("g", 1)._replace(earlier=EarlierDispatch("a", 0)))
-    assert [d.step for d in decisions(made, 0)] == [DecisionKind.FAIL]
-    made.guest_submitted(0, ask("h", 2)._replace(earlier=EarlierDispatch("c", 0)))
+    made.guest_submitted(0, ask("g", 1)._replace(earlier_dispatch=EarlierDispatch("a", 0)))
+    assert [d.kind for d in decisions(made, 0)] == [DecisionKind.FAIL]
+    made.guest_submitted(0, ask("h", 2)._replace(earlier_dispatch=EarlierDispatch("c", 0)))
     assert decisions(made, 0)[0].machine in ("c", "d")
-    made.guest_submitted(0, ask("i")._replace(earlier=EarlierDispatch("nobody", 0)))
-    assert [d.step for d in decisions(made, 0)] == [DecisionKind.DISPATCH]
+    made.guest_submitted(0, ask("i")._replace(earlier_dispatch=EarlierDispatch("nobody", 0)))
+    assert [d.kind for d in decisions(made, 0)] == [DecisionKind.DISPATCH]
 
 
 def test_a_late_copy_is_taken_for_the_guest_only_where_nothing_else_is_out() -> None:
@@ -342,7 +342,7 @@
     made.restore_dispatch(0, "elsewhere", "g", 0)
     made.dispatch_ended(MS, "g", DispatchOutcome.TIMED_OUT, False, OutcomeReason.NONE)
     made_at = [d for now in range(MS, 4000 * MS, 100 * MS) for d in decisions(made, now)]
-    assert all(d.step is not DecisionKind.DISPATCH for d in made_at)
+    assert all(d.kind is not DecisionKind.DISPATCH for d in made_at)
 
 
 def test_an_unknown_start_is_not_preferred_to_a_known_one() -> None:
@@ -357,7 +357,7 @@
     picked = []
     for n in range(3):
         made.guest_submitted(n * MS, ask(f"g{n}")._replace(service="mine"))
-        picked += [d.machine for d in decisions(made, n * MS) if d.step is DecisionKind.DISPATCH]
+        picked += [d.machine for d in decisions(made, n * MS) if d.kind is DecisionKind.DISPATCH]
     assert picked == ["a", "a", "a"]
 
 
@@ -380,11 +380,11 @@
     remark: OutcomeReason,
 ) -> None:
     """Where words do not name the dispatch, a copy some milliseconds late is heard as of the next one."""
-    made = scheduler("a", dispatches_named=False)
+    made = scheduler("a", dispatches_identified=False)
     now = 20_000 * MS
     made.guest_submitted(now, ask("g"))
     (first,) = decisions(made, now)
     made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.REFUSED, False, remark)
     assert all(not decisions(made, now + 5 * MS + after * MS) for after in (0, 50, 100, 200))
     (again,) = decisions(made, now + 700 * MS)
-    assert (again.step, again.machine) == (DecisionKind.DISPATCH, "a")
+    assert (again.kind, again.machine) == (DecisionKind.DISPATCH, "a")
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -146,7 +146,7 @@
     )
     start = check_start(file(), "test")
     assert start.terms.facts == read_deployment(Pairs(wire.split(" ")))._replace(
-        dispatches_named=False, ages_by_clock=True, list_lease=200_000
+        dispatches_identified=False, ages_by_clock=True, list_lease=200_000
     )
     assert flat(DEPLOYMENT)["kinds"] == "small_box,large-box" and start.terms.kinds[0] == "small box"
 
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -116,7 +116,7 @@
         await trio.sleep(0.1)
         machines = rig.planner.engine.scheduler.machines
         assert len({machines[name].listed.zone for name in "abc"}) == 3
-        assert len({machines[name].place(Scope.CELL) for name in "abc"}) == 3  # block 0 of each
+        assert len({machines[name].scope_key(Scope.CELL) for name in "abc"}) == 3  # block 0 of each
 
     play(test, machines="abc")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
 
     def dispatch(self, now: int, guest: str, machine: str, span: int) -> None:
         product, ends, answered, placed, sent = self.history[guest]
-        effect = PRODUCTS[product].effect
+        effect = PRODUCTS[product].repeat
         assert not answered and not placed and not self.out(guest) and now + span <= ends
         assert guest not in self.cancelled
         assert len(sent) < DEPLOYMENT.max_dispatches
@@ -46,19 +46,19 @@
         ran = self.may_have_run(guest)
         assert not (ran and effect is RepeatSemantics.AT_MOST_ONCE)
         if ran and effect is RepeatSemantics.DEDUPLICATED:
-            assert now <= min(d[1] for d in ran) + PRODUCTS[product].window
-            assert PRODUCTS[product].group is Scope.ALL or CELLS[machine] == CELLS[ran[0][0]]
-        if PRODUCTS[product].spread is Scope.MACHINE:
+            assert now <= min(d[1] for d in ran) + PRODUCTS[product].dedup_window
+            assert PRODUCTS[product].dedup_scope is Scope.ALL or CELLS[machine] == CELLS[ran[0][0]]
+        if PRODUCTS[product].spread_scope is Scope.MACHINE:
             there = sum(
                 d[0] == machine and d[2] is None
                 for h in self.history.values()
                 for d in h[4]
                 if h[0] == product
             )
-            assert there < PRODUCTS[product].spread_most
+            assert there < PRODUCTS[product].spread_limit
         self.offers.append((now, machine))
-        if now - self.started.get(machine, -(10**12)) < DEPLOYMENT.cold_for:
-            recent = sum(m == machine and at > now - DEPLOYMENT.cold_window for at, m in self.offers)
+        if now - self.started.get(machine, -(10**12)) < DEPLOYMENT.warmup_time:
+            recent = sum(m == machine and at > now - DEPLOYMENT.cold_budget_window for at, m in self.offers)
             assert recent <= -(-DEPLOYMENT.cold_offers // self.planners)  # their sum: see test_decisions
         sent.append([machine, now, None])
 
@@ -66,13 +66,13 @@
         product, ends, answered, placed, _ = self.history[guest]
         assert not answered and not placed and now <= ends + 8 * MS
         if step is DecisionKind.REFUSE:
-            effect, ran = PRODUCTS[product].effect, self.may_have_run(guest) or self.out(guest)
+            effect, ran = PRODUCTS[product].repeat, self.may_have_run(guest) or self.out(guest)
             assert not (
                 ran
                 and (
                     effect is RepeatSemantics.AT_MOST_ONCE
                     or effect is RepeatSemantics.DEDUPLICATED
-                    and PRODUCTS[product].group is not Scope.ALL
+                    and PRODUCTS[product].dedup_scope is not Scope.ALL
                 )
             )
         self.history[guest][2] = True
@@ -99,7 +99,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(events, st.sampled_from([1, 2, 3, 40]), st.booleans())
 def test_module_and_model_agree(steps: list, planners: int, running: bool) -> None:
-    scheduler = Scheduler(3, DEPLOYMENT._replace(planners=planners, confirms_running=running))
+    scheduler = Scheduler(3, DEPLOYMENT._replace(planners=planners, confirms_when_running=running))
     model, now = Model(planners), 10**9
     scheduler.machines_listed(now, [entry(n, cell=CELLS[n]) for n in "abcdef"], True)
     model.modes = dict.fromkeys("abcdef", MachineMode.READY)
@@ -111,7 +111,7 @@
             for more in range(15 if wait > 250 else 1):  # a crowd at times
                 model.history[f"{name}.{more}"] = [kind % 5, now + patience, False, False, []]
                 scheduler.guest_submitted(now, ask(f"{name}.{more}", kind % 5, 0.2 + pick / 8, patience))
-        elif what == "found" and PRODUCTS[kind % 5].spread is Scope.NOWHERE:
+        elif what == "found" and PRODUCTS[kind % 5].spread_scope is Scope.NOWHERE:
             model.history[name] = [kind % 5, now, False, True, [[machine, now, None]]]
             scheduler.guest_discovered(now, machine, ask(name, kind % 5))
         elif what == "end" and open_now:
@@ -144,10 +144,10 @@
             guest = list(model.history)[pick % len(model.history)]
             asked, ends, answered, placed, sent = model.history[guest]
             given_up = [d for d in sent if d[2] is DispatchOutcome.TIMED_OUT]
-            if given_up and PRODUCTS[asked].spread is Scope.NOWHERE:
+            if given_up and PRODUCTS[asked].spread_scope is Scope.NOWHERE:
                 held = not answered and not placed and not model.out(guest)
                 unknown = (
-                    guest not in scheduler.guests and PRODUCTS[asked].effect is not RepeatSemantics.IDEMPOTENT
+                    guest not in scheduler.guests and PRODUCTS[asked].repeat is not RepeatSemantics.IDEMPOTENT
                 )
                 scheduler.late_copy_accepted(now, given_up[0][0], ask(guest, asked))
                 if held or unknown:  # it is the guest's place from here on; no final answer may follow
@@ -165,13 +165,13 @@
                 decision = scheduler.decide(now)
                 if decision is None:
                     break
-                if decision.step is DecisionKind.DISPATCH:
-                    model.dispatch(now, decision.guest, decision.machine, decision.span)
-                elif decision.step is DecisionKind.WITHDRAW:
+                if decision.kind is DecisionKind.DISPATCH:
+                    model.dispatch(now, decision.guest, decision.machine, decision.timeout)
+                elif decision.kind is DecisionKind.WITHDRAW:
                     copy = any(d[2] is DispatchOutcome.TIMED_OUT for d in model.history[decision.guest][4])
                     assert decision.guest in model.cancelled or copy
-                elif decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL):
-                    model.answer(now, decision.guest, decision.step)
+                elif decision.kind in (DecisionKind.REFUSE, DecisionKind.FAIL):
+                    model.answer(now, decision.guest, decision.kind)
             else:
                 raise AssertionError("decide does not come to an end")
             model.nobody_lost(now)
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -144,7 +144,7 @@
     past = made.learned_state()
     later.restore_learned(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
     assert len(later.services["service-0"].samples) == 4 and later.answers[0]
-    assert later.machines[decision.machine].mute and later.no_cold_until == 14 * S
+    assert later.machines[decision.machine].unresponsive and later.no_cold_until == 14 * S
     late = scheduler("ab", at=100 * S)
     late.restore_learned(100 * S, made.learned_state(), True)
     assert not late.services and not late.no_cold_until
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -88,7 +88,7 @@
         made.guest_cancelled(now, random.choice(names))
     while (decision := made.decide(now)) is not None:
         found.append(decision)
-        if decision.step in (DecisionKind.REFUSE, DecisionKind.FAIL):
+        if decision.kind in (DecisionKind.REFUSE, DecisionKind.FAIL):
             made.guest_abandoned(now, decision.guest)
     return found
 
