--- a/bench/module.py
+++ b/bench/module.py
@@ -63,7 +63,7 @@
         (today.RepeatSemantics.DEDUPLICATED, today.Scope.CELL, 1.5, today.Scope.ZONE),
     )
     products = tuple(
-        plain.products[0]._replace(
+        plain.guest_classes[0]._replace(
             repeat=effect,
             dedup_scope=group,
             dedup_window=4 * SECOND,
@@ -76,10 +76,10 @@
     )
     random = Random(seed)
     facts = plain._replace(
-        products=products,
+        guest_classes=products,
         probing=random.random() < 0.5,
         max_dispatches=random.choice([2, 4]),
-        kinds=(today.interface.MachineKind(24.0, 40.0),),
+        machine_kinds=(today.interface.MachineKind(24.0, 40.0),),
         cores_multiple=2.5,
         memory_multiple=1.5,
         list_is_polled=random.random() < 0.5,
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -171,7 +171,7 @@
         case = self.engine.newest.get(message.get("guest", ""))
         return {
             "at": self.engine_now,
-            "held": len(scheduler.waiting),
+            "held": len(scheduler.held),
             "guests": len(scheduler.guests),
             "guest": repr(case) if case else "",
             "machines": machines,
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -356,8 +356,8 @@
     return interface.Deployment(
         planners=config.planners,
         slot=config.slot,
-        products=products,
-        kinds=tuple(interface.MachineKind(k.cores, k.memory) for k in estate.kinds),
+        guest_classes=products,
+        machine_kinds=tuple(interface.MachineKind(k.cores, k.memory) for k in estate.kinds),
         list_is_polled=config.list.asked,
         list_poll_limit=micros(config.list.ask_within_ms),
         list_shows_free=config.list.has_room,
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -76,7 +76,7 @@
         """The dispatch that was out is over and the guest is held again, or answered by what follows."""
         self._unhold(case)
         self.monitor.attempt_ended(case.name, ending not in NEVER_RAN)
-        self._task_event("ended", case, f"{ending.name.lower()} {remark.name.lower()}")
+        self._task_event("ended", case, f"{ending.label} {remark.label}")
         if ending not in NEVER_RAN:
             case.unsure, case.ran_from = case.machine, case.ran_from or case.sent_at
         case.machine = ""
@@ -171,7 +171,9 @@
             "answered", case, f"{message.__struct_config__.tag} {getattr(message, 'reason', '')}"
         )
         if not self.peers.asks_again:
-            self._violated(self.monitor.answered(case.name, self.facts.products[case.product].repeat), case)
+            self._violated(
+                self.monitor.answered(case.name, self.facts.guest_classes[case.product].repeat), case
+            )
         keep = now + micros(self.limits.keep_answers_ms)
         for ask in list(asks):
             told = type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | {"ask": ask})
--- a/hazelhold/engine/keep.py
+++ b/hazelhold/engine/keep.py
@@ -69,7 +69,7 @@
 
     def image(self, engine: Tables, case: Case) -> GuestImage:
         s, known = case.submit, engine.scheduler.guests.get(case.name)
-        unsure = known.window_ends - known.product.dedup_window if known and known.may_have_run else 0
+        unsure = known.window_ends - known.guest_class.dedup_window if known and known.may_have_run else 0
         sent = case.machine if case.sent else ""  # an offer that waits for its link has not left
         return GuestImage(
             case.name,
@@ -241,7 +241,7 @@
     case = case_of(engine, image)
     engine.cases[case.name] = engine.newest[case.guest] = case
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.facts.products[case.product].repeat is not RepeatSemantics.IDEMPOTENT
+    harmful = engine.facts.guest_classes[case.product].repeat is not RepeatSemantics.IDEMPOTENT
     earlier = None
     if image.unsure_at:
         earlier = EarlierDispatch(image.unsure_machine, image.unsure_at - epoch)
--- a/hazelhold/engine/list_news.py
+++ b/hazelhold/engine/list_news.py
@@ -106,7 +106,7 @@
     def list_unchanged(self, now: int) -> None:
         """The list service answered that it has no news."""
         self.list_due = 0
-        self.scheduler.list_heard(now)
+        self.scheduler.list_unchanged(now)
 
     def list_call_failed(self, now: int) -> None:
         """A call brought nothing: the lease is not renewed by it."""
@@ -124,7 +124,7 @@
         if holds is self.list_taken:
             return
         self.list_taken = holds
-        self.scheduler.list_taken(now, holds)
+        self.scheduler.list_currency_changed(now, holds)
         as_of, lapse = self.lease.confirmed_as_of, self.lease.lapse
         self.events.append(
             ListEvent(holds, lapse.value if lapse else "confirmed", -1 if as_of is None else now - as_of)
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -90,15 +90,13 @@
             return "unknown_customer", f"no customer is called {submit.customer!r}"
         if submit.patience > micros(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
-        if not self.kept_well and self.facts.products[self.products[submit.product]].repeat is not (
+        if not self.kept_well and self.facts.guest_classes[self.products[submit.product]].repeat is not (
             RepeatSemantics.IDEMPOTENT
         ):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.cases) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
-        if self.peers.advised and self.advice.hopeless(
-            now, len(self.scheduler.waiting), submit.patience, kept
-        ):
+        if self.peers.advised and self.advice.hopeless(now, len(self.scheduler.held), submit.patience, kept):
             return "overloaded", "the line is longer than this patience"
         return None
 
@@ -107,7 +105,7 @@
         guest = message.guest
         known = self.products.get(message.product)
         asked = self.claims is not None and not (
-            known is not None and self.facts.products[known].repeat is RepeatSemantics.IDEMPOTENT
+            known is not None and self.facts.guest_classes[known].repeat is RepeatSemantics.IDEMPOTENT
         )
         if asked and not (guest in self.newest or self.loose.get(guest) or guest in self.ends):
             self.claims.look(now, guest, f"{owner}\0{guest}\0{message.ask}")
@@ -238,7 +236,7 @@
         if case is None or case.ask != offer.ask:
             self.denials[Denial.OVER] += 1
             return 0
-        product, fellow = self.facts.products[case.product], self.roster.fellows.get(case.machine)
+        product, fellow = self.facts.guest_classes[case.product], self.roster.fellows.get(case.machine)
         most, list_holds = self.facts.max_dispatches, self.lease.holds(now)
         if denial := offer_denied(now, case, offer.attempt, product, most, fellow, list_holds):
             self.denials[denial] += 1
@@ -251,7 +249,7 @@
         case = self.newest[guest]
         case.offers += 1
         self.links[case.machine].offered_at = now
-        effect, list_holds = self.facts.products[case.product].repeat, self.lease.holds(now)
+        effect, list_holds = self.facts.guest_classes[case.product].repeat, self.lease.holds(now)
         self._violated(self.monitor.attempt_leaves(case.name, case.machine, effect, list_holds), case)
         as_of = self.lease.confirmed_as_of
         self._task_event("sent", case, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -130,7 +130,7 @@
     def _claimed(self, case: Case) -> bool:
         """Whether offers of this guest need a claim."""
         return self.claims is not None and (
-            self.facts.products[case.product].repeat is not RepeatSemantics.IDEMPOTENT
+            self.facts.guest_classes[case.product].repeat is not RepeatSemantics.IDEMPOTENT
         )
 
     def _wanted(self) -> None:
@@ -197,7 +197,7 @@
 
     def _later(self, now: int, guest: str, span: int = 0) -> int:
         """The wait that goes with a turn-back: the door's advice, or the decision's own span."""
-        return self.advice.wait(now, guest, len(self.scheduler.waiting)) if self.peers.advised else span
+        return self.advice.wait(now, guest, len(self.scheduler.held)) if self.peers.advised else span
 
     def _blind(self) -> bool:
         """Whether guests may run that this planner has not heard of: it has just started, and has no list
--- a/hazelhold/interface.py
+++ b/hazelhold/interface.py
@@ -1,6 +1,7 @@
-"""The types that pass between the decision module (brain.py) and whatever hosts it.
+"""The types that pass between the scheduler (scheduler.py) and its host.
 
-Times and spans are whole microseconds. Ids are strings and come back as they were given.
+Times and durations are whole microseconds, cores and memory are numbers in the units of the settings. Ids are
+strings and are returned as given.
 """
 
 from enum import Enum
@@ -11,12 +12,12 @@
     """What a second run of a guest would do."""
 
     IDEMPOTENT = "does no harm"
-    DEDUPLICATED = "is known by its mark within a group of machines"
+    DEDUPLICATED = "is recognised by its idempotency key within a group of machines"
     AT_MOST_ONCE = "must never happen"
 
 
 class Scope(Enum):
-    """How far a ticket or a spread reaches."""
+    """The group of machines within which an idempotency key or a spread limit applies."""
 
     NOWHERE = "nowhere"
     MACHINE = "machine"
@@ -26,54 +27,63 @@
 
 
 class DispatchOutcome(Enum):
-    """How a dispatch ended."""
+    """How a dispatch ended. Logs print `label`."""
 
-    COMPLETED = "the guest ran to its end"
-    ERROR = "the machine reported an error"
-    REFUSED = "the machine refused it, or handed it back before it ran"
-    TIMED_OUT = "no answer in time"
-    UNREACHABLE = "the machine could not be reached"
-    INTERRUPTED = "lost, evicted, pushed out or sent away; before it was taken: the answer broke off"
-    WITHDRAWN = "called off, moved or stopped by its owner"
-    NOT_SENT = "never left the planner"
+    COMPLETED = "done"  # the guest ran to its end
+    ERROR = "error"  # the machine reported an error
+    REFUSED = "turned_back"  # the machine refused it, or returned it before it ran
+    TIMED_OUT = "overdue"  # no answer in time
+    UNREACHABLE = "no_connection"  # the machine could not be reached
+    # Lost, evicted, preempted or drained. Before it was accepted: the connection broke before the answer.
+    INTERRUPTED = "cut_off"
+    WITHDRAWN = "called_off"  # withdrawn, moved or stopped by its owner
+    NOT_SENT = "not_sent"  # never left the planner
+
+    def __init__(self, label: str) -> None:
+        self.label = label
 
 
 class OutcomeReason(Enum):
-    """The reason that came with an ending."""
+    """The reason that a machine gave with an outcome. Logs print `label`."""
+
+    NONE = 0, "none"
+    NO_CORES = 1, "no_cores"
+    NO_MEMORY = 2, "no_memory"
+    QUEUE_FULL = 3, "line_full"
+    NOT_ACCEPTED = 4, "not_here"
+    EVICTED = 5, "evicted"
+    PREEMPTED = 6, "pushed_out"
+    DRAINED = 7, "sent_away"
 
-    NONE = 0
-    NO_CORES = 1
-    NO_MEMORY = 2
-    QUEUE_FULL = 3
-    NOT_ACCEPTED = 4
-    EVICTED = 5
-    PREEMPTED = 6
-    DRAINED = 7
+    def __new__(cls, code: int, label: str) -> "OutcomeReason":
+        reason = object.__new__(cls)
+        reason._value_, reason.label = code, label
+        return reason
 
 
 class MachineMode(Enum):
-    """What the list says of a machine."""
+    """The state of a machine according to the list."""
 
     READY = "takes guests"
-    CORDONED = "finishes what it has"
+    CORDONED = "finishes the guests that it has"
     GONE = "was removed"
 
 
 class GuestClass(NamedTuple):
-    """What the operators promise and ask for one product."""
+    """A class of guests with common promises and resource settings, as the operators define it."""
 
     repeat: RepeatSemantics
-    dedup_scope: Scope
-    dedup_window: int
-    start_target: int
-    value: float
-    start_value: float
+    dedup_scope: Scope  # the machines that recognise each other's idempotency keys
+    dedup_window: int  # for how long they do
+    start_target: int  # a start within this time of the submission counts as in time
+    value: float  # of a guest, relative to other classes
+    start_value: float  # of a start in time, in seconds of service
     priority: int
-    full_service_load: float
-    service_fade: float
-    machine_kind: int
+    full_service_load: float  # share of a machine's cores up to which guests are fully served
+    service_fade: float  # share of the cores above that at which they are not served at all
+    machine_kind: int  # index of the required kind; -1: any
     spread_scope: Scope
-    spread_limit: int
+    spread_limit: int  # guests of one service within one group of that scope
 
 
 class MachineKind(NamedTuple):
@@ -84,35 +94,35 @@
 
 
 class Deployment(NamedTuple):
-    """What an instance is told when it starts."""
+    """The settings that a scheduler is created with."""
 
     planners: int
     slot: int  # this planner's number among them, from 0
-    products: tuple[GuestClass, ...]
-    kinds: tuple[MachineKind, ...]
+    guest_classes: tuple[GuestClass, ...]
+    machine_kinds: tuple[MachineKind, ...]
     list_is_polled: bool
-    list_poll_limit: int
+    list_poll_limit: int  # the list must be requested at least this often
     list_shows_free: bool
-    cores_multiple: float
+    cores_multiple: float  # requested cores that a machine accepts, as a multiple of its cores
     memory_multiple: float
-    preempts: bool
-    confirms_when_running: bool
+    preempts: bool  # machines preempt guests of a lower priority
+    confirms_when_running: bool  # a machine accepts a guest only once it runs
     probing: bool
-    reports_count_requested: bool
+    reports_count_requested: bool  # reports count what guests request, not what they use
     max_dispatches: int
-    warmup_time: int
-    cold_from: float
+    warmup_time: int  # how long a machine counts as cold after its start
+    cold_from: float  # capacity at the start, as a share; it rises to 1 within the warm-up time
     cold_budget_window: int
-    cold_offers: float
-    fleet_price: float
-    reports_on_probe: bool = False  # machines report their load to probes alone
-    dispatches_identified: bool = True  # machines say which dispatch of a guest they speak of
-    ages_by_clock: bool = False  # how old machines are is told by a clock that may differ from this one
-    list_lease: int = 0  # for how long a confirmed list may be sent work by; 0: the list is taken as it is
+    cold_offers: float  # offers to a cold machine within a window, from all planners
+    fleet_price: float  # cost of each machine in use
+    reports_on_probe: bool = False  # machines report their load in answers to probes only
+    dispatches_identified: bool = True  # messages of machines name the dispatch of a guest they refer to
+    ages_by_clock: bool = False  # machine ages come from a wall clock that may differ from this one
+    list_lease: int = 0  # how long a confirmed list may be used to place guests; 0: without limit
 
 
 class ListedMachine(NamedTuple):
-    """One machine as the list has it; rooms are cores and memory that nobody asked for."""
+    """A machine's entry in the list; free cores and memory are those that no guest has requested."""
 
     machine: str
     mode: MachineMode
@@ -125,50 +135,51 @@
 
 
 class Load(NamedTuple):
-    """A machine's own report; None where it does not say."""
+    """A machine's own load report; None for a value that it does not report."""
 
     cores_free: float | None
     memory_free: float | None
-    busy: float | None
+    busy: float | None  # share of its cores
 
 
 class EarlierDispatch(NamedTuple):
-    """A dispatch of an earlier ask of a guest whose fate is not known."""
+    """A dispatch of an earlier submission of the guest whose outcome is not known."""
 
     machine: str
     sent_at: int
 
 
 class Submission(NamedTuple):
-    """A guest as its owner describes it."""
+    """One submission of a guest by its owner."""
 
     guest: str
-    product: int
+    product: int  # index of the guest class
     customer: int
     service: str
     cores: float
     memory: float
-    time_left: int
+    time_left: int  # until the deadline of the final answer
     earlier_dispatch: EarlierDispatch | None = None
-    dispatches_used: int = 0  # dispatches that were made before this life of the planner
+    dispatches_used: int = 0  # in earlier runs of the planner
 
 
 class MachineHealth(NamedTuple):
-    """What was learned of a machine; `started` tells of which of its lives."""
+    """What was learned of a machine; `started` identifies its incarnation. `hazelhold state show` prints the
+    field names."""
 
     started: int
     cold_at: int
     answers: tuple[int, ...]
-    kept: tuple[str, ...]
-    strikes: int
+    kept: tuple[str, ...]  # services whose program the machine still has
+    strikes: int  # failures in a row
     avoid_until: int
-    mute: bool
+    mute: bool  # it has to answer a probe
 
 
 class LearnedState(NamedTuple):
-    """What a planner learns and a later life of it may use: samples by service with when a guest of it was
-    last seen, times by product (starts: product, warm, times), the sums of use and asks, health by
-    machine."""
+    """What a planner learns and a later run of it may use: by service when a guest of it was last seen and
+    its usage samples, by guest class start times (class, warm, times) and answer times, the totals of used
+    and requested resources, and health by machine. `hazelhold state show` prints the field names."""
 
     services: dict[str, tuple[int, tuple[tuple[float, float], ...]]]
     starts: tuple[tuple[int, bool, tuple[int, ...]], ...]
@@ -178,18 +189,18 @@
 
 
 class DecisionKind(Enum):
-    """What a decision asks of the host."""
+    """What a decision tells the host to do."""
 
-    DISPATCH = "offer the guest to the machine, for at most the span"
-    REFUSE = "final answer: no, and trying again is harmless"
-    FAIL = "final answer: failed, with no promise"
-    WITHDRAW = "take the dispatch back, or stop the guest, on the machine"
-    PROBE = "ask the machine for its report"
+    DISPATCH = "offer the guest to the machine and wait for the answer, at most the timeout"
+    REFUSE = "final answer: refused, submitting again is harmless"
+    FAIL = "final answer: failed, the guest may have run"
+    WITHDRAW = "withdraw the dispatch, or stop the guest, on the machine"
+    PROBE = "request the machine's report"
     WATCH_LIST = "subscribe to changes of the list"
 
 
 class Decision(NamedTuple):
-    """One thing to do now; what a step does not need stays empty."""
+    """One thing to do now; fields that its kind does not need stay empty."""
 
     kind: DecisionKind
     guest: str = ""
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -178,10 +178,10 @@
         PLATFORM._replace(tells_use=truth(pairs.values.get("family-info.use-notes", ""))),
     )
     most = (
-        max(k.cores for k in facts.kinds) * facts.cores_multiple,
-        max(k.memory for k in facts.kinds) * facts.memory_multiple,
+        max(k.cores for k in facts.machine_kinds) * facts.cores_multiple,
+        max(k.memory for k in facts.machine_kinds) * facts.memory_multiple,
     )
-    patience = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(facts.products)))
+    patience = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(facts.guest_classes)))
     return Start(
         given["name"],
         given["listen"],
@@ -211,18 +211,18 @@
         for name, value in facts._asdict().items()
         if isinstance(value, float) and not abs(value) <= WIDEST
     ]
-    for place, figures in (("kinds", facts.kinds), ("classes", facts.products)):
+    for place, figures in (("kinds", facts.machine_kinds), ("classes", facts.guest_classes)):
         found += [
             (f"settings: {place}.{at}", f"{value} is no figure")
             for at, each in enumerate(figures)
             for value in each
             if isinstance(value, float) and not abs(value) <= WIDEST
         ]
-    if not facts.kinds or not facts.products:
+    if not facts.machine_kinds or not facts.guest_classes:
         found.append(("settings", "at least one class and one kind are needed"))
     found += [
         ("settings: kinds", f"a machine of {kind.cores:g} cores and {kind.memory:g} of memory")
-        for kind in facts.kinds
+        for kind in facts.machine_kinds
         if not (kind.cores > 0 and kind.memory > 0)
     ]
     found += [
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -292,7 +292,7 @@
         engine = self.engine
         self.log.debug(
             "beliefs",
-            waiting=len(engine.scheduler.waiting),
+            waiting=len(engine.scheduler.held),
             out=len(engine.scheduler.outstanding),
             cases=len(engine.cases),
             owners=len(self.door.peers),
--- a/hazelhold/scheduler.py
+++ b/hazelhold/scheduler.py
@@ -1,8 +1,9 @@
-"""All decisions of one planner.
+"""Decides where guests are placed: the decision logic of one planner.
 
-How it is called: a host makes one Brain a planner from its seed and Deployment, tells it what happens by
-the input methods (machines_listed to memory_pressed), which only update what is known, then carries out
-decide(now) until it is None; next_look(now) says when to call again. Types stand in interface.py.
+The host creates one Scheduler per planner from a seed and a Deployment and reports events through the input
+methods (machines_listed to memory_pressure_reported), which only update state. It then carries out what
+decide(now) returns until that is None; next_decision_at(now) tells when to call again. Times are in
+microseconds. The types of inputs and decisions are defined in interface.py.
 """
 
 from bisect import bisect_right
@@ -26,836 +27,919 @@
 
 SECOND = 1_000_000
 NEVER_RAN = (DispatchOutcome.REFUSED, DispatchOutcome.UNREACHABLE, DispatchOutcome.NOT_SENT)
-ROUNDS = 100  # Monte Carlo rounds for a machine: the design page's own figure
-TIE = 1.001  # one guest moves the spread by a hundredth at most: a band of 5% would make the pick a lottery
+DRAWS = 100  # Monte Carlo draws of a guest's use, as the design specifies
+TIE_TOLERANCE = 1.001  # one guest changes the spread by 1% at most: 5% would make the choice random
 
 
 class ServiceUsage:
-    """Recent use of one service's guests; dropped once it has had no guest for a while."""
+    """Recent resource use of one service's guests; dropped once it has had no guest for a minute."""
 
     def __init__(self) -> None:
-        # The design's 50 samples of (cores, memory) in use.
+        # The 50 latest samples of used (cores, memory), as the design specifies.
         self.samples: deque[tuple[float, float]] = deque(maxlen=50)
-        self.guests = self.seen = 0
-        self.order: list[Machine] = []  # see _order; made anew when the list changes
-        self.order_of = -1
+        self.guests = self.last_seen_at = 0
+        self.order: list[Machine] = []  # see _service_order; rebuilt when the list changes
+        self.order_version = -1
 
-    def weight(self, ask: interface.Submission) -> tuple[float, float]:
-        """What a new guest counts as: the 90th percentile of recent use, the ask if there is none."""
+    def estimated_use(self, submission: interface.Submission) -> tuple[float, float]:
+        """Expected use of a new guest: the 90th percentile of recent use, or its request without samples."""
         if not self.samples:
-            return ask.cores, ask.memory
+            return submission.cores, submission.memory
         at = int(0.9 * (len(self.samples) - 1) + 0.5)
         return sorted(s[0] for s in self.samples)[at], sorted(s[1] for s in self.samples)[at]
 
 
 class Guest:
-    """A guest in this planner's hands, from its arrival to its end."""
-
-    def __init__(self, ask: interface.Submission, product: interface.GuestClass, service: ServiceUsage, now: int) -> None:
-        self.ask, self.product, self.service = ask, product, service
-        self.goal_at, self.patience_at = now + product.start_target, now + ask.time_left
-        self.answer_by = self.patience_at - SECOND // 50  # a few ticks early: the last safe moment
-        self.machine: Machine | None = None  # where a dispatch is out, or where it runs
-        self.placed = self.runs = self.warm = self.may_run = False
-        self.over = self.probed_for = False  # over: answered, with its last dispatch still out
-        self.unwanted = False  # its owner cancelled it
-        self.dispatches = self.sent_at = self.ahead = 0  # ahead: own starts before it on the machine
+    """A guest that this planner holds, has dispatched or has placed, from its submission to its end."""
+
+    def __init__(self, submission: interface.Submission, guest_class: interface.GuestClass,
+                 service: ServiceUsage, now: int) -> None:
+        self.submission, self.guest_class, self.service = submission, guest_class, service
+        self.start_target_at, self.deadline = now + guest_class.start_target, now + submission.time_left
+        self.answer_due = self.deadline - SECOND // 50  # a few ticks of the host early, to be safe
+        self.machine: Machine | None = None  # where a dispatch is outstanding, or where it runs
+        self.placed = self.runs = self.warm = self.may_have_run = False
+        self.answered = self.load_probed = False  # answered: though its last dispatch is still outstanding
+        self.cancelled = False  # by its owner
+        self.dispatches = self.sent_at = self.starts_ahead = 0  # starts_ahead: our other starts there
         self.spread_key: tuple[str, Scope, str] | None = None
-        self.bound: tuple[Scope, int] | None = None  # the group that a ticket holds it to
-        self.tried: list[str] = []  # machines that may still speak of a dispatch that is over
+        self.dedup_group: tuple[Scope, int] | None = None  # the machines that know its idempotency key
+        self.excluded_machines: list[str] = []  # these may still report an ended dispatch
         self.window_ends, self.cores_noted = 0, 0.0
-        self.look_at, self.looked_at, self.rests_until = now, 0, now
+        self.reconsider_at, self.considered_at, self.retry_at = now, 0, now
         self.use: tuple[float, float] | None = None
-        self.rounds: list[tuple[float, float]] | None = None  # its draws, while its machine's sums hold them
+        self.draws: list[tuple[float, float]] | None = None  # as included in its machine's draw_totals
 
-    def may_turn_back(self) -> bool:
-        """A turn-back promises that another try is harmless."""
-        effect = self.product.repeat
-        return (not self.may_run or effect is RepeatSemantics.IDEMPOTENT
-                or effect is RepeatSemantics.DEDUPLICATED and self.product.dedup_scope is Scope.ALL)
+    def may_refuse(self) -> bool:
+        """Whether the final answer may be a refusal, which promises that submitting again is harmless."""
+        repeat = self.guest_class.repeat
+        return (not self.may_have_run or repeat is RepeatSemantics.IDEMPOTENT
+                or repeat is RepeatSemantics.DEDUPLICATED and self.guest_class.dedup_scope is Scope.ALL)
 
 
 class Machine:
-    """What is known of one machine; dropped when it has left the list and holds no guest of ours."""
+    """State of one machine; dropped when it has left the list and holds no guest of this planner."""
 
     def __init__(self, listed: ListedMachine, size: interface.MachineKind, now: int) -> None:
         self.listed, self.size, self.listed_at = listed, size, now
         self.ready = listed.mode is MachineMode.READY
         self.cold_at = listed.started if listed.started else -10**15
-        self.listed_since = now  # when this life of it was listed here first
+        self.listed_since = now  # when its current incarnation was listed here first
         self.used: tuple[float, float] | None = None
-        self.others = (0.0, 0.0)  # last reported use less our guests' share
+        self.used_by_others = (0.0, 0.0)  # last reported use less the share of our guests
         self.reported_at = self.probed_at = self.heard_at = -10**15
         self.guests: dict[str, Guest] = {}
-        self.bears, self.starting = 1.0, 0  # of our guests: the least full_service_load, and how many do not run yet
-        self.services: dict[str, int] = {}  # our guests here by service; emptied as they go
-        self.kept: dict[str, None] = {}  # services that ended here lately; the oldest falls out
-        self.left: tuple[float, float] | None = None  # see room
-        self.asked: tuple[float, float] | None = None  # by others, see _others; kept as long as `left`
-        self.sums: tuple[list[float], list[float]] | None = None  # our guests' drawn use, round by round
-        self.means = self.most = (0.0, 0.0)  # the mean and the highest of the sums
-        self.full = [(0, 0.0), (0, 0.0)]  # until when it takes no ask of so many cores, so much memory
-        self.answers: deque[int] = deque(maxlen=12)  # answer times; the oldest falls out
-        self.slow: int | None = None  # see slowness; kept until an answer comes
-        self.drawn_at = self.strikes = self.avoid_until = 0
-        self.refuses = False  # says itself that it takes no work; until it passes a test
-        self.mute = False  # gave no answer at all: a probe must answer before guests go there
-        self.offers: deque[int] = deque()  # the last sent; emptied by age
-        self.mark = int.from_bytes(blake2b(listed.machine.encode(), digest_size=8).digest())
-
-    def room(self, facts: interface.Deployment) -> tuple[float, float]:
-        """Cores and memory that may still be asked for; kept until a change."""
-        if self.left is None:
+        self.full_service_load, self.starting = 1.0, 0  # of our guests: the lowest; how many do not run yet
+        self.services: dict[str, int] = {}  # number of our guests here by service
+        self.cached_services: dict[str, None] = {}  # services that ended here lately; the oldest is dropped
+        self.free: tuple[float, float] | None = None  # cached by free_capacity
+        self.requested_by_others: tuple[float, float] | None = None  # see _usage_by_others
+        self.draw_totals: tuple[list[float], list[float]] | None = None  # our guests' sampled use, per draw
+        self.draw_means = self.draw_maxima = (0.0, 0.0)  # of draw_totals
+        self.refused_until = [(0, 0.0), (0, 0.0)]  # by resource: until when, and from which request upwards
+        self.answers: deque[int] = deque(maxlen=12)  # the latest answer times
+        self.slowness_cache: int | None = None  # see slowness; cleared by each answer
+        self.drawn_at = self.failures = self.backoff_until = 0
+        self.refuses = False  # it reported itself that it takes no guests; until it passes a probe
+        self.unresponsive = False  # did not answer: it must answer a probe before guests are sent there
+        self.offers: deque[int] = deque()  # times of the latest offers; expired by age
+        self.id_hash = int.from_bytes(blake2b(listed.machine.encode(), digest_size=8).digest())
+
+    def free_capacity(self, deployment: interface.Deployment) -> tuple[float, float]:
+        """Cores and memory that new guests may still request; cached until a change."""
+        if self.free is None:
             recent = list(self.guests.values())
             cores, memory = self.size
-            if facts.list_shows_free:
-                # A quarter second before the entry came: 1 s and 2.5 s left room unused in bursts.
+            if deployment.list_shows_free:
+                # The entry covers guests sent over 0.25 s before it: with 1 s and 2.5 s, bursts left
+                # capacity unused.
                 recent = [g for g in recent if g.sent_at > self.listed_at - SECOND // 4]
                 cores, memory = self.listed.free_cores, self.listed.free_memory
-            cores += (facts.cores_multiple - 1) * self.size.cores - sum(g.ask.cores for g in recent)
-            memory += (facts.memory_multiple - 1) * self.size.memory - sum(g.ask.memory for g in recent)
-            self.left = cores, memory
-        return self.left
+            cores += ((deployment.cores_multiple - 1) * self.size.cores
+                      - sum(g.submission.cores for g in recent))
+            memory += ((deployment.memory_multiple - 1) * self.size.memory
+                       - sum(g.submission.memory for g in recent))
+            self.free = cores, memory
+        return self.free
 
     def slowness(self) -> int:
-        """A high quantile of its answer times, failures counted as a minute."""
-        if self.slow is None:
-            self.slow = sorted(self.answers)[int(0.8 * len(self.answers))]
-        return self.slow
+        """The 80th percentile of its answer times in microseconds; a failure counts as one minute."""
+        if self.slowness_cache is None:
+            self.slowness_cache = sorted(self.answers)[int(0.8 * len(self.answers))]
+        return self.slowness_cache
 
-    def answered(self, took: int) -> None:
-        self.answers.append(took)
-        self.slow = None
+    def answer_received(self, duration: int) -> None:
+        self.answers.append(duration)
+        self.slowness_cache = None
 
-    def place(self, reach: Scope) -> tuple[Scope, str]:
-        """The group of machines that a ticket or a spread speaks of."""
+    def scope_key(self, scope: Scope) -> tuple[Scope, str]:
+        """Identifies the group of machines of this scope that the machine belongs to."""
         name = {Scope.CELL: f"{self.listed.zone}/{self.listed.cell}", Scope.ZONE: str(self.listed.zone),
                 Scope.MACHINE: self.listed.machine}
-        return reach, name.get(reach, "")
+        return scope, name.get(scope, "")
 
     def draw(self, random: Random, now: int) -> None:
-        """Draws our guests' use afresh; a drawn table is good for a second, by which time the services'
-        samples have moved on. Who comes or goes meanwhile brings or takes its own draws."""
-        if self.sums is not None and now - self.drawn_at < SECOND:
+        """Samples the use of our guests. Draws are kept for one second, after which the services' samples
+        have changed; a guest that arrives or leaves meanwhile adds or subtracts its own draws."""
+        if self.draw_totals is not None and now - self.drawn_at < SECOND:
             return
-        cores, memory = [0.0] * ROUNDS, [0.0] * ROUNDS
+        cores, memory = [0.0] * DRAWS, [0.0] * DRAWS
         for guest in self.guests.values():
-            guest.rounds = drawn(random, guest)
-            for at, (c, m) in enumerate(guest.rounds):
+            guest.draws = draw_use(random, guest)
+            for at, (c, m) in enumerate(guest.draws):
                 cores[at] += c
                 memory[at] += m
         self.drawn_at = now
-        self._sum(cores, memory)
-
-    def _sum(self, cores: list[float], memory: list[float]) -> None:
-        self.sums = cores, memory
-        self.means, self.most = (sum(cores) / ROUNDS, sum(memory) / ROUNDS), (max(cores), max(memory))
-
-    def changed(self, guest: Guest, sign: int) -> None:
-        """A guest comes or goes: the sums follow if its draws are known, else they are drawn anew."""
-        self.left = self.asked = None
-        self.bears = min([g.product.full_service_load for g in self.guests.values()], default=1.0)
+        self._set_totals(cores, memory)
+
+    def _set_totals(self, cores: list[float], memory: list[float]) -> None:
+        self.draw_totals = cores, memory
+        self.draw_means, self.draw_maxima = (
+            (sum(cores) / DRAWS, sum(memory) / DRAWS), (max(cores), max(memory)))
+
+    def guest_changed(self, guest: Guest, sign: int) -> None:
+        """A guest was added (sign 1) or removed (-1). The draw totals are adjusted if the guest has draws,
+        otherwise they are drawn again."""
+        self.free = self.requested_by_others = None
+        self.full_service_load = min(
+            [g.guest_class.full_service_load for g in self.guests.values()], default=1.0)
         self.starting += sign * (not guest.runs)
-        here = self.services[guest.ask.service] = self.services.get(guest.ask.service, 0) + sign
-        if not here:
-            del self.services[guest.ask.service]
-        if self.sums is None or guest.rounds is None:
-            self.sums = None
+        count = self.services[guest.submission.service] = (
+            self.services.get(guest.submission.service, 0) + sign)
+        if not count:
+            del self.services[guest.submission.service]
+        if self.draw_totals is None or guest.draws is None:
+            self.draw_totals = None
             return
-        cores, memory = self.sums
-        self._sum([s + sign * c for s, (c, _) in zip(cores, guest.rounds, strict=True)],
-                  [s + sign * m for s, (_, m) in zip(memory, guest.rounds, strict=True)])
+        cores, memory = self.draw_totals
+        self._set_totals([s + sign * c for s, (c, _) in zip(cores, guest.draws, strict=True)],
+                         [s + sign * m for s, (_, m) in zip(memory, guest.draws, strict=True)])
 
 
-def drawn(random: Random, guest: Guest) -> list[tuple[float, float]]:
+def draw_use(random: Random, guest: Guest) -> list[tuple[float, float]]:
+    """Samples the guest's use from that of its service; without samples each draw is what it requests."""
     samples = guest.service.samples
-    return random.choices(samples, k=ROUNDS) if samples else [(guest.ask.cores, guest.ask.memory)] * ROUNDS
+    return (random.choices(samples, k=DRAWS) if samples
+            else [(guest.submission.cores, guest.submission.memory)] * DRAWS)
 
 
 class Scheduler:
-    """One planner's knowledge and decisions."""
+    """State and decisions of one planner."""
 
     def __init__(self, seed: int, deployment: interface.Deployment) -> None:
         self.random = Random(seed)
         self.deployment = deployment
-        self.machines: dict[str, Machine] = {}  # emptied with the list
-        self.guests: dict[str, Guest] = {}  # emptied by each guest's last outcome
-        self.waiting: dict[str, Guest] = {}  # held guests, no dispatch out; emptied by dispatch or answer
-        self.out: dict[str, Guest] = {}  # with a dispatch out, not yet taken; emptied by its outcome
-        self.answer_at = 0  # no final answer is due before; 0: look, something may have changed that
-        self.due: list[Guest] | None = None  # those to place at this moment; None: look anew
-        self.services: dict[str, ServiceUsage] = {}  # swept of idle ones
-        self.seated: dict[int, int] = defaultdict(int)  # guests with a machine, by priority
-        self.spread: dict[tuple[str, Scope, str], int] = {}  # emptied as guests end
-        # Start times, warm or cold, and answer times, by product: large guests take many times as long.
+        self.machines: dict[str, Machine] = {}  # pruned with each list
+        self.guests: dict[str, Guest] = {}  # by id; removed by the guest's last outcome
+        self.held: dict[str, Guest] = {}  # without a dispatch; removed by a dispatch or the final answer
+        self.outstanding: dict[str, Guest] = {}  # with a dispatch not yet accepted; removed by its outcome
+        self.answer_at = 0  # no final answer is due earlier; 0: recompute
+        self.placeable: list[Guest] | None = None  # to be placed at this timestamp; None: recompute
+        self.services: dict[str, ServiceUsage] = {}  # idle ones are dropped by _new_guest
+        self.placed_by_priority: dict[int, int] = defaultdict(int)  # number of guests with a machine
+        self.spread: dict[tuple[str, Scope, str], int] = {}  # guests by spread key; removed at zero
+        # Start times (warm and cold) and answer times by guest class: large guests take many times as long.
         self.starts: dict[tuple[int, bool], deque[int]] = defaultdict(lambda: deque(maxlen=50))
         self.answers: dict[int, deque[int]] = defaultdict(lambda: deque(maxlen=100))
-        self.seen = [1.0, 1.0, 1.0, 1.0]  # cores and memory that guests use, and their asks: fading sums
-        self.no_room: set[tuple] = set()  # shapes that found no machine; emptied as the clock moves
-        self.looked_at = self.ask_list_at = self.sweep_at = self.probe_at = self.list_heard_at = 0
-        self.kept_well = True  # see state_kept
-        self.list_current = True  # see list_taken
-        self.began, self.no_cold_until = -10**15, 0  # see machines_listed and remembered
-        self.list_version = 0  # counts changes in who is ready
-        self.typical, self.typical_until = SECOND, 0  # median slowness of machines, and until when it is kept
-        self.to_probe: list[Machine] = []  # emptied at once by the decisions that follow
-        self.to_call_off: deque[tuple[str, str]] = deque()  # guest and machine; emptied as to_probe
-
-    # Inputs: they only update what is known.
+        # Decaying sums: cores and memory that guests use, and cores and memory that these guests requested.
+        self.usage_totals = [1.0, 1.0, 1.0, 1.0]
+        self.unplaceable: set[tuple] = set()  # shapes without a machine at this timestamp
+        self.considered_at = self.poll_list_at = self.sweep_at = self.probe_at = self.list_heard_at = 0
+        self.persistence_healthy = True  # see persistence_changed
+        self.list_current = True  # see list_currency_changed
+        self.started_at, self.no_cold_until = -10**15, 0  # see machines_listed and restore_learned
+        self.list_version = 0  # counts changes of the set of ready machines
+        self.typical_slowness, self.typical_until = SECOND, 0  # median over machines; cached until then
+        self.to_probe: list[Machine] = []  # consumed by the next decisions
+        self.to_withdraw: deque[tuple[str, str]] = deque()  # guest and machine; consumed likewise
+
+    # Inputs: they only update state.
 
     def machines_listed(self, now: int, entries: list[ListedMachine], whole: bool) -> None:
-        self.list_heard_at = now if self.machines else now - 2 * SECOND  # the first may be an old copy
-        if self.began == -10**15:  # what was cold before this life may have had an earlier one's share
-            self.began, self.no_cold_until = now, now + self.deployment.cold_budget_window
+        """The list service reported these machines: all of them if `whole`, else the changed ones."""
+        self.list_heard_at = now if self.machines else now - 2 * SECOND  # the first list may be an old copy
+        if self.started_at == -10**15:  # an earlier run may have sent its share to machines that are cold now
+            self.started_at, self.no_cold_until = now, now + self.deployment.cold_budget_window
         for entry in entries:
             machine = self.machines.get(entry.machine)
             if machine is None:
-                self.machines[entry.machine] = Machine(entry, self.deployment.kinds[entry.machine_kind], now)
+                self.machines[entry.machine] = Machine(
+                    entry, self.deployment.machine_kinds[entry.machine_kind], now)
                 self.list_version += 1
                 continue
             self.list_version += entry.mode is not machine.listed.mode
             if entry.started > machine.listed.started:
-                self._restarted(machine, entry.started)
+                self._note_restart(machine, entry.started)
                 machine.listed_since = now
-            machine.listed, machine.listed_at, machine.left, machine.asked = entry, now, None, None
-            machine.size = self.deployment.kinds[entry.machine_kind]
+            machine.listed, machine.listed_at, machine.free, machine.requested_by_others = (
+                entry, now, None, None)
+            machine.size = self.deployment.machine_kinds[entry.machine_kind]
             machine.ready = entry.mode is MachineMode.READY
         if whole:
             for name in self.machines.keys() - {entry.machine for entry in entries}:
                 self.list_version += 1
                 self.machines[name].ready = False
                 self.machines[name].listed = self.machines[name].listed._replace(mode=MachineMode.GONE)
-        # One gone while cold is kept until it would be warm: a list may name it again without its start.
-        self.machines = {n: m for n, m in self.machines.items() if m.guests or m.listed.mode is not MachineMode.GONE
+        # A machine that is removed while cold is kept until it would be warm: a list may name it again
+        # without its start time.
+        self.machines = {n: m for n, m in self.machines.items() if m.guests
+                         or m.listed.mode is not MachineMode.GONE
                          or now - m.cold_at < self.deployment.warmup_time}
-        # News within two fifths of the time allowed shows that the list is still heard.
-        self.ask_list_at = now + int(self.deployment.list_poll_limit * 0.4 * self.random.uniform(0.8, 1.2))
-        self._changed(now)
+        # An update within two fifths of the allowed interval shows that the list connection still works.
+        self.poll_list_at = now + int(self.deployment.list_poll_limit * 0.4 * self.random.uniform(0.8, 1.2))
+        self._reconsider_held(now)
 
-    def list_taken(self, now: int, current: bool) -> None:
+    def list_currency_changed(self, now: int, current: bool) -> None:
         """Whether the list is known to be current. If not, nothing is sent: any machine may be draining."""
         self.list_current = current
-        self._changed(now)
+        self._reconsider_held(now)
 
-    def list_heard(self, now: int) -> None:
+    def list_unchanged(self, now: int) -> None:
         """The list service answered that nothing has changed."""
         self.list_heard_at = now
-        self.ask_list_at = now + int(self.deployment.list_poll_limit * 0.4)
+        self.poll_list_at = now + int(self.deployment.list_poll_limit * 0.4)
 
     def machine_refuses(self, now: int, name: str) -> None:
-        """A machine failed a test in so many words: it takes no work, whatever the list says."""
+        """A machine answered a probe with an explicit refusal: it takes no guests, whatever the list says."""
         if machine := self.machines.get(name):
             self._suspect_drain(machine, now)
 
     def list_failed(self, now: int) -> None:
-        self.ask_list_at = now + int(self.random.uniform(1, 3) * SECOND)  # drawn, so as not to march in step
-
-    def guest_submitted(self, now: int, ask: interface.Submission) -> None:
-        guest = self._known(now, ask)
-        if ask.earlier_dispatch:  # guards against a second run by way of a second ask while the first is unsettled
-            host, group = self.machines.get(ask.earlier_dispatch.machine), guest.product.dedup_scope
-            guest.may_run, guest.bound = True, host.place(group) if host else (group, "")
-            guest.window_ends = ask.earlier_dispatch.sent_at + guest.product.dedup_window
-        guest.dispatches = ask.dispatches_used
-        self.guests[ask.guest] = self.waiting[ask.guest] = guest
-        self.answer_at = 0 if ask.earlier_dispatch or ask.dispatches_used else min(self.answer_at, guest.answer_by)
-        self.due = None
+        """A call to the list service failed; it is repeated after 1 to 3 s."""
+        self.poll_list_at = now + int(self.random.uniform(1, 3) * SECOND)  # random: not in step
+
+    def guest_submitted(self, now: int, submission: interface.Submission) -> None:
+        """An owner submitted a guest, which is held from now on."""
+        guest = self._new_guest(now, submission)
+        # The outcome of an earlier submission's dispatch is not known: guards against a second run.
+        if submission.earlier_dispatch:
+            machine, scope = (self.machines.get(submission.earlier_dispatch.machine),
+                              guest.guest_class.dedup_scope)
+            guest.may_have_run, guest.dedup_group = (
+                True, machine.scope_key(scope) if machine else (scope, ""))
+            guest.window_ends = submission.earlier_dispatch.sent_at + guest.guest_class.dedup_window
+        guest.dispatches = submission.dispatches_used
+        self.guests[submission.guest] = self.held[submission.guest] = guest
+        self.answer_at = 0 if submission.earlier_dispatch or submission.dispatches_used else min(
+            self.answer_at, guest.answer_due)
+        self.placeable = None
 
     def restore_dispatch(self, now: int, machine: str, name: str, sent_at: int) -> None:
-        """A dispatch of a held guest from before this life of the planner: out until its machine speaks."""
-        guest = self.waiting.pop(name)
-        guest.sent_at, self.due = sent_at, None
-        self._seat(guest, self._host(machine, now))
-
-    def persistence_changed(self, now: int, well: bool) -> None:
-        """Whether what is sent is sure to be known after a crash. Guards against a second run of a guest
-        whose dispatch was forgotten; costs those guests their place while the disk fails."""
-        self.kept_well = well
-        self._changed(now)
-
+        """A held guest has a dispatch from an earlier run of this planner: outstanding until the machine
+        reports."""
+        guest = self.held.pop(name)
+        guest.sent_at, self.placeable = sent_at, None
+        self._assign(guest, self._machine_named(machine, now))
+
+    def persistence_changed(self, now: int, healthy: bool) -> None:
+        """Whether sent dispatches are sure to be known after a crash. While they are not, guests that must
+        not run twice are not placed: a forgotten dispatch could lead to a second run."""
+        self.persistence_healthy = healthy
+        self._reconsider_held(now)
 
     def learned_state(self) -> interface.LearnedState:
-        """What a later life of this planner may use."""
+        """What a later run of this planner may use."""
         return interface.LearnedState(
-            {n: (s.seen, tuple(s.samples)) for n, s in self.services.items() if s.samples},
+            {n: (s.last_seen_at, tuple(s.samples)) for n, s in self.services.items() if s.samples},
             tuple((*k, tuple(v)) for k, v in self.starts.items()),
-            tuple((k, tuple(v)) for k, v in self.answers.items()), tuple(self.seen),
-            {n: interface.MachineHealth(m.listed.started, m.cold_at, tuple(m.answers), tuple(m.kept), m.strikes,
-                                 m.avoid_until, m.mute) for n, m in self.machines.items() if m.ready})
+            tuple((k, tuple(v)) for k, v in self.answers.items()), tuple(self.usage_totals),
+            {n: interface.MachineHealth(m.listed.started, m.cold_at, tuple(m.answers),
+                                        tuple(m.cached_services), m.failures, m.backoff_until,
+                                        m.unresponsive)
+             for n, m in self.machines.items() if m.ready})
 
     def restore_offers(self, now: int, name: str, times: tuple[int, ...]) -> None:
-        """Offers to a cold machine from before this life of the planner count against its budget."""
-        self._host(name, now).offers.extend(times)
+        """Offers that an earlier run of this planner sent to a cold machine count against its budget."""
+        self._machine_named(name, now).offers.extend(times)
 
     def restore_learned(self, now: int, past: interface.LearnedState, complete: bool) -> None:
-        """Takes what an earlier life learned, for machines that are still in the same life. Samples of
-        services that were not seen for a minute are let go; strikes and rests go on by their own times. Where
-        offers to cold machines may be forgotten, these get nothing until they would count no more."""
-        self.began, self.no_cold_until = now, 0 if complete else now + 2 * self.deployment.cold_budget_window
-        for name, (seen, samples) in past.services.items():
-            if seen >= now - 60 * SECOND:
+        """Takes over what an earlier run learned, for machines that have not restarted since. Samples of
+        services not seen for a minute are dropped; failures and back-off times keep their own expiry. Unless
+        the state is `complete`, offers to cold machines may be missing from it: such machines get nothing
+        until those offers would no longer count."""
+        self.started_at, self.no_cold_until = (
+            now, 0 if complete else now + 2 * self.deployment.cold_budget_window)
+        for name, (seen_at, samples) in past.services.items():
+            if seen_at >= now - 60 * SECOND:
                 service = self.services.setdefault(name, ServiceUsage())
                 service.samples.extendleft(reversed(samples))
-                service.seen = max(service.seen, seen)
-        for product, warm, times in past.starts:
-            self.starts[product, warm].extendleft(reversed(times))
-        for product, times in past.answers:
-            self.answers[product].extendleft(reversed(times))
-        self.seen = [max(1.0, seen) for seen in past.seen]
+                service.last_seen_at = max(service.last_seen_at, seen_at)
+        for guest_class, warm, times in past.starts:
+            self.starts[guest_class, warm].extendleft(reversed(times))
+        for guest_class, times in past.answers:
+            self.answers[guest_class].extendleft(reversed(times))
+        self.usage_totals = [max(1.0, total) for total in past.seen]
         for name, health in past.machines.items():
             machine = self.machines.get(name)
             if machine and abs(machine.listed.started - health.started) < SECOND:
                 machine.answers.extend(health.answers)
-                machine.slow = None
-                machine.kept = dict.fromkeys(health.kept)
+                machine.slowness_cache = None
+                machine.cached_services = dict.fromkeys(health.kept)
                 machine.cold_at = max(machine.cold_at, health.cold_at)
-                machine.strikes, machine.mute = max(machine.strikes, health.strikes), health.mute
-                machine.avoid_until = max(machine.avoid_until, health.avoid_until)
-
-    def guest_discovered(self, now: int, machine: str, ask: interface.Submission) -> None:
-        if ask.guest in self.guests:
-            self._drop(self.guests[ask.guest])
-        guest = self._known(now, ask)
+                machine.failures, machine.unresponsive = max(machine.failures, health.strikes), health.mute
+                machine.backoff_until = max(machine.backoff_until, health.avoid_until)
+
+    def guest_discovered(self, now: int, machine: str, submission: interface.Submission) -> None:
+        """A machine reported a running guest that this planner takes over as placed there."""
+        if submission.guest in self.guests:
+            self._drop(self.guests[submission.guest])
+        guest = self._new_guest(now, submission)
         guest.placed = guest.runs = True
-        self.guests[ask.guest] = guest
-        self._seat(guest, self._host(machine, now))
+        self.guests[submission.guest] = guest
+        self._assign(guest, self._machine_named(machine, now))
 
-    def _host(self, name: str, now: int) -> Machine:
-        """The machine of this name; one not listed is gone, in no known place: no ticket is bound wrongly."""
+    def _machine_named(self, name: str, now: int) -> Machine:
+        """The machine of this name. One that is not listed counts as gone and gets an unknown zone and cell,
+        so that no deduplicated guest is bound to a wrong group."""
         if name not in self.machines:
             gone = ListedMachine(name, MachineMode.GONE, 0, -1, -1, 0, 0.0, 0.0)
-            self.machines[name] = Machine(gone, self.deployment.kinds[0], now)
+            self.machines[name] = Machine(gone, self.deployment.machine_kinds[0], now)
         return self.machines[name]
 
     def guest_abandoned(self, now: int, name: str) -> None:
+        """The guest needs no further answer; it is dropped once it has no dispatch outstanding."""
         if guest := self.guests.get(name):
-            guest.over = True
+            guest.answered = True
             if guest.machine is None:
                 self._drop(guest)
 
     def guest_cancelled(self, now: int, name: str) -> None:
-        """Its owner no longer wants it, held, out or running."""
+        """The owner cancelled the guest, whether it is held, outstanding or running."""
         if guest := self.guests.get(name):
-            guest.unwanted, self.answer_at = True, 0
+            guest.cancelled, self.answer_at = True, 0
             if guest.machine:
-                self.to_call_off.append((name, guest.machine.listed.machine))
-
-    def late_copy_accepted(self, now: int, machine: str, ask: interface.Submission) -> None:
-        """A machine accepted a dispatch that was given up. Guards against a guest that runs in nobody's
-        hands, and against two copies; a rerunnable copy goes even if the other dispatch is then refused."""
-        held = self.guests.get(ask.guest)
-        effect = self.deployment.products[ask.product].repeat
-        if ask.guest in self.waiting or not held and effect is not RepeatSemantics.IDEMPOTENT:
-            self.guest_discovered(now, machine, ask)
-        elif effect is RepeatSemantics.IDEMPOTENT or effect is RepeatSemantics.DEDUPLICATED and held.placed:
-            self.to_call_off.append((ask.guest, machine))
-
-    def dispatch_accepted(self, now: int, name: str, took: int) -> None:
+                self.to_withdraw.append((name, guest.machine.listed.machine))
+
+    def late_copy_accepted(self, now: int, machine: str, submission: interface.Submission) -> None:
+        """A machine accepted a dispatch that had been given up. Guards against a guest that runs without an
+        owner and against two copies. A second copy of an idempotent guest is withdrawn even if the guest's
+        other dispatch is refused later."""
+        known = self.guests.get(submission.guest)
+        repeat = self.deployment.guest_classes[submission.product].repeat
+        if submission.guest in self.held or not known and repeat is not RepeatSemantics.IDEMPOTENT:
+            self.guest_discovered(now, machine, submission)
+        elif repeat is RepeatSemantics.IDEMPOTENT or repeat is RepeatSemantics.DEDUPLICATED and known.placed:
+            self.to_withdraw.append((submission.guest, machine))
+
+    def dispatch_accepted(self, now: int, name: str, duration: int) -> None:
+        """The machine accepted the guest's dispatch, `duration` after it was sent."""
         if not (guest := self.guests.get(name)) or not guest.machine:
             return
-        guest.placed, guest.machine.left, guest.machine.asked = True, None, None
-        self.out.pop(name, None)
-        guest.machine.answered(took)
-        self.answers[guest.ask.product].append(took)
-        guest.machine.strikes, guest.machine.mute, guest.machine.heard_at = 0, False, now
-        if guest.unwanted:  # the call-off crossed with this answer: now it stops what runs
-            self.to_call_off.append((name, guest.machine.listed.machine))
+        guest.placed, guest.machine.free, guest.machine.requested_by_others = True, None, None
+        self.outstanding.pop(name, None)
+        guest.machine.answer_received(duration)
+        self.answers[guest.submission.product].append(duration)
+        guest.machine.failures, guest.machine.unresponsive, guest.machine.heard_at = 0, False, now
+        if guest.cancelled:  # the withdrawal crossed with this answer: now it stops the running guest
+            self.to_withdraw.append((name, guest.machine.listed.machine))
         if self.deployment.confirms_when_running:
-            self._started(guest, now)
+            self._note_start(guest, now)
 
     def guest_started(self, now: int, name: str) -> None:
         if (guest := self.guests.get(name)) and guest.machine and not guest.runs:
-            self._started(guest, now)
+            self._note_start(guest, now)
 
     def dispatch_not_sent(self, now: int, name: str) -> None:
-        """The dispatch that is about to end did not leave this planner: it is none of those that the guest
-        may have. What kept it here may hold for a moment."""
+        """The dispatch that is about to end never left this planner: it does not count against the guest's
+        limit. The cause may persist for a while, so that the guest is not tried again for 50 ms."""
         if (guest := self.guests.get(name)) and guest.machine:
             guest.dispatches -= 1
-            guest.rests_until = now + SECOND // 20
+            guest.retry_at = now + SECOND // 20
 
-    def dispatch_ended(self, now: int, name: str, ending: DispatchOutcome, closed: bool, remark: OutcomeReason) -> None:
-        if not (guest := self.guests.get(name)) or not (host := guest.machine):
+    def dispatch_ended(self, now: int, name: str, outcome: DispatchOutcome, closed: bool,
+                       reason: OutcomeReason) -> None:
+        """The guest's dispatch ended. If `closed`, the guest was already answered and is dropped."""
+        if not (guest := self.guests.get(name)) or not (machine := guest.machine):
             return
-        self._unseat(guest)
-        self._judge(host, guest, ending, remark, now)
-        self._changed(now)
-        if guest.over or closed or guest.placed:
+        self._unassign(guest)
+        self._assess_machine(machine, guest, outcome, reason, now)
+        self._reconsider_held(now)
+        if guest.answered or closed or guest.placed:
             self._drop(guest)
             return
-        if ending not in NEVER_RAN:
-            if not guest.may_run:
-                guest.window_ends = guest.sent_at + guest.product.dedup_window
-            guest.may_run, guest.bound = True, host.place(guest.product.dedup_scope)
-        # A refusal may come twice: an exclusive guest stays away from those that refused it, too.
-        once = guest.product.repeat is RepeatSemantics.AT_MOST_ONCE and ending is DispatchOutcome.REFUSED
-        if not self.deployment.dispatches_identified and (once or ending not in NEVER_RAN):
-            guest.tried.append(host.listed.machine)
-        if ending is DispatchOutcome.REFUSED and guest.dispatches > 1:
-            # Twice refused: everybody is after the same room. The rest of its dispatches are spread over its
-            # patience, drawn so that crowds thin out, from a quarter second and twice as long each time.
-            guest.rests_until = now + int(SECOND // 8 * 2 ** guest.dispatches * self.random.uniform(0.5, 1.5))
-        guest.look_at, self.waiting[name] = max(now, guest.rests_until), guest
-        self.answer_at, self.due = 0, None  # it may be at the end of what it may try
+        if outcome not in NEVER_RAN:
+            if not guest.may_have_run:
+                guest.window_ends = guest.sent_at + guest.guest_class.dedup_window
+            guest.may_have_run, guest.dedup_group = (
+                True, machine.scope_key(guest.guest_class.dedup_scope))
+        # A refusal may be delivered twice: at-most-once guests also avoid the machines that refused them.
+        refused = (guest.guest_class.repeat is RepeatSemantics.AT_MOST_ONCE
+                   and outcome is DispatchOutcome.REFUSED)
+        if not self.deployment.dispatches_identified and (refused or outcome not in NEVER_RAN):
+            guest.excluded_machines.append(machine.listed.machine)
+        if outcome is DispatchOutcome.REFUSED and guest.dispatches > 1:
+            # Refused twice: many guests compete for the same capacity. The remaining dispatches are spread
+            # over the time left: from a quarter second, doubled each time, randomised so that crowds
+            # disperse.
+            guest.retry_at = now + int(SECOND // 8 * 2 ** guest.dispatches * self.random.uniform(0.5, 1.5))
+        guest.reconsider_at, self.held[name] = max(now, guest.retry_at), guest
+        self.answer_at, self.placeable = 0, None  # it may have used all its dispatches
 
     def machine_reported(self, now: int, name: str, load: interface.Load | None) -> None:
+        """A machine reported its load."""
         if not (machine := self.machines.get(name)) or load is None:
             return
-        size, used = machine.size, not self.deployment.reports_count_requested
+        size, shows_use = machine.size, not self.deployment.reports_count_requested
         cores = None if load.busy is None else load.busy * size.cores
-        if cores is None and used and load.cores_free is not None:
+        if cores is None and shows_use and load.cores_free is not None:
             cores = size.cores - load.cores_free
-        memory = size.memory - load.memory_free if used and load.memory_free is not None else None
-        self._reported(machine, cores, memory, now)
+        memory = size.memory - load.memory_free if shows_use and load.memory_free is not None else None
+        self._update_usage(machine, cores, memory, now)
 
-    def probe_answered(self, now: int, name: str, well: bool) -> None:
+    def probe_answered(self, now: int, name: str, passed: bool) -> None:
+        """A probe of the machine was answered; not `passed` if the answer was bad or missing."""
         if (machine := self.machines.get(name)) is None:
             return
-        if not well:
-            self._strike(machine, now, mute=True)
-        elif machine.mute:
-            machine.strikes = machine.strikes if machine.refuses else 0
-            machine.mute = machine.refuses = False
-            self._changed(now)
+        if not passed:
+            self._record_failure(machine, now, unresponsive=True)
+        elif machine.unresponsive:
+            machine.failures = machine.failures if machine.refuses else 0
+            machine.unresponsive = machine.refuses = False
+            self._reconsider_held(now)
 
     def cores_used(self, now: int, name: str, cores: float) -> None:
+        """A machine reported the cores that a guest uses; its memory follows in memory_used."""
         if name in self.guests:
             self.guests[name].cores_noted = cores
 
     def memory_used(self, now: int, name: str, memory: float) -> None:
+        """A machine reported the memory that a guest uses, which completes a usage sample."""
         if guest := self.guests.get(name):
             guest.use = (guest.cores_noted, memory)
-            news = *guest.use, guest.ask.cores, guest.ask.memory
-            self.seen = [0.98 * s + n for s, n in zip(self.seen, news, strict=True)]  # some fifty notes
+            sample = *guest.use, guest.submission.cores, guest.submission.memory
+            # A time constant of about fifty samples.
+            self.usage_totals = [0.98 * s + n for s, n in zip(self.usage_totals, sample, strict=True)]
             guest.service.samples.append(guest.use)
 
     def service_level_reported(self, now: int, name: str, share: float) -> None:
+        """A machine reported the share (0 to 1) of its work that a guest gets done."""
         if (guest := self.guests.get(name)) and (machine := guest.machine) and share < 0.95:
-            # A poorly served guest tells how far the cores are past what its product bears.
-            busy = guest.product.full_service_load + (1 - share) * guest.product.service_fade
-            self._reported(machine, max((machine.used or (0.0,))[0], busy * machine.size.cores), None, now)
+            # A degraded guest shows how far the load of the cores exceeds what its class tolerates.
+            busy = guest.guest_class.full_service_load + (1 - share) * guest.guest_class.service_fade
+            self._update_usage(
+                machine, max((machine.used or (0.0,))[0], busy * machine.size.cores), None, now)
 
     def memory_pressure_reported(self, now: int, name: str, share: float) -> None:
+        """A machine reported the share of its memory that is in use."""
         if name in self.machines:
-            self._reported(self.machines[name], None, share * self.machines[name].size.memory, now)
+            self._update_usage(self.machines[name], None, share * self.machines[name].size.memory, now)
 
-    def _known(self, now: int, ask: interface.Submission) -> Guest:
-        if now >= self.sweep_at:  # a minute's rest: longer than a service's guests stay away between tries
+    def _new_guest(self, now: int, submission: interface.Submission) -> Guest:
+        if now >= self.sweep_at:  # a service's guests return within a minute when their owners retry
             self.sweep_at = now + 60 * SECOND
-            self.services = {n: s for n, s in self.services.items() if s.guests or s.seen >= now - 60_000_000}
-        service = self.services.setdefault(ask.service, ServiceUsage())
-        service.guests, service.seen = service.guests + 1, now
-        return Guest(ask, self.deployment.products[ask.product], service, now)
+            self.services = {n: s for n, s in self.services.items()
+                             if s.guests or s.last_seen_at >= now - 60_000_000}
+        service = self.services.setdefault(submission.service, ServiceUsage())
+        service.guests, service.last_seen_at = service.guests + 1, now
+        return Guest(submission, self.deployment.guest_classes[submission.product], service, now)
 
     def _drop(self, guest: Guest) -> None:
-        name = guest.ask.guest
+        name = guest.submission.guest
         if guest.machine is not None:
-            self._unseat(guest)
-        if self.waiting.pop(name, None):
-            self.due = None
+            self._unassign(guest)
+        if self.held.pop(name, None):
+            self.placeable = None
         if self.guests.pop(name, None) is not None:
             guest.service.guests -= 1
 
-    def _seat(self, guest: Guest, machine: Machine) -> None:
+    def _assign(self, guest: Guest, machine: Machine) -> None:
         guest.machine = machine
-        machine.guests[guest.ask.guest] = guest
+        machine.guests[guest.submission.guest] = guest
         if not guest.placed:
-            self.out[guest.ask.guest] = guest
-        machine.changed(guest, 1)
+            self.outstanding[guest.submission.guest] = guest
+        machine.guest_changed(guest, 1)
         guest.spread_key = key = self._spread_key(guest, machine)
         self.spread[key] = self.spread.get(key, 0) + 1
-        self.seated[guest.product.priority] += 1
+        self.placed_by_priority[guest.guest_class.priority] += 1
 
-    def _unseat(self, guest: Guest) -> None:
+    def _unassign(self, guest: Guest) -> None:
         machine, key = guest.machine, guest.spread_key
-        self.seated[guest.product.priority] -= 1
+        self.placed_by_priority[guest.guest_class.priority] -= 1
         self.spread[key] -= 1
         if not self.spread[key]:
             del self.spread[key]
-        del machine.guests[guest.ask.guest]
-        self.out.pop(guest.ask.guest, None)
-        machine.changed(guest, -1)
+        del machine.guests[guest.submission.guest]
+        self.outstanding.pop(guest.submission.guest, None)
+        machine.guest_changed(guest, -1)
         guest.machine = None
         if guest.runs:
-            machine.kept.pop(guest.ask.service, None)
-            machine.kept[guest.ask.service] = None
-            if len(machine.kept) > 4:  # few, so that a program counted as kept seldom is gone
-                del machine.kept[next(iter(machine.kept))]
+            machine.cached_services.pop(guest.submission.service, None)
+            machine.cached_services[guest.submission.service] = None
+            if len(machine.cached_services) > 4:  # few: machines seldom evict a program that is listed here
+                del machine.cached_services[next(iter(machine.cached_services))]
 
     def _spread_key(self, guest: Guest, machine: Machine) -> tuple[str, Scope, str]:
-        return guest.ask.service, *machine.place(guest.product.spread_scope)
+        return guest.submission.service, *machine.scope_key(guest.guest_class.spread_scope)
 
-    def _started(self, guest: Guest, now: int) -> None:
+    def _note_start(self, guest: Guest, now: int) -> None:
         guest.machine.starting -= not guest.runs
         guest.runs = True
-        self.starts[guest.ask.product, guest.warm].append(int((now - guest.sent_at) / (1 + guest.ahead / 2)))
+        self.starts[guest.submission.product, guest.warm].append(
+            int((now - guest.sent_at) / (1 + guest.starts_ahead / 2)))
 
-    def _restarted(self, machine: Machine, at: int) -> None:
+    def _note_restart(self, machine: Machine, at: int) -> None:
         machine.cold_at = max(machine.cold_at, at)
-        machine.kept.clear()
+        machine.cached_services.clear()
         machine.used = None
 
-    def _reported(self, machine: Machine, cores: float | None, memory: float | None, now: int) -> None:
-        """Takes a machine's own word on its use and sets our running guests' share aside."""
-        uses = [g.use or g.service.weight(g.ask) for g in machine.guests.values() if g.runs]
+    def _update_usage(self, machine: Machine, cores: float | None, memory: float | None, now: int) -> None:
+        """Records the use that a machine reports and subtracts the share of our running guests; None keeps
+        the last value."""
+        uses = [g.use or g.service.estimated_use(g.submission) for g in machine.guests.values() if g.runs]
         ours = sum(u[0] for u in uses), sum(u[1] for u in uses)
-        old = self._others(machine, now) or (0.0, 0.0)
+        old = self._usage_by_others(machine, now) or (0.0, 0.0)
         machine.used = (old[0] + ours[0] if cores is None else cores,
                         old[1] + ours[1] if memory is None else memory)
-        machine.others = max(0.0, machine.used[0] - ours[0]), max(0.0, machine.used[1] - ours[1])
+        machine.used_by_others = max(0.0, machine.used[0] - ours[0]), max(0.0, machine.used[1] - ours[1])
         machine.reported_at = machine.heard_at = now
 
-    def _others(self, machine: Machine, now: int) -> tuple[float, float] | None:
-        """What others use of a machine. Where the list shows room, a report older than two seconds gives way
-        to what others ask there by the list, in our guests' proportion of use to asks. Guards against any
-        cause of late or missing reports."""
+    def _usage_by_others(self, machine: Machine, now: int) -> tuple[float, float] | None:
+        """Use of a machine by other planners' guests. If the list shows free capacity, a report older than
+        two seconds is replaced by what those guests request according to the list, scaled by the ratio of use
+        to request of our own guests. Guards against late and missing reports, whatever the cause."""
         if (now - machine.reported_at <= 2 * SECOND or machine.reported_at > self.list_heard_at
                 or not self.deployment.list_shows_free):
-            return machine.others if machine.used is not None else None
-        if machine.asked is None:
+            return machine.used_by_others if machine.used is not None else None
+        if machine.requested_by_others is None:
             listed, size = machine.listed, machine.size
-            ours = [g.ask for g in machine.guests.values() if g.sent_at <= machine.listed_at - SECOND // 4]
-            machine.asked = (max(0.0, size.cores - listed.free_cores - sum(a.cores for a in ours)),
-                             max(0.0, size.memory - listed.free_memory - sum(a.memory for a in ours)))
-        cores, memory, cores_asked, memory_asked = self.seen
-        return machine.asked[0] * cores / cores_asked, machine.asked[1] * memory / memory_asked
-
-    def _changed(self, now: int) -> None:
-        """Something may have made room: held guests are looked at again, at most every 50 ms each."""
-        self.due = None
-        for guest in self.waiting.values():
-            guest.look_at = min(guest.look_at, max(now, guest.looked_at + SECOND // 20, guest.rests_until))
-
-    def _judge(self, machine: Machine, guest: Guest, ending: DispatchOutcome, remark: OutcomeReason, now: int) -> None:
-        """What an ended dispatch says of its machine."""
-        if ending is DispatchOutcome.REFUSED:
-            if remark in (OutcomeReason.QUEUE_FULL, OutcomeReason.NONE):
-                # Against any crowd of offers, and a refusal that comes twice: about as long as lines last.
-                machine.full[0] = now + SECOND // 4, 0.0
-            elif remark in (OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY):
-                axis, much = (0, guest.ask.cores) if remark is OutcomeReason.NO_CORES else (1, guest.ask.memory)
-                machine.full[axis] = now + SECOND, much  # about a list period
-            elif remark is OutcomeReason.NOT_ACCEPTED and self._tests_are_told():
+            ours = [g.submission for g in machine.guests.values()
+                    if g.sent_at <= machine.listed_at - SECOND // 4]
+            machine.requested_by_others = (
+                max(0.0, size.cores - listed.free_cores - sum(s.cores for s in ours)),
+                max(0.0, size.memory - listed.free_memory - sum(s.memory for s in ours)))
+        cores, memory, cores_requested, memory_requested = self.usage_totals
+        return (machine.requested_by_others[0] * cores / cores_requested,
+                machine.requested_by_others[1] * memory / memory_requested)
+
+    def _reconsider_held(self, now: int) -> None:
+        """Capacity may have become free: held guests are considered again, each at most every 50 ms."""
+        self.placeable = None
+        for guest in self.held.values():
+            guest.reconsider_at = min(
+                guest.reconsider_at, max(now, guest.considered_at + SECOND // 20, guest.retry_at))
+
+    def _assess_machine(self, machine: Machine, guest: Guest, outcome: DispatchOutcome,
+                        reason: OutcomeReason, now: int) -> None:
+        """Updates a machine's health from the outcome of a dispatch."""
+        if outcome is DispatchOutcome.REFUSED:
+            if reason in (OutcomeReason.QUEUE_FULL, OutcomeReason.NONE):
+                # Queues stay full for about this long. Limits bursts of offers and refusals delivered twice.
+                machine.refused_until[0] = now + SECOND // 4, 0.0
+            elif reason in (OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY):
+                axis, amount = ((0, guest.submission.cores) if reason is OutcomeReason.NO_CORES
+                                else (1, guest.submission.memory))
+                machine.refused_until[axis] = now + SECOND, amount  # about the interval of list updates
+            elif reason is OutcomeReason.NOT_ACCEPTED and self._probes_verify_machines():
                 self._suspect_drain(machine, now)
-            elif remark is OutcomeReason.NOT_ACCEPTED and not guest.may_run:
-                machine.avoid_until = now + SECOND
-        elif ending is DispatchOutcome.INTERRUPTED and guest.placed:
-            if remark is OutcomeReason.DRAINED and self._tests_are_told():
+            elif reason is OutcomeReason.NOT_ACCEPTED and not guest.may_have_run:
+                machine.backoff_until = now + SECOND
+        elif outcome is DispatchOutcome.INTERRUPTED and guest.placed:
+            if reason is OutcomeReason.DRAINED and self._probes_verify_machines():
                 self._suspect_drain(machine, now)
-            if remark is OutcomeReason.NONE and now - machine.cold_at > SECOND:
-                self._restarted(machine, now)
-                self._strike(machine, now, mute=True)
-        elif ending in (DispatchOutcome.UNREACHABLE, DispatchOutcome.TIMED_OUT):
-            if ending is DispatchOutcome.UNREACHABLE or machine.heard_at <= guest.sent_at:
-                self._strike(machine, now, mute=True)
-            if ending is DispatchOutcome.UNREACHABLE and now - machine.cold_at > self.deployment.warmup_time:
-                self._restarted(machine, now)
-        elif not guest.placed and ending in (DispatchOutcome.ERROR, DispatchOutcome.INTERRUPTED):
-            machine.answered(60 * SECOND)
-            self._strike(machine, now, mute=False)
-
-    def _tests_are_told(self) -> bool:
-        """Whether a machine that says that it takes no work can be asked again, and its answer is heard."""
+            if reason is OutcomeReason.NONE and now - machine.cold_at > SECOND:
+                self._note_restart(machine, now)
+                self._record_failure(machine, now, unresponsive=True)
+        elif outcome in (DispatchOutcome.UNREACHABLE, DispatchOutcome.TIMED_OUT):
+            if outcome is DispatchOutcome.UNREACHABLE or machine.heard_at <= guest.sent_at:
+                self._record_failure(machine, now, unresponsive=True)
+            if (outcome is DispatchOutcome.UNREACHABLE
+                    and now - machine.cold_at > self.deployment.warmup_time):
+                self._note_restart(machine, now)
+        elif not guest.placed and outcome in (DispatchOutcome.ERROR, DispatchOutcome.INTERRUPTED):
+            machine.answer_received(60 * SECOND)
+            self._record_failure(machine, now, unresponsive=False)
+
+    def _probes_verify_machines(self) -> bool:
+        """Whether a machine that reports that it takes no guests can be probed and its answer is received."""
         return self.deployment.probing and self.deployment.list_lease > 0
 
     def _suspect_drain(self, machine: Machine, now: int) -> None:
-        """A machine says itself that it takes no work, before the list does: it has to pass a test. One that
-        says so again and passes its tests all the same is kept away from for longer each time."""
+        """A machine reports that it takes no guests before the list does: it has to pass a probe. One that
+        reports it again although it passes its probes is avoided for longer each time."""
         if not machine.refuses:
-            self._strike(machine, now, mute=True)
-        machine.refuses = machine.mute = True
+            self._record_failure(machine, now, unresponsive=True)
+        machine.refuses = machine.unresponsive = True
         self.probe_at = 0
 
-    def _strike(self, machine: Machine, now: int, mute: bool) -> None:
-        """A failure keeps guests away, twice as long each time in a row, from a third of a second to 8 s."""
-        machine.strikes = min(machine.strikes + 1, 6)
-        machine.mute = machine.mute or mute and self.deployment.probing
-        span = min(8 * SECOND, SECOND // 6 * 2 ** machine.strikes)
-        machine.avoid_until = max(machine.avoid_until, now + int(span * self.random.uniform(0.8, 1.2)))
+    def _record_failure(self, machine: Machine, now: int, unresponsive: bool) -> None:
+        """Backs off from a machine: a third of a second, doubled with each failure in a row, up to 8 s."""
+        machine.failures = min(machine.failures + 1, 6)
+        machine.unresponsive = machine.unresponsive or unresponsive and self.deployment.probing
+        duration = min(8 * SECOND, SECOND // 6 * 2 ** machine.failures)
+        machine.backoff_until = max(
+            machine.backoff_until, now + int(duration * self.random.uniform(0.8, 1.2)))
 
     def _avoided(self, machine: Machine, now: int) -> bool:
-        if machine.mute or now < machine.avoid_until or machine.strikes and machine.starting:
-            return True  # the last: on trial, one guest at a time
-        # Four times its fellows' median and two seconds more: half a second also caught dear cold starts.
-        if len(machine.answers) >= 4 and machine.slowness() > 4 * self.typical + 2 * SECOND:
+        if (machine.unresponsive or now < machine.backoff_until
+                or machine.failures and machine.starting):
+            return True  # after a failure, one guest at a time
+        # Four times the median of all machines plus two seconds: half a second also caught slow cold starts.
+        if len(machine.answers) >= 4 and machine.slowness() > 4 * self.typical_slowness + 2 * SECOND:
             machine.answers.clear()
-            machine.slow = None
-            self._strike(machine, now, mute=False)
+            machine.slowness_cache = None
+            self._record_failure(machine, now, unresponsive=False)
             return True
         return False
 
     def decide(self, now: int) -> Decision | None:
-        """The next thing to do at this moment, or None."""
-        if self.to_call_off:
-            return Decision(DecisionKind.WITHDRAW, *self.to_call_off.popleft())
-        return self._keep_list(now) or self._answer_due(now) or self._place_next(now) or self._probe(now)
+        """The next thing to do at this timestamp, or None."""
+        if self.to_withdraw:
+            return Decision(DecisionKind.WITHDRAW, *self.to_withdraw.popleft())
+        return self._poll_list(now) or self._due_answer(now) or self._place_next(now) or self._probe(now)
 
     def next_decision_at(self, now: int) -> int | None:
-        times = [min(g.look_at, g.answer_by) for g in self.waiting.values()]
+        """When to call decide again if no event arrives earlier; None: not before the next event."""
+        times = [min(g.reconsider_at, g.answer_due) for g in self.held.values()]
         if self.deployment.list_is_polled:
-            times.append(self.ask_list_at)
-        times += [max(m.avoid_until, self.probe_at) for m in self.machines.values() if m.mute and m.ready]
-        times += [g.patience_at for g in self.out.values() if not g.over]
+            times.append(self.poll_list_at)
+        times += [max(m.backoff_until, self.probe_at) for m in self.machines.values()
+                  if m.unresponsive and m.ready]
+        times += [g.deadline for g in self.outstanding.values() if not g.answered]
         return max(now, min(times)) if times else None
 
-    def _keep_list(self, now: int) -> Decision | None:
-        if not self.deployment.list_is_polled or now < self.ask_list_at:
+    def _poll_list(self, now: int) -> Decision | None:
+        if not self.deployment.list_is_polled or now < self.poll_list_at:
             return None
-        self.ask_list_at = now + int(self.random.uniform(2, 3) * SECOND)  # an answer is due before
+        self.poll_list_at = now + int(self.random.uniform(2, 3) * SECOND)  # an answer is due earlier
         return Decision(DecisionKind.WATCH_LIST)
 
-    def _answer_due(self, now: int) -> Decision | None:
-        """The next final answer; all guests are looked through only when one may be due."""
+    def _due_answer(self, now: int) -> Decision | None:
+        """The next final answer. All guests are scanned only when one may be due."""
         if now < self.answer_at:
             return None
-        for guest in self.waiting.values():
-            product = guest.product
-            spent = guest.dispatches >= self.deployment.max_dispatches
-            stuck = guest.may_run and (
-                product.repeat is RepeatSemantics.AT_MOST_ONCE
-                or product.repeat is RepeatSemantics.DEDUPLICATED and now >= guest.window_ends - SECOND // 20)
-            if spent or stuck or guest.unwanted or now >= guest.answer_by:
-                step = DecisionKind.REFUSE if guest.may_turn_back() else DecisionKind.FAIL
+        for guest in self.held.values():
+            guest_class = guest.guest_class
+            exhausted = guest.dispatches >= self.deployment.max_dispatches
+            must_not_repeat = guest.may_have_run and (
+                guest_class.repeat is RepeatSemantics.AT_MOST_ONCE
+                or guest_class.repeat is RepeatSemantics.DEDUPLICATED
+                and now >= guest.window_ends - SECOND // 20)
+            if exhausted or must_not_repeat or guest.cancelled or now >= guest.answer_due:
+                kind = DecisionKind.REFUSE if guest.may_refuse() else DecisionKind.FAIL
                 self._drop(guest)
-                return Decision(step, guest.ask.guest)
+                return Decision(kind, guest.submission.guest)
         for guest in self.guests.values():
-            if guest.machine and not guest.placed and not guest.over and now >= guest.patience_at:
-                guest.over = True
-                return Decision(DecisionKind.FAIL, guest.ask.guest)
-        # A dispatch that ends clears this; until then only time makes an answer due.
-        self.answer_at = min([g.patience_at for g in self.out.values() if not g.over] + [
-            min(g.answer_by, g.window_ends - SECOND // 20) if g.may_run and (
-                g.product.repeat is RepeatSemantics.DEDUPLICATED) else g.answer_by
-            for g in self.waiting.values()], default=now + 60 * SECOND)
+            if guest.machine and not guest.placed and not guest.answered and now >= guest.deadline:
+                guest.answered = True
+                return Decision(DecisionKind.FAIL, guest.submission.guest)
+        # Only the end of a dispatch resets this; until then an answer becomes due by time alone.
+        self.answer_at = min([g.deadline for g in self.outstanding.values() if not g.answered] + [
+            min(g.answer_due, g.window_ends - SECOND // 20) if g.may_have_run and (
+                g.guest_class.repeat is RepeatSemantics.DEDUPLICATED) else g.answer_due
+            for g in self.held.values()], default=now + 60 * SECOND)
         return None
 
-    def _wait_for_list(self, now: int) -> None:
-        """Held guests are looked at again when the list is known to be current; see list_taken."""
-        for guest in self.waiting.values():
-            if guest.look_at <= now:
-                guest.look_at = now + SECOND // 5
+    def _defer_until_list_current(self, now: int) -> None:
+        """Postpones held guests while the list is not known to be current; see list_currency_changed."""
+        for guest in self.held.values():
+            if guest.reconsider_at <= now:
+                guest.reconsider_at = now + SECOND // 5
 
     def _place_next(self, now: int) -> Decision | None:
         if not self.list_current:
-            self._wait_for_list(now)
+            self._defer_until_list_current(now)
             return None
-        if now != self.looked_at:
-            self.looked_at, self.no_room, self.due = now, set(), None
-        if self.due is None:  # sorted once a moment; who was looked at falls out at the end
-            due = [g for g in self.waiting.values() if g.look_at <= now]
-            if not self.kept_well:
-                for guest in [g for g in due if g.product.repeat is not RepeatSemantics.IDEMPOTENT]:
-                    due.remove(guest)
-                    guest.look_at = now + SECOND // 5
-            self.due = sorted(due, key=lambda g: (-g.product.value * g.ask.memory, g.patience_at))
-            self.due.reverse()
-        while self.due:
-            guest = self.due.pop()
-            shape = guest.ask._replace(guest="", time_left=0), guest.bound
-            machine = None if shape in self.no_room else self._pick(guest, now)
+        if now != self.considered_at:
+            self.considered_at, self.unplaceable, self.placeable = now, set(), None
+        if self.placeable is None:  # sorted once per timestamp; considered guests are popped from its end
+            placeable = [g for g in self.held.values() if g.reconsider_at <= now]
+            if not self.persistence_healthy:
+                for guest in [g for g in placeable
+                              if g.guest_class.repeat is not RepeatSemantics.IDEMPOTENT]:
+                    placeable.remove(guest)
+                    guest.reconsider_at = now + SECOND // 5
+            self.placeable = sorted(
+                placeable, key=lambda g: (-g.guest_class.value * g.submission.memory, g.deadline))
+            self.placeable.reverse()
+        while self.placeable:
+            guest = self.placeable.pop()
+            shape = guest.submission._replace(guest="", time_left=0), guest.dedup_group
+            machine = None if shape in self.unplaceable else self._pick(guest, now)
             if machine is None:
-                if guest.rests_until <= now:
-                    self.no_room.add(shape)
-                guest.looked_at = now
-                guest.look_at = guest.rests_until if guest.rests_until > now else now + SECOND // 5
+                if guest.retry_at <= now:
+                    self.unplaceable.add(shape)
+                guest.considered_at = now
+                guest.reconsider_at = guest.retry_at if guest.retry_at > now else now + SECOND // 5
                 continue
-            span = self._span(guest, now)
-            guest.ahead, guest.warm = machine.starting, self._warm(guest, machine)
+            timeout = self._answer_timeout(guest, now)
+            guest.starts_ahead, guest.warm = machine.starting, self._is_warm(guest, machine)
             guest.dispatches, guest.sent_at = guest.dispatches + 1, now
-            del self.waiting[guest.ask.guest]
-            self._seat(guest, machine)
+            del self.held[guest.submission.guest]
+            self._assign(guest, machine)
             machine.offers.append(now)
-            return Decision(DecisionKind.DISPATCH, guest.ask.guest, machine.listed.machine, span)
+            return Decision(DecisionKind.DISPATCH, guest.submission.guest, machine.listed.machine, timeout)
         return None
 
-    def _span(self, guest: Guest, now: int) -> int:
-        """How long to wait for an answer: well past what machines take, never past the patience."""
-        left, seen = guest.answer_by - now, self.answers[guest.ask.product]
-        if guest.dispatches + 1 >= self.deployment.max_dispatches or not seen:
-            return left
-        # Three times the 95th percentile: what is later than that is seldom still coming.
-        return min(left, max(3 * sorted(seen)[int(0.95 * len(seen))], SECOND // 2))
+    def _answer_timeout(self, guest: Guest, now: int) -> int:
+        """How long to wait for an answer: well above what machines usually take, never past the deadline."""
+        time_left, times = guest.answer_due - now, self.answers[guest.submission.product]
+        if guest.dispatches + 1 >= self.deployment.max_dispatches or not times:
+            return time_left
+        # Three times the 95th percentile: answers that are later than that seldom arrive at all.
+        return min(time_left, max(3 * sorted(times)[int(0.95 * len(times))], SECOND // 2))
 
-    def _warm(self, guest: Guest, machine: Machine) -> bool:
-        return guest.ask.service in machine.kept or guest.ask.service in machine.services
+    def _is_warm(self, guest: Guest, machine: Machine) -> bool:
+        """Whether the machine has the program of the guest's service."""
+        return (guest.submission.service in machine.cached_services
+                or guest.submission.service in machine.services)
 
     def _allowed(self, guest: Guest, machine: Machine, now: int) -> bool:
-        """The rules: what no ranking may go round."""
-        product, facts = guest.product, self.deployment
-        if not machine.ready or machine.refuses or product.machine_kind not in (-1, machine.listed.machine_kind):
+        """The rules that no ranking may override."""
+        guest_class, deployment = guest.guest_class, self.deployment
+        if (not machine.ready or machine.refuses
+                or guest_class.machine_kind not in (-1, machine.listed.machine_kind)):
             return False
-        if machine.listed.machine in guest.tried:  # guards against two copies: it may speak late
+        if machine.listed.machine in guest.excluded_machines:  # guards against two copies: it may report late
             return False
-        if guest.bound and product.repeat is RepeatSemantics.DEDUPLICATED and machine.place(product.dedup_scope) != guest.bound:
+        if (guest.dedup_group and guest_class.repeat is RepeatSemantics.DEDUPLICATED
+                and machine.scope_key(guest_class.dedup_scope) != guest.dedup_group):
             return False
-        if (product.spread_scope is not Scope.NOWHERE
-                and self.spread.get(self._spread_key(guest, machine), 0) >= product.spread_limit):
+        if (guest_class.spread_scope is not Scope.NOWHERE
+                and self.spread.get(self._spread_key(guest, machine), 0) >= guest_class.spread_limit):
             return False
-        while machine.offers and machine.offers[0] < now - 2 * facts.cold_budget_window:
+        while machine.offers and machine.offers[0] < now - 2 * deployment.cold_budget_window:
             machine.offers.popleft()
-        cold = now - machine.cold_at < facts.warmup_time
+        cold = now - machine.cold_at < deployment.warmup_time
         if not cold and not self._may_be_cold(machine, now):
             return True
-        if cold and now < self.no_cold_until and machine.cold_at <= self.began:
+        if cold and now < self.no_cold_until and machine.cold_at <= self.started_at:
             return False
-        # Twice the window and four fifths of the budget: offers travel, and chance is counted against us too.
-        # Planners take turns at single offers, from a start that the machine's id fixes: these sum to it.
-        turn = (facts.slot + machine.mark) % facts.planners
-        return len(machine.offers) <= (int(facts.cold_offers * 0.8) - 1 - turn) // facts.planners
+        # Twice the window and four fifths of the budget: offers take time to arrive, and random excess counts
+        # against us. Single offers rotate among planners from a start that the machine's id fixes, so that
+        # the planners' shares sum to the budget.
+        rotation = (deployment.slot + machine.id_hash) % deployment.planners
+        return len(machine.offers) <= (
+            int(deployment.cold_offers * 0.8) - 1 - rotation) // deployment.planners
 
     def _may_be_cold(self, machine: Machine, now: int) -> bool:
-        """Guards against a wall clock that was stepped, here or where ages come from: a machine that was
-        started late is known to be warm only once it has been listed here for as long as one stays cold."""
-        facts = self.deployment
-        late_start = facts.ages_by_clock and machine.listed.started > 0
-        return late_start and now - machine.listed_since < facts.warmup_time
-
-    def _has_room(self, guest: Guest, machine: Machine, now: int, way: str) -> bool:
-        ask = guest.ask
-        if any(now < until and want >= much
-               for (until, much), want in zip(machine.full, (ask.cores, ask.memory), strict=True)):
+        """Guards against a stepped wall clock, here or where machine ages come from: a machine with a known
+        start time counts as warm only once it has been listed here for the warm-up time."""
+        deployment = self.deployment
+        age_uncertain = deployment.ages_by_clock and machine.listed.started > 0
+        return age_uncertain and now - machine.listed_since < deployment.warmup_time
+
+    def _fits(self, guest: Guest, machine: Machine, now: int, basis: str) -> bool:
+        """Whether the machine has capacity for the guest on this basis; see _pick."""
+        submission = guest.submission
+        if any(now < until and requested >= amount
+               for (until, amount), requested in zip(
+                   machine.refused_until, (submission.cores, submission.memory), strict=True)):
             return False
-        cores, memory = machine.room(self.deployment)
-        if way == "pushed":
-            # Of all that is asked there, the part that is lower among our own guests anywhere.
-            lower = sum(n for priority, n in self.seated.items() if priority < guest.product.priority)
-            part = lower / max(1, sum(self.seated.values()))
+        cores, memory = machine.free_capacity(self.deployment)
+        if basis == "preempting":
+            # Of all that is requested there, the part that has a lower priority among our guests anywhere.
+            lower = sum(n for priority, n in self.placed_by_priority.items()
+                        if priority < guest.guest_class.priority)
+            part = lower / max(1, sum(self.placed_by_priority.values()))
             cores += part * max(0.0, machine.size.cores - machine.listed.free_cores)
             memory += part * max(0.0, machine.size.memory - machine.listed.free_memory)
-        return way == "unknown" or ask.cores <= cores and ask.memory <= memory
+        return basis == "unknown" or submission.cores <= cores and submission.memory <= memory
 
     def _pick(self, guest: Guest, now: int) -> Machine | None:
-        ready = self._order(guest)
-        if now >= self.typical_until:  # a look through all machines costs: at most 20 a second
+        """Chooses a machine for the guest; None if there is none, or if load probes are to be sent first."""
+        ready = self._service_order(guest)
+        if now >= self.typical_until:  # the scan of all machines is costly: at most 20 a second
             self.typical_until = now + SECOND // 20
-            usual = sorted(m.slowness() for m in ready if m.answers)
-            self.typical = usual[(len(usual) - 1) // 2] if usual else SECOND
-        # Of 12, 6, 3 and 2 at 93 and more planners, of 103 and 3 at 16, 3 was best; at 2 to 6 all were.
-        look = 3 if self.deployment.planners > 8 else len(ready)
+            times = sorted(m.slowness() for m in ready if m.answers)
+            self.typical_slowness = times[(len(times) - 1) // 2] if times else SECOND
+        # With 93 and more planners 3 was the best of 12, 6, 3 and 2; with 16 it was better than 103; with 2
+        # to 6 all machines were best.
+        candidates_limit = 3 if self.deployment.planners > 8 else len(ready)
         steps = [(ready, 9.9)]
         if self.deployment.fleet_price > 0:
-            # Each machine in use costs: the emptiest of them is left to drain, and an empty one is opened,
-            # only when the best of the rest bears a likely loss (three tenths: a first guess).
+            # Each machine in use costs: the emptiest is left to drain, and an empty one is used only if the
+            # best of the others has a likely loss (expected violations of three tenths or more).
             empty = [m for m in ready if not m.guests and m.listed.free_cores >= m.size.cores]
             used = [m for m in ready if m not in empty]
             drain = max(used, key=lambda m: m.listed.free_cores / m.size.cores, default=None)
             steps = [([m for m in used if m is not drain], 0.1), (used, 0.3), (empty[:1] + used, 9.9), *steps]
-        pushes = self.deployment.preempts and guest.product.priority
-        # Room by a list that is down, slow or old is worth little: refusals may be the cost.
+        preempts = self.deployment.preempts and guest.guest_class.priority
+        # Free capacity from a list that is down, slow or old is unreliable: refusals are the accepted cost.
         silent = now - self.list_heard_at >= 2 * SECOND
-        for way in ("shown", "pushed", "unknown", "distrust"):
-            # With most machines looking bad at once, distrust the judgement and go on placing.
-            if (way == "pushed" and not pushes or way == "unknown" and not silent or way == "distrust"
-                    and 2 * sum(m.mute or now < m.avoid_until for m in ready) <= len(ready)):
+        for basis in ("listed", "preempting", "unknown", "distrust"):
+            # If most machines look unhealthy at once, the health data is distrusted and placing goes on.
+            if (basis == "preempting" and not preempts or basis == "unknown" and not silent
+                    or basis == "distrust" and 2 * sum(
+                        m.unresponsive or now < m.backoff_until for m in ready) <= len(ready)):
                 continue
-            for field, bears in steps:
-                fit = (m for m in field if self._allowed(guest, m, now) and self._has_room(guest, m, now, way)
-                       and (way == "distrust" or not self._avoided(m, now)))
-                first = list(islice(fit, look))
-                if self.deployment.reports_on_probe and look < len(ready) and not guest.probed_for:
-                    # Where only probes bring reports, those few are asked, once a guest, and get a moment.
-                    self.to_probe = [m for m in first if max(m.reported_at, m.probed_at) < now - SECOND // 2]
-                    guest.probed_for, guest.rests_until = True, now + SECOND // 20 * bool(self.to_probe)
+            for machines, max_expected in steps:
+                fitting = (m for m in machines
+                           if self._allowed(guest, m, now) and self._fits(guest, m, now, basis)
+                           and (basis == "distrust" or not self._avoided(m, now)))
+                candidates = list(islice(fitting, candidates_limit))
+                if (self.deployment.reports_on_probe and candidates_limit < len(ready)
+                        and not guest.load_probed):
+                    # Only probes bring load reports: the candidates are probed once per guest and get 50 ms.
+                    self.to_probe = [
+                        m for m in candidates if max(m.reported_at, m.probed_at) < now - SECOND // 2]
+                    guest.load_probed, guest.retry_at = True, now + SECOND // 20 * bool(self.to_probe)
                     if self.to_probe:
                         return None
-                picked = self._best(guest, first, ready if len(ready) <= look else first, now)
-                if picked is not None and picked[0] < bears:
+                picked = self._best(
+                    guest, candidates, ready if len(ready) <= candidates_limit else candidates, now)
+                if picked is not None and picked[0] < max_expected:
                     return picked[1]
         return None
 
-    def _order(self, guest: Guest) -> list[Machine]:
-        """The ready machines in an order of the service's own, the same at all planners. Many planners weigh
-        only the first that may take the guest: a service comes together where its program runs, and guests of
-        other services do not all meet on the one machine that the late list shows as best."""
-        if (service := guest.service).order_of != self.list_version:
-            service.order_of = self.list_version
-            own = int.from_bytes(blake2b(guest.ask.service.encode(), digest_size=8).digest())
+    def _service_order(self, guest: Guest) -> list[Machine]:
+        """The ready machines in an order specific to the service and the same on all planners. With many
+        planners only the first that may take the guest are weighed: guests of a service gather where its
+        program is cached, and those of other services do not all choose the machine that the delayed list
+        shows as best."""
+        if (service := guest.service).order_version != self.list_version:
+            service.order_version = self.list_version
+            service_hash = int.from_bytes(
+                blake2b(guest.submission.service.encode(), digest_size=8).digest())
             service.order = sorted((m for m in self.machines.values() if m.ready), key=lambda m: (
-                (m.mark ^ own) * 0x9E3779B97F4A7C15 & (1 << 64) - 1))  # mixed by the golden ratio
+                (m.id_hash ^ service_hash) * 0x9E3779B97F4A7C15 & (1 << 64) - 1))  # mixed by the golden ratio
         return service.order
 
-    def _best(self, guest: Guest, healthy: list[Machine], ready: list[Machine],
+    def _best(self, guest: Guest, candidates: list[Machine], ready: list[Machine],
               now: int) -> tuple[float, Machine] | None:
-        """The design's pick: lowest load spread times one plus expected violations, near-ties by chance."""
+        """The design's choice: the lowest load spread times one plus expected violations, with near-ties
+        broken at random. Returns the expected violations and the machine."""
         loads: dict[Machine, tuple[float, float]] = {}
         for machine in ready:
             machine.draw(self.random, now)
-            if others := self._others(machine, now):
-                loads[machine] = ((others[0] + machine.means[0]) / machine.size.cores,
-                                  (others[1] + machine.means[1]) / machine.size.memory)
+            if others := self._usage_by_others(machine, now):
+                loads[machine] = ((others[0] + machine.draw_means[0]) / machine.size.cores,
+                                  (others[1] + machine.draw_means[1]) / machine.size.memory)
         known = list(loads.values()) or [(0.5, 0.5)]
         average = tuple(sum(axis) / len(known) for axis in zip(*known, strict=True))
         loads = {machine: loads.get(machine, average) for machine in ready}
         totals = [sum(l[axis] for l in loads.values()) for axis in (0, 1)]
         squares = [sum(l[axis] ** 2 for l in loads.values()) for axis in (0, 1)]
-        weight = guest.service.weight(guest.ask)
-        rounds = guest.rounds = drawn(self.random, guest)
-        most = max(r[0] for r in rounds), max(r[1] for r in rounds)
-        # Start times, warm or cold as this guest would be: sorted, and their sum.
-        times = {w: self.starts.get((guest.ask.product, w)) for w in (False, True)}
+        use = guest.service.estimated_use(guest.submission)
+        draws = guest.draws = draw_use(self.random, guest)
+        maxima = max(d[0] for d in draws), max(d[1] for d in draws)
+        # Start times, cold and warm, of the guest's class: sorted, and their sum.
+        times = {w: self.starts.get((guest.submission.product, w)) for w in (False, True)}
         starts = {w: (sorted(seen), sum(seen)) for w, seen in times.items() if seen}
         scored = []
-        for machine in healthy:
+        for machine in candidates:
             spread = 0.0
             for axis, size in ((0, machine.size.cores), (1, machine.size.memory)):
                 before = loads[machine][axis]
-                after = before + weight[axis] / size
+                after = before + use[axis] / size
                 mean = (totals[axis] - before + after) / len(loads)
                 spread += sqrt(max(0.0, (squares[axis] - before ** 2 + after ** 2) / len(loads) - mean ** 2))
-            overflow = self._overflow(guest, machine, rounds, most, loads[machine])
-            expected = overflow + self._late(guest, machine, now, starts)
+            overflow = self._overflow_share(guest, machine, draws, maxima, loads[machine])
+            expected = overflow + self._expected_lateness(guest, machine, now, starts)
             scored.append((max(spread, 0.02) * (1 + expected), expected, machine))
         if not scored:
             return None
-        limit = TIE * min(s[0] for s in scored)
+        limit = TIE_TOLERANCE * min(s[0] for s in scored)
         near = [s for s in scored if s[0] <= limit]
         return near[self.random.randrange(len(near))][1:]
 
-    def _overflow(self, guest: Guest, machine: Machine, rounds: list[tuple[float, float]],
-                  most: tuple[float, float], load: tuple[float, float]) -> float:
-        """The share of drawn rounds in which the machine passes 90% of its cores or memory."""
+    def _overflow_share(self, guest: Guest, machine: Machine, draws: list[tuple[float, float]],
+                        maxima: tuple[float, float], load: tuple[float, float]) -> float:
+        """The share of draws in which the machine would exceed 90% of its cores or memory."""
         size = machine.size
-        others = load[0] * size.cores - machine.means[0], load[1] * size.memory - machine.means[1]
-        # The design's 90%, or the load up to which the touchiest product here is fully served.
-        bears = min(0.9, guest.product.full_service_load, machine.bears)
-        cores, memory = bears * size.cores - max(0.0, others[0]), 0.9 * size.memory - max(0.0, others[1])
-        if machine.most[0] + most[0] <= cores and machine.most[1] + most[1] <= memory:
+        others = load[0] * size.cores - machine.draw_means[0], load[1] * size.memory - machine.draw_means[1]
+        # The design's 90%, or the load up to which the most sensitive guest class there is fully served.
+        tolerated = min(0.9, guest.guest_class.full_service_load, machine.full_service_load)
+        cores, memory = tolerated * size.cores - max(0.0, others[0]), 0.9 * size.memory - max(0.0, others[1])
+        if machine.draw_maxima[0] + maxima[0] <= cores and machine.draw_maxima[1] + maxima[1] <= memory:
             return 0.0
-        return sum(sc + c > cores or sm + m > memory
-                   for sc, sm, (c, m) in zip(*machine.sums, rounds, strict=True)) / ROUNDS
-
-    def _late(self, guest: Guest, machine: Machine, now: int,
-              starts: dict[bool, tuple[list[int], int]]) -> float:
-        """What waiting for the start costs, in parts of a start in time: the share of recent starts, warm or
-        cold as this one, that would miss the goal time here, and the seconds not served until then."""
-        seen, total = starts.get(self._warm(guest, machine), ((), 0))
-        if not seen:  # an unseen cold start is presumed late, but not so as to open machines that cost
-            return 0.0 if self._warm(guest, machine) or self.deployment.fleet_price > 0 else 1.0
+        return sum(total_c + c > cores or total_m + m > memory
+                   for total_c, total_m, (c, m) in zip(*machine.draw_totals, draws, strict=True)) / DRAWS
+
+    def _expected_lateness(self, guest: Guest, machine: Machine, now: int,
+                           starts: dict[bool, tuple[list[int], int]]) -> float:
+        """Expected cost of the start delay in units of a start in time: the share of recent starts (warm or
+        cold like this one) that would miss the start target here, plus the seconds without service until the
+        start, divided by the value of a start in time."""
+        seen, total = starts.get(self._is_warm(guest, machine), ((), 0))
+        # A cold start without samples is assumed late, except where machines in use cost: that would open new
+        # machines.
+        if not seen:
+            return 0.0 if self._is_warm(guest, machine) or self.deployment.fleet_price > 0 else 1.0
         age = max(0.0, min(1.0, (now - machine.cold_at) / self.deployment.warmup_time))
-        pace = self.deployment.cold_from + (1 - self.deployment.cold_from) * age
-        slower = (1 + machine.starting / 2) / pace
-        limit = (guest.goal_at - now) / slower
-        wait = total / len(seen) * slower / SECOND
+        capacity = self.deployment.cold_from + (1 - self.deployment.cold_from) * age
+        slowdown = (1 + machine.starting / 2) / capacity
+        limit = (guest.start_target_at - now) / slowdown
+        wait = total / len(seen) * slowdown / SECOND
         late = (len(seen) - bisect_right(seen, limit)) / len(seen)
-        return late + wait / max(1.0, guest.product.start_value)
+        return late + wait / max(1.0, guest.guest_class.start_value)
 
     def _probe(self, now: int) -> Decision | None:
         if self.to_probe:
-            return self._asked(self.to_probe.pop(), now)
+            return self._probe_machine(self.to_probe.pop(), now)
         if not self.deployment.probing or now < self.probe_at:
             return None
         for machine in self.machines.values():
-            if machine.mute and machine.ready and now >= machine.avoid_until:
-                machine.avoid_until = now + SECOND
-                return self._asked(machine, now)
-        # Few planners hear of each machine once a second. Many could not keep up with the fleet.
-        heard = [(max(m.reported_at, m.probed_at), n) for n, m in self.machines.items()
-                 if m.ready and not m.mute and self.deployment.planners <= 8]
-        if not heard or now - min(heard)[0] <= SECOND:
-            self.probe_at = now + SECOND // 20  # a look through all machines costs: at most 20 a second
+            if machine.unresponsive and machine.ready and now >= machine.backoff_until:
+                machine.backoff_until = now + SECOND
+                return self._probe_machine(machine, now)
+        # A few planners probe each machine once a second; many could not keep up with the fleet.
+        contacts = [(max(m.reported_at, m.probed_at), n) for n, m in self.machines.items()
+                    if m.ready and not m.unresponsive and self.deployment.planners <= 8]
+        if not contacts or now - min(contacts)[0] <= SECOND:
+            self.probe_at = now + SECOND // 20  # the scan of all machines is costly: at most 20 a second
             return None
-        return self._asked(self.machines[min(heard)[1]], now)
+        return self._probe_machine(self.machines[min(contacts)[1]], now)
 
-    def _asked(self, machine: Machine, now: int) -> Decision:
+    def _probe_machine(self, machine: Machine, now: int) -> Decision:
         machine.probed_at = now
         return Decision(DecisionKind.PROBE, machine=machine.listed.machine)
--- a/hazelhold/service/keeper.py
+++ b/hazelhold/service/keeper.py
@@ -173,7 +173,7 @@
 
     def _harmful(self, product: str) -> bool:
         engine = self.engine
-        return engine.facts.products[engine.products[product]].repeat.name != "IDEMPOTENT"
+        return engine.facts.guest_classes[engine.products[product]].repeat.name != "IDEMPOTENT"
 
     def _until(self, message: m.TurnedBack | m.BrokenOff) -> int:
         """Until when this answer is better held back; 0 if it may go. What the disk may still have of the
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -143,8 +143,8 @@
     return Deployment(
         planners=int(pairs.number("balancers")),
         slot=int(pairs.number("slot-no")),
-        products=tuple(read_product(pairs, i) for i in range(int(pairs.number("classes.count")))),
-        kinds=tuple(MachineKind(float(cores), float(memory)) for cores, memory in sizes),
+        guest_classes=tuple(read_product(pairs, i) for i in range(int(pairs.number("classes.count")))),
+        machine_kinds=tuple(MachineKind(float(cores), float(memory)) for cores, memory in sizes),
         list_is_polled=asked,
         list_poll_limit=pairs.span("rules.ask-within") if asked else 0,
         list_shows_free=truth(pairs.text(family + "lists-free")),
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -113,8 +113,8 @@
         sent = place(made, now, f"g{turn}")
         made.dispatch_accepted(now, sent.guest, 4000 * MS if sent.machine == "a" else 10 * MS)
         end(made, now, sent, DispatchOutcome.COMPLETED)
-    assert made.machines["a"].strikes or len(made.machines["a"].answers) < 4
-    assert not made.machines["b"].strikes and not made.machines["c"].strikes
+    assert made.machines["a"].failures or len(made.machines["a"].answers) < 4
+    assert not made.machines["b"].failures and not made.machines["c"].failures
 
 
 def test_when_most_machines_look_bad_placing_goes_on() -> None:
@@ -152,7 +152,7 @@
     for use in range(1, 11):
         made.cores_used(use, "g", use / 10)
         made.memory_used(use, "g", use / 5)
-    assert made.services["service-0"].weight(ask("x")) == (0.9, 1.8)
+    assert made.services["service-0"].estimated_use(ask("x")) == (0.9, 1.8)
     assert scheduler("a").services == {}
 
 
@@ -170,7 +170,7 @@
         made.dispatch_ended(n * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     made.guest_submitted(200_000 * MS, ask("late", 4))
     decisions(made, 200_000 * MS)
-    assert list(made.services) == ["service-4"] and list(made.guests) == ["late"] and not made.waiting
+    assert list(made.services) == ["service-4"] and list(made.guests) == ["late"] and not made.held
 
 
 def test_parts_of_a_cold_machines_budget_sum_to_it_for_any_number_of_planners() -> None:
@@ -199,7 +199,10 @@
     for name in "ab":
         made.machine_reported(0, name, Load(12.0, 20.0, None))
     made.machines_listed(9000 * MS, [entry("a", room=0.0), entry("b", room=22.0)], True)
-    assert made._others(made.machines["a"], 9000 * MS)[0] > made._others(made.machines["b"], 9000 * MS)[0]
+    assert (
+        made._usage_by_others(made.machines["a"], 9000 * MS)[0]
+        > made._usage_by_others(made.machines["b"], 9000 * MS)[0]
+    )
     assert place(made, 9000 * MS, "g").machine == "b"
 
 
@@ -251,8 +254,8 @@
         sent = place(made, number * MS, f"g{number}", random.choice([0, 1, 3]), cores=0.1)
         if random.random() < 0.6:
             made.dispatch_ended(number * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
-        plain = Counter(g.product.priority for g in made.guests.values() if g.machine)
-        assert plain == {p: n for p, n in made.seated.items() if n}
+        plain = Counter(g.guest_class.priority for g in made.guests.values() if g.machine)
+        assert plain == {p: n for p, n in made.placed_by_priority.items() if n}
 
 
 def test_large_guests_are_not_timed_out_by_the_answers_of_small_ones() -> None:
@@ -274,7 +277,9 @@
 
 def test_higher_priority_counts_lower_guests_as_room_where_machines_push_out() -> None:
     for makes_room in (True, False):
-        made = scheduler("a", preempts=makes_room, products=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1)))
+        made = scheduler(
+            "a", preempts=makes_room, guest_classes=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1))
+        )
         place(made, 0, "low")
         made.dispatch_accepted(MS, "low", MS)
         made.machines_listed(MS, [entry("a", room=-36.0)], False)
@@ -367,12 +372,12 @@
     made.machine_reported(100 * MS, sent.machine, Load(20.0, 30.0, None))
     end(made, 500 * MS, sent, DispatchOutcome.TIMED_OUT)
     machine = made.machines[sent.machine]
-    assert not machine.mute and not machine.strikes and machine.avoid_until <= 500 * MS
+    assert not machine.unresponsive and not machine.failures and machine.backoff_until <= 500 * MS
     made = scheduler("ab")
     sent = place(made, 0, "g")
     end(made, 500 * MS, sent, DispatchOutcome.TIMED_OUT)
     machine = made.machines[sent.machine]
-    assert machine.mute and machine.strikes == 1 and machine.avoid_until > 500 * MS
+    assert machine.unresponsive and machine.failures == 1 and machine.backoff_until > 500 * MS
 
 
 @pytest.mark.parametrize("remark", [OutcomeReason.NONE, OutcomeReason.QUEUE_FULL])
--- a/tests/test_fleetconfig_settings.py
+++ b/tests/test_fleetconfig_settings.py
@@ -72,7 +72,7 @@
     assert before.items() <= engine.products.items() and engine.products["added"] == len(before)
     planner.put(products__aaa={"effect": "rerunnable", "goal_ms": 300, "patience_ms": 5000})
     assert engine.products["added"] == len(before) and engine.products["aaa"] == len(before) + 1
-    assert engine.facts.products[engine.products["added"]].repeat.name == "AT_MOST_ONCE"
+    assert engine.facts.guest_classes[engine.products["added"]].repeat.name == "AT_MOST_ONCE"
     assert engine.scheduler.deployment is engine.facts
 
 
@@ -82,8 +82,8 @@
     planner.put(products__plain={**PLAIN, "goal_ms": 100, "priority": 2})
     planner.submit("new")
     guests = planner.desk.engine.scheduler.guests
-    assert guests["old/0"].start_target_at == 800 * MS and guests["old/0"].product.priority == 0
-    assert guests["new/0"].start_target_at == 100 * MS and guests["new/0"].product.priority == 2
+    assert guests["old/0"].start_target_at == 800 * MS and guests["old/0"].guest_class.priority == 0
+    assert guests["new/0"].start_target_at == 100 * MS and guests["new/0"].guest_class.priority == 2
     planner.put(removals=("products/plain",))  # the file's own again
     planner.submit("newer")
     assert guests["newer/0"].start_target_at == 800 * MS
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -150,7 +150,7 @@
 
 def believe_always(monkeypatch: pytest.MonkeyPatch) -> None:
     """The module sends by any list."""
-    monkeypatch.setattr(Scheduler, "list_taken", lambda self, now, current: None)
+    monkeypatch.setattr(Scheduler, "list_currency_changed", lambda self, now, current: None)
 
 
 def test_the_last_check_holds_back_what_the_module_would_send(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -1,4 +1,4 @@
-"""A Brain's copy: every field has its place, and the copy decides as the one that never stopped."""
+"""Snapshots of a scheduler: every attribute is included, keys stay, and the copy decides as the original."""
 
 from random import Random
 
@@ -13,50 +13,75 @@
 from tests.state_rig import S
 
 
-def test_every_field_of_the_module_has_its_place_in_a_snapshot() -> None:
+def test_every_attribute_of_the_scheduler_is_in_a_snapshot() -> None:
     made = scheduler("ab")
     made.guest_submitted(0, ask("g"))
     own = {
         "deployment",
         "spread",
-        "seated",
-        "no_room",
+        "placed_by_priority",
+        "unplaceable",
         "machines",
         "guests",
-        "waiting",
+        "held",
         "services",
         "starts",
         "answers",
         "random",
         "to_probe",
         "to_test",
-        "to_call_off",
-        "out",
-        "due",
+        "to_withdraw",
+        "outstanding",
+        "placeable",
     }
-    assert vars(made).keys() - own == {*snapshot.BRAIN_TIMES, *snapshot.BRAIN_PLAIN}
-    own = {"ask", "product", "service", "machine", "spread_key", "bound"}
-    assert vars(made.guests["g"]).keys() - own == {*snapshot.GUEST_TIMES, *snapshot.GUEST_PLAIN}
+    attributes = {*snapshot.SCHEDULER_TIMES.values(), *snapshot.SCHEDULER_PLAIN.values()}
+    assert vars(made).keys() - own == attributes
+    own = {"submission", "guest_class", "service", "machine", "spread_key", "dedup_group"}
+    attributes = {*snapshot.GUEST_TIMES.values(), *snapshot.GUEST_PLAIN.values()}
+    assert vars(made.guests["g"]).keys() - own == attributes
     own = {
         "listed",
         "size",
         "guests",
-        "kept",
-        "full",
+        "cached_services",
+        "refused_until",
         "answers",
         "offers",
-        "mark",
-        "bears",
+        "id_hash",
+        "full_service_load",
         "starting",
         "services",
     }
-    assert vars(made.machines["a"]).keys() - own == {*snapshot.MACHINE_TIMES, *snapshot.MACHINE_PLAIN}
-    assert vars(ServiceUsage()).keys() == {"samples", "guests", "seen", "order", "order_of"}
+    attributes = {*snapshot.MACHINE_TIMES.values(), *snapshot.MACHINE_PLAIN.values()}
+    assert vars(made.machines["a"]).keys() - own == attributes
+    assert vars(ServiceUsage()).keys() == {"samples", "guests", "last_seen_at", "order", "order_version"}
     assert Guest and Machine
 
 
+def test_the_keys_of_a_snapshot_are_those_of_earlier_captures() -> None:
+    made = scheduler("ab")
+    made.guest_submitted(0, ask("g"))
+    plain = snapshot.dump(made)
+    (machine, _), (guest,) = plain["machines"], plain["guests"]
+    assert " ".join(plain) == (
+        "random services machines guests waiting starts answers to_probe to_call_off began no_cold_until "
+        "typical_until answer_at looked_at ask_list_at sweep_at probe_at list_heard_at seen typical "
+        "list_version kept_well list_current"
+    )
+    assert " ".join(machine) == (
+        "listed kept guests full answers offers size listed_at listed_since cold_at reported_at heard_at "
+        "probed_at drawn_at avoid_until slow ready used others left asked sums means most strikes mute "
+        "refuses"
+    )
+    assert " ".join(guest) == (
+        "ask service bound machine goal_at patience_at answer_by sent_at window_ends look_at looked_at "
+        "rests_until placed runs warm may_run over probed_for unwanted tried dispatches ahead cores_noted "
+        "use rounds"
+    )
+
+
 def drive(made: Scheduler, random: Random, now: int, names: list[str]) -> list[object]:
-    """A moment of a day: inputs drawn at random, then decisions; what they were."""
+    """One step: inputs drawn at random, then all decisions, which are returned."""
     what, found = random.randrange(9), []
     if what < 4:
         names.append(f"g{len(names)}")
@@ -95,7 +120,7 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 10_000), st.integers(5, 60))
-def test_a_copy_decides_as_the_brain_that_never_stopped(seed: int, stop: int) -> None:
+def test_a_copy_decides_as_the_scheduler_that_never_stopped(seed: int, stop: int) -> None:
     made, random, names = scheduler("abcd", probing=seed % 2 == 0), Random(seed), []
     for step in range(stop):
         drive(made, random, S + step * 37 * MS, names)
