--- a/hazelhold/model/__init__.py
+++ b/hazelhold/model/__init__.py
@@ -1,2 +1,2 @@
-"""Models of what a planner meets: machines, the list service, owners. No input, output or clock in them; the
-stand-ins are shells round them, and they know nothing of planners beyond the protocol's messages."""
+"""Models of a planner's peers: machines, the list service and owners. They do no I/O and read no clock;
+the stand-ins wrap them, and all they know of planners are the protocol's messages."""
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -181,7 +181,7 @@
         max(k.cores for k in facts.machine_kinds) * facts.cores_multiple,
         max(k.memory for k in facts.machine_kinds) * facts.memory_multiple,
     )
-    patience = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(facts.guest_classes)))
+    patience = tuple(pairs.duration(f"classes.{at}.deadline") for at in range(len(facts.guest_classes)))
     return Start(
         given["name"],
         given["listen"],
@@ -198,7 +198,7 @@
 
 def list_lease(pairs: Pairs) -> int:
     """For how long a confirmation of the list holds, in microseconds; WireError if the grace is none."""
-    grace = pairs.span("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
+    grace = pairs.duration("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
     if not 0 <= grace <= LONGEST_GRACE:
         raise WireError(f"setting rules.drain-grace: {grace} microseconds are no grace")
     return max(LEASE_LEAST, round(LEASE_PART * grace))
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -1,7 +1,8 @@
-"""Hosts many instances of the decision module on the simulator's wire: decodes lines into calls on each
-instance's Brain and encodes what it decides. Nothing is decided here and instances share nothing.
+"""Runs many schedulers for the simulator: decodes its lines into calls on each planner's Scheduler and
+encodes the decisions. It decides nothing itself, and the planners share nothing but the numbered lists.
 
-Run as `python -m hazelhold.simhost`; wire on standard input and output, plain messages on standard error.
+Run as `python -m hazelhold.simhost`; the protocol runs on standard input and output, errors go to standard
+error.
 """
 
 import sys
@@ -25,7 +26,7 @@
 )
 from hazelhold.scheduler import Scheduler
 
-ENDINGS = {
+OUTCOMES = {
     "completed": DispatchOutcome.COMPLETED,
     "errored": DispatchOutcome.ERROR,
     "saturated": DispatchOutcome.REFUSED,
@@ -36,12 +37,12 @@
     "superseded": DispatchOutcome.NOT_SENT,
 }
 MODES = {"healthy": MachineMode.READY, "cordoned": MachineMode.CORDONED, "deregistered": MachineMode.GONE}
-EFFECTS = {
+REPEATS = {
     "retryable": RepeatSemantics.IDEMPOTENT,
     "dedup": RepeatSemantics.DEDUPLICATED,
     "fragile": RepeatSemantics.AT_MOST_ONCE,
 }
-PLACES = {
+SCOPES = {
     "off": Scope.NOWHERE,
     "machine": Scope.MACHINE,
     "cell": Scope.CELL,
@@ -51,16 +52,17 @@
 
 
 class WireError(Exception):
-    """A line that cannot be read; its text names what was wrong."""
+    """A line that cannot be read; the message names the fault."""
 
 
 def micros(text: str) -> int:
-    """Milliseconds as the wire writes them, as whole microseconds."""
+    """Converts milliseconds in text form to whole microseconds."""
     return round(float(text) * 1000) if text != "-" else 0
 
 
-def millis(span: int) -> str:
-    return f"{span // 1000}.{span % 1000:03d}"
+def millis(duration: int) -> str:
+    """Converts microseconds to milliseconds in text form."""
+    return f"{duration // 1000}.{duration % 1000:03d}"
 
 
 def number(text: str) -> float:
@@ -76,7 +78,7 @@
 
 
 class Pairs:
-    """The settings of the first message, by path."""
+    """The settings in a planner's first message, by path."""
 
     def __init__(self, parts: list[str]) -> None:
         self.values = dict(part.split("=", 1) for part in parts if "=" in part)
@@ -96,7 +98,7 @@
     def number(self, path: str) -> float:
         return self.read(path, float)
 
-    def span(self, path: str) -> int:
+    def duration(self, path: str) -> int:
         return int(self.read(path, micros))
 
     def items(self, path: str) -> list[str]:
@@ -117,21 +119,21 @@
             raise WireError(f"setting {path} has no usable value number {index}") from None
 
 
-def read_product(pairs: Pairs, index: int) -> GuestClass:
+def read_guest_class(pairs: Pairs, index: int) -> GuestClass:
     own = f"classes.{index}."
     family = "family-info."
     return GuestClass(
-        repeat=pairs.word(own + "idempotency", EFFECTS),
-        dedup_scope=pairs.word(own + "group", PLACES),
-        dedup_window=pairs.span(own + "dedup-window"),
-        start_target=pairs.span(own + "on-time"),
+        repeat=pairs.word(own + "idempotency", REPEATS),
+        dedup_scope=pairs.word(own + "group", SCOPES),
+        dedup_window=pairs.duration(own + "dedup-window"),
+        start_target=pairs.duration(own + "on-time"),
         value=pairs.number(own + "points"),
         start_value=pairs.nth(family + "start-bonus-s", index, float),
         priority=pairs.nth(family + "class-priority", index, int),
         full_service_load=pairs.nth(family + "easy-until", index, float),
         service_fade=pairs.nth(family + "lost-after", index, float),
         machine_kind=pairs.nth(family + "class-kind", index, int),
-        spread_scope=pairs.nth(family + "spread-over", index, PLACES.__getitem__),
+        spread_scope=pairs.nth(family + "spread-over", index, SCOPES.__getitem__),
         spread_limit=pairs.nth(family + "class-most", index, int),
     )
 
@@ -139,14 +141,14 @@
 def read_deployment(pairs: Pairs) -> Deployment:
     family = "family-info."
     sizes = zip(pairs.items(family + "size-cores"), pairs.items(family + "mem-of-kind"), strict=True)
-    asked = pairs.text("discovery") == "ask"
+    polled = pairs.text("discovery") == "ask"
     return Deployment(
         planners=int(pairs.number("balancers")),
         slot=int(pairs.number("slot-no")),
-        guest_classes=tuple(read_product(pairs, i) for i in range(int(pairs.number("classes.count")))),
+        guest_classes=tuple(read_guest_class(pairs, i) for i in range(int(pairs.number("classes.count")))),
         machine_kinds=tuple(MachineKind(float(cores), float(memory)) for cores, memory in sizes),
-        list_is_polled=asked,
-        list_poll_limit=pairs.span("rules.ask-within") if asked else 0,
+        list_is_polled=polled,
+        list_poll_limit=pairs.duration("rules.ask-within") if polled else 0,
         list_shows_free=truth(pairs.text(family + "lists-free")),
         cores_multiple=pairs.number(family + "cores-multiple"),
         memory_multiple=pairs.number(family + "accepts-memory"),
@@ -155,9 +157,9 @@
         probing=truth(pairs.text("limits.probing")),
         reports_count_requested=pairs.text(family + "report-counts") == "asked",
         max_dispatches=int(pairs.number("limits.max-attempts")),
-        warmup_time=pairs.span("rules.cold"),
+        warmup_time=pairs.duration("rules.cold"),
         cold_from=pairs.number("rules.cold-from"),
-        cold_budget_window=pairs.span("rules.tip-after"),
+        cold_budget_window=pairs.duration("rules.tip-after"),
         cold_offers=pairs.number(family + "fresh-offers"),
         fleet_price=pairs.number("penalties.fleet") if "penalties.fleet" in pairs.values else 0.0,
         reports_on_probe=pairs.values.get("load-report.how") == "on_probe"
@@ -166,7 +168,7 @@
 
 
 def read_load(text: str) -> Load | None:
-    """A report of name:value pairs; names not known here are passed over."""
+    """Reads a load report of name:value pairs; unknown names are ignored."""
     if text == "-":
         return None
     values = dict(part.split(":", 1) for part in text.split(",") if ":" in part)
@@ -174,7 +176,7 @@
     return Load(read.get("x0"), read.get("x1"), read.get("busy"))
 
 
-def read_remark(text: str) -> OutcomeReason:
+def read_reason(text: str) -> OutcomeReason:
     code = whole(text)
     return OutcomeReason(code) if 0 <= code <= 7 else OutcomeReason.NONE
 
@@ -196,7 +198,7 @@
 
 
 class Instance:
-    """One planner: its Brain and the timer that is set for it."""
+    """One planner: its scheduler and its pending timer."""
 
     def __init__(self, name: str, scheduler: Scheduler) -> None:
         self.name = name
@@ -206,7 +208,7 @@
 
 
 class Host:
-    """All planners of this process, and the numbered lists that the wire defines for them together."""
+    """All planners of this process, and the numbered lists that they share."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
@@ -227,7 +229,7 @@
         }
 
     def event(self, now: int, parts: list[str]) -> None:
-        """Takes one event line, already split, into the instance that it names."""
+        """Delivers one event line, already split, to the planner that it names."""
         name, who = parts[0], parts[1] if len(parts) > 1 else ""
         if name == "ENLIST":
             self.touched[who] = None
@@ -236,9 +238,9 @@
                 self.instances[who] = Instance(
                     who, Scheduler(whole(parts[2]), read_deployment(Pairs(parts[3:])))
                 )
-            except (WireError, ValueError) as wrong:
+            except (WireError, ValueError) as error:
                 self.instances.pop(who, None)
-                self.faults[who] = str(wrong)
+                self.faults[who] = str(error)
         elif name == "KILL":
             self.instances.pop(who, None)
             self.touched.pop(who, None)
@@ -250,7 +252,7 @@
             self.events[name](now, self.instances[who].scheduler, parts)
 
     def nothing(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        """An event that only gives the instance its turn."""
+        """An event that only makes the planner decide again."""
 
     def discovery(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         how = parts[2]
@@ -264,30 +266,32 @@
             raise WireError(f"discovery of kind {how!r} is not known")
 
     def submit(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        call, product, customer, _unit, left, _life, service, cores, memory, _marks = parts[2:12]
+        call, product, customer, _unit, time_left, _life, service, cores, memory, _marks = parts[2:12]
         scheduler.guest_submitted(
             now,
             Submission(
-                call, int(product), whole(customer), service, number(cores), number(memory), micros(left)
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(time_left)
             ),
         )
 
     def found(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        call, machine, memory, _life, service, _unit, _marks, left, product, customer, cores = parts[2:13]
+        call, machine, memory, _life, service, _unit, _marks, time_left, product, customer, cores = parts[
+            2:13
+        ]
         scheduler.guest_discovered(
             now,
             machine,
             Submission(
-                call, int(product), whole(customer), service, number(cores), number(memory), micros(left)
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(time_left)
             ),
         )
 
     def outcome(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
-        call, _attempt, machine, reason, _took, final, remark, metrics = parts[2:10]
-        if reason not in ENDINGS:
+        call, _attempt, machine, reason, _took, final, reason_code, metrics = parts[2:10]
+        if reason not in OUTCOMES:
             raise WireError(f"outcome {reason!r} is not known")
         scheduler.machine_reported(now, machine, read_load(metrics))
-        scheduler.dispatch_ended(now, call, ENDINGS[reason], truth(final), read_remark(remark))
+        scheduler.dispatch_ended(now, call, OUTCOMES[reason], truth(final), read_reason(reason_code))
 
     def taken(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         scheduler.dispatch_accepted(now, parts[2], micros(parts[5]))
@@ -314,7 +318,7 @@
             scheduler.memory_pressure_reported(now, machine, number(value))
 
     def replies(self, now: int) -> Iterator[str]:
-        """What the instances that had an event want done, in the order in which they were first named."""
+        """The decisions of the planners that had an event, in the order of their first event."""
         for who in self.touched:
             if who in self.faults:
                 yield f"DIE {who} {self.faults.pop(who)}"
@@ -333,20 +337,20 @@
 
 
 def encode(who: str, decision: Decision) -> str:
-    step, guest, machine, span = decision
-    if step is DecisionKind.DISPATCH:
-        return f"BIND {who} {guest} {machine} {millis(span)}"
-    if step is DecisionKind.REFUSE:
-        return f"SAY_NO {who} {guest} {millis(span)}"
-    if step is DecisionKind.FAIL:
+    kind, guest, machine, timeout = decision
+    if kind is DecisionKind.DISPATCH:
+        return f"BIND {who} {guest} {machine} {millis(timeout)}"
+    if kind is DecisionKind.REFUSE:
+        return f"SAY_NO {who} {guest} {millis(timeout)}"
+    if kind is DecisionKind.FAIL:
         return f"SURRENDER {who} {guest}"
-    if step is DecisionKind.PROBE:
+    if kind is DecisionKind.PROBE:
         return f"INSPECT {who} {machine}"
     return f"WATCH {who} 1"
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answers batches until the input ends; returns the exit code."""
+    """Answers batches of lines until the input ends; returns the exit code."""
     host = Host()
     now = 0
     rows: list[ListedMachine] = []
@@ -374,8 +378,8 @@
                 sink.flush()
             elif name:
                 host.event(now, parts)
-        except (WireError, ValueError, IndexError) as wrong:
-            print(f"simhost: line {count} ({name}): {wrong}", file=sys.stderr)
+        except (WireError, ValueError, IndexError) as error:
+            print(f"simhost: line {count} ({name}): {error}", file=sys.stderr)
             return 2
     return 0
 
