--- a/bench/module.py
+++ b/bench/module.py
@@ -1,10 +1,10 @@
-"""The decision module beside an earlier version of itself: the same decisions, and how much faster.
+"""Compares the scheduler with an earlier version of itself: the decisions and the speed.
 
-Run as `python -m bench.module --against REVISION`. The earlier `brain.py` is read from the repository's
-history and runs in the same process. First both are driven through generated days (arrivals, answers,
-refusals, losses, cancels, reports, failing disks) with the same seeds and compared decision by decision;
-then bench.throughput's plain loop runs with each, in turn, at several sizes, and the best of the rounds are
-compared.
+Run as `python -m bench.module --against REVISION`. The earlier module is read from the repository's
+history (see bench/earlier_module.py) and runs in the same process. First both are driven through
+generated days (submissions, answers, refusals, losses, cancels, reports, failing disks) with the same
+seeds and compared decision by decision; then bench.throughput's plain loop runs with each in turn at
+several sizes, and the best rounds are compared.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 def day(module: ModuleType, seed: int, steps: int, machines: int) -> list[Decision]:
-    """All decisions of one generated day; what happens depends on the seed and on earlier decisions."""
+    """All decisions of one generated day; its events depend on the seed and on earlier decisions."""
     plain = throughput.deployment(throughput.planner_config())
     kinds = (
         (today.RepeatSemantics.IDEMPOTENT, today.Scope.ALL, 1.0, today.Scope.NOWHERE),
@@ -40,18 +40,18 @@
     )
     products = tuple(
         plain.guest_classes[0]._replace(
-            repeat=effect,
-            dedup_scope=group,
+            repeat=repeat,
+            dedup_scope=dedup_scope,
             dedup_window=4 * SECOND,
             start_target=SECOND,
-            value=payoff,
-            spread_scope=spread,
+            value=value,
+            spread_scope=spread_scope,
             spread_limit=3,
         )
-        for effect, group, payoff, spread in kinds
+        for repeat, dedup_scope, value, spread_scope in kinds
     )
     random = Random(seed)
-    facts = plain._replace(
+    deployment = plain._replace(
         guest_classes=products,
         probing=random.random() < 0.5,
         max_dispatches=random.choice([2, 4]),
@@ -62,7 +62,7 @@
         planners=random.choice([1, 3, 40]),
         confirms_when_running=random.random() < 0.5,
     )
-    made = module.Scheduler(seed, facts)
+    made = module.Scheduler(seed, deployment)
     names, found, now = 0, [], SECOND
     entries = [
         ListedMachine(
@@ -91,7 +91,7 @@
                     ),
                 )
         elif what < 0.9 and out:
-            _happens(made, now, random.choice(out), random)
+            _random_event(made, now, random.choice(out), random)
         elif what < 0.93 and made.guests:
             made.guest_cancelled(now, random.choice(list(made.guests)))
         elif what < 0.97:
@@ -122,7 +122,7 @@
     return found
 
 
-def _happens(made: Any, now: int, name: str, random: Random) -> None:  # noqa: ANN401 - a Brain of either version
+def _random_event(made: Any, now: int, name: str, random: Random) -> None:  # noqa: ANN401 - a Scheduler of either version
     guest = made.guests[name]
     if not guest.placed and random.random() < 0.6:
         made.dispatch_accepted(now, name, random.randrange(5, 400) * MS)
@@ -130,7 +130,7 @@
         made.cores_used(now, name, random.random() * guest.submission.cores)
         made.memory_used(now, name, random.random() * guest.submission.memory)
     else:
-        ending = random.choice(
+        outcome = random.choice(
             [
                 DispatchOutcome.REFUSED,
                 DispatchOutcome.REFUSED,
@@ -141,7 +141,7 @@
                 DispatchOutcome.ERROR,
             ]
         )
-        made.dispatch_ended(now, name, ending, False, random.choice(list(OutcomeReason)))
+        made.dispatch_ended(now, name, outcome, False, random.choice(list(OutcomeReason)))
 
 
 def compare(old: ModuleType, seeds: int, steps: int) -> dict[str, Any]:
@@ -166,9 +166,9 @@
     for _ in range(rounds):
         for name, module in (("earlier", old), ("today", today)):
             throughput.Scheduler = module.Scheduler
-            said = throughput.alone(machines, running, guests, planners)
-            best[name] = max(best[name], said["guests_a_second"])
-            p99[name] = min(p99[name], said["p99_us"])
+            result = throughput.alone(machines, running, guests, planners)
+            best[name] = max(best[name], result["guests_a_second"])
+            p99[name] = min(p99[name], result["p99_us"])
     throughput.Scheduler = today.Scheduler
     return {
         "machines": machines,
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -1,10 +1,10 @@
-"""Two versions of the decision module on the same emulated days: paired differences, not lone averages.
+"""Compares two versions of the scheduler on the same emulated days by paired differences.
 
-Run as `python -m bench.paired --against REVISION --days 60`. Days are drawn as the hunt draws them (fleets,
-habits, troubles; hazelhold/rehearse/hunt.py) and played by the fleet emulator with today's module and with
-the earlier one. Told are the mean difference of the service score with its 95 per cent interval (normal,
-over days), how many days got better and worse, and broken rules of both. `--file` takes a module from a file
-in place of a revision.
+Run as `python -m bench.paired --against REVISION --days 60`. Days are drawn as the hunt draws them
+(fleets, settings, faults; hazelhold/rehearse/hunt.py) and played by the fleet emulator with the present
+module and with the earlier one. The output has the mean difference of the service score with its 95 per
+cent interval (normal, over days), the number of days that got better and worse, and the rule violations
+of both. `--file` reads the other module from a file instead of a revision.
 """
 
 import argparse
@@ -35,12 +35,12 @@
         ("other", (load_module(Path(file).read_text()) if file else earlier(revision)).Scheduler),
     ):
         engine.Scheduler = scheduler
-        said = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
+        result = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
         found[name] = {
-            "service": said["service"]["service"],
-            "broken": len(said["rules_broken"]),
-            "dispatches": said["counts"].get("dispatches", 0),
-            "starts": said["counts"].get("starts", 0),
+            "service": result["service"]["service"],
+            "broken": len(result["rules_broken"]),
+            "dispatches": result["counts"].get("dispatches", 0),
+            "starts": result["counts"].get("starts", 0),
         }
     engine.Scheduler = today
     return {"seed": seed, **found}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: a small deployment, machines, and a Brain that is driven by hand."""
+"""Shared by tests: a small deployment, machines, and a scheduler and an engine that are driven by hand."""
 
 from hazelhold.config.planner import (
     Estate,
@@ -27,20 +27,20 @@
 from hazelhold.scheduler import Scheduler
 
 MS = 1000
-PRODUCT = GuestClass(
+GUEST_CLASS = GuestClass(
     RepeatSemantics.IDEMPOTENT, Scope.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Scope.NOWHERE, 2
 )
-PRODUCTS = (
-    PRODUCT,
-    PRODUCT._replace(repeat=RepeatSemantics.AT_MOST_ONCE),
-    PRODUCT._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.CELL),
-    PRODUCT._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.ALL),
-    PRODUCT._replace(spread_scope=Scope.MACHINE),
+GUEST_CLASSES = (
+    GUEST_CLASS,
+    GUEST_CLASS._replace(repeat=RepeatSemantics.AT_MOST_ONCE),
+    GUEST_CLASS._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.CELL),
+    GUEST_CLASS._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.ALL),
+    GUEST_CLASS._replace(spread_scope=Scope.MACHINE),
 )
 DEPLOYMENT = Deployment(
     planners=1,
     slot=0,
-    guest_classes=PRODUCTS,
+    guest_classes=GUEST_CLASSES,
     machine_kinds=(MachineKind(24.0, 40.0),),
     list_is_polled=True,
     list_poll_limit=10_000 * MS,
@@ -66,19 +66,19 @@
     return ListedMachine(name, mode, started, 0, cell, 0, room, room * 40 / 24)
 
 
-def ask(name: str, product: int = 0, cores: float = 1.0, patience: int = 5000 * MS) -> Submission:
-    return Submission(name, product, 0, "service-" + str(product), cores, 2 * cores, patience)
+def submission(name: str, product: int = 0, cores: float = 1.0, time_left: int = 5000 * MS) -> Submission:
+    return Submission(name, product, 0, "service-" + str(product), cores, 2 * cores, time_left)
 
 
 def scheduler(names: str = "ab", at: int = 0, **changes: object) -> Scheduler:
-    """A Brain that knows the named machines; two of them share a cell."""
+    """A scheduler that knows the named machines; each pair of them shares a cell."""
     made = Scheduler(7, DEPLOYMENT._replace(**changes))
     made.machines_listed(at, [entry(n, cell=i // 2) for i, n in enumerate(names)], True)
     return made
 
 
 def decisions(made: Scheduler, now: int) -> list[Decision]:
-    """All that is decided at this moment, probes and list calls left out."""
+    """All decisions at this timestamp except probes and list polls."""
     found = []
     while (decision := made.decide(now)) is not None:
         if decision.kind not in (DecisionKind.PROBE, DecisionKind.WATCH_LIST):
@@ -87,7 +87,7 @@
 
 
 def planner_config(**limits: object) -> PlannerConfig:
-    """A planner's configuration with one product of each effect."""
+    """A planner's configuration with one guest class of each kind of repeat semantics."""
     products = [
         ProductConfig("plain", "rerunnable", 800, 5000),
         ProductConfig("once", "exclusive", 800, 5000),
@@ -98,7 +98,7 @@
 
 
 class EngineHarness:
-    """An engine driven by hand. Machines that are dialled come up at once unless they are in `dead`."""
+    """An engine driven by hand. Dialled machines connect at once unless they are in `dead`."""
 
     def __init__(self, machines: str = "ab", **limits: object) -> None:
         self.engine = Engine(planner_config(**limits), 1, 0)
@@ -106,8 +106,8 @@
         self.dialled: list[str] = []
         self.stands: dict[str, list[m.Stand]] = {}
         self.lives: dict[str, int] = {}
-        self.said: list[tuple[str, m.Message]] = []  # all that was sent, to whom
-        self.asks: list[Agree] = []  # what is to be agreed among planners
+        self.said: list[tuple[str, m.Message]] = []  # every message sent, with its receiver
+        self.asks: list[Agree] = []  # proposals to the other planners
         self.lists(0, [self.entry(name) for name in machines])
 
     def entry(self, name: str, mode: str = "ready", **more: object) -> m.Entry:
@@ -127,7 +127,7 @@
         return self.run(now)
 
     def run(self, now: int) -> list[m.Message]:
-        """Pumps and carries out; returns what was sent."""
+        """Runs the engine and its actions; returns the messages sent."""
         start = len(self.said)
         for _ in range(50):
             self.engine.pump(now)
@@ -201,7 +201,7 @@
 
 
 def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.Stand:
-    """How a machine tells of a guest that it was offered."""
+    """A machine's inventory item for an offered guest."""
     return m.Stand(
         guest=offer.guest,
         ask=offer.ask,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Small cases, one for each guard and each failure found."""
+"""Small cases of the scheduler, one for each rule and each failure that was found."""
 
 from collections import Counter
 from random import Random
@@ -14,36 +14,36 @@
     MachineMode,
     OutcomeReason,
 )
-from tests.helpers import MS, PRODUCTS, ask, decisions, entry, scheduler
+from tests.helpers import GUEST_CLASSES, MS, decisions, entry, scheduler, submission
 
 
 def place(made: object, now: int, name: str, product: int = 0, **more: object) -> object:
-    made.guest_submitted(now, ask(name, product, **more))
+    made.guest_submitted(now, submission(name, product, **more))
     return decisions(made, now)[0]
 
 
 def end(
-    made: object, now: int, sent: object, ending: DispatchOutcome, remark: OutcomeReason = OutcomeReason.NONE
+    made: object, now: int, sent: object, outcome: DispatchOutcome, reason: OutcomeReason = OutcomeReason.NONE
 ) -> list:
-    made.dispatch_ended(now, sent.guest, ending, False, remark)
+    made.dispatch_ended(now, sent.guest, outcome, False, reason)
     return decisions(made, now)
 
 
-def test_exclusive_guest_that_may_have_run_is_broken_off_at_once() -> None:
+def test_at_most_once_guest_that_may_have_run_fails_at_once() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
     assert [d.kind for d in end(made, 9 * MS, sent, DispatchOutcome.TIMED_OUT)] == [DecisionKind.FAIL]
 
 
-def test_exclusive_guest_that_never_ran_goes_again() -> None:
+def test_at_most_once_guest_that_never_ran_is_dispatched_again() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
     again = end(made, 9 * MS, sent, DispatchOutcome.UNREACHABLE)
     assert [(d.kind, d.machine != sent.machine) for d in again] == [(DecisionKind.DISPATCH, True)]
 
 
-def test_exclusive_guest_goes_no_second_time_to_a_machine_that_refused_it() -> None:
-    """A second copy of the refusal would count as proof that the second dispatch never ran."""
+def test_at_most_once_guest_avoids_a_machine_that_refused_it() -> None:
+    """A duplicate of the refusal would count as proof that the second dispatch never ran."""
     made = scheduler("ab", dispatches_identified=False)
     first = place(made, 0, "g", 1)
     (second,) = end(made, 100 * MS, first, DispatchOutcome.REFUSED)
@@ -53,30 +53,30 @@
     assert [d.kind for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
 
 
-def test_ticketed_guest_stays_in_its_cell() -> None:
+def test_deduplicated_guest_stays_in_its_cell() -> None:
     made = scheduler("abcdef")
     sent = place(made, 0, "g", 2)
     again = end(made, 9 * MS, sent, DispatchOutcome.ERROR)
     assert {sent.machine, again[0].machine} in ({"a", "b"}, {"c", "d"}, {"e", "f"})
 
 
-def test_held_guest_is_answered_before_its_patience_ends() -> None:
+def test_held_guest_is_answered_before_its_deadline() -> None:
     made = scheduler("a")
     made.machines_listed(0, [entry("a", MachineMode.CORDONED)], False)
-    made.guest_submitted(0, ask("g"))
+    made.guest_submitted(0, submission("g"))
     assert decisions(made, 0) == []
     assert [d.kind for d in decisions(made, 4990 * MS)] == [DecisionKind.REFUSE]
     assert decisions(made, 5100 * MS) == []
 
 
-def test_no_machines_and_unknown_ids_are_quiet() -> None:
+def test_no_machines_and_unknown_ids_are_ignored() -> None:
     made = scheduler("")
     made.guest_abandoned(0, "nobody")
     made.dispatch_ended(0, "nobody", DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
     made.dispatch_accepted(0, "nobody", 0)
     made.memory_pressure_reported(0, "a", 0.9)
     made.machine_reported(0, "a", Load(None, None, None))
-    made.guest_submitted(0, ask("g", patience=0))
+    made.guest_submitted(0, submission("g", time_left=0))
     assert [d.kind for d in decisions(made, 0)] == [DecisionKind.REFUSE]
 
 
@@ -86,7 +86,7 @@
     assert place(made, 0, "g").machine == "b"
 
 
-def test_list_is_asked_again_after_a_failed_call_and_after_silence() -> None:
+def test_list_is_polled_again_after_a_failed_call_and_after_silence() -> None:
     made = scheduler()
     made.list_failed(0)
     asked = [
@@ -106,7 +106,7 @@
     assert place(made, 3001 * MS, "h").machine == sent.machine
 
 
-def test_machine_whose_answers_are_slow_against_its_fellows_is_left_out() -> None:
+def test_machine_that_answers_more_slowly_than_others_is_avoided() -> None:
     made = scheduler("abc")
     for turn in range(40):
         now = turn * 100 * MS
@@ -117,21 +117,21 @@
     assert not made.machines["b"].failures and not made.machines["c"].failures
 
 
-def test_when_most_machines_look_bad_placing_goes_on() -> None:
+def test_if_most_machines_look_unhealthy_placing_goes_on() -> None:
     made = scheduler("abc")
     for name in "abc":
         made.probe_answered(0, name, False)
     assert place(made, MS, "g").kind is DecisionKind.DISPATCH
 
 
-def test_machine_whose_line_is_full_rests_a_quarter_second() -> None:
+def test_machine_whose_queue_is_full_is_avoided_for_a_quarter_second() -> None:
     made = scheduler("a")
     sent = place(made, 0, "g", cores=0.1)
     assert end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.QUEUE_FULL) == []
     assert decisions(made, 240 * MS) == [] and decisions(made, 450 * MS)
 
 
-def test_refusal_for_memory_marks_the_machine_full_for_as_much() -> None:
+def test_refusal_for_memory_excludes_requests_of_that_size() -> None:
     made = scheduler("a")
     sent = place(made, 0, "g")
     assert end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY) == []
@@ -146,17 +146,17 @@
     assert made.machines[sent.machine].cold_at == 30_000 * MS and not made.guests
 
 
-def test_guest_weighs_the_90th_percentile_of_its_service() -> None:
+def test_estimated_use_is_the_90th_percentile_of_the_service() -> None:
     made = scheduler("a")
     place(made, 0, "g")
     for use in range(1, 11):
         made.cores_used(use, "g", use / 10)
         made.memory_used(use, "g", use / 5)
-    assert made.services["service-0"].estimated_use(ask("x")) == (0.9, 1.8)
+    assert made.services["service-0"].estimated_use(submission("x")) == (0.9, 1.8)
     assert scheduler("a").services == {}
 
 
-def test_with_a_fleet_price_an_empty_machine_stays_empty_while_others_have_room() -> None:
+def test_with_a_fleet_price_an_empty_machine_stays_empty_while_others_have_capacity() -> None:
     made = scheduler("abc", fleet_price=0.2)
     first = place(made, 0, "g0").machine
     assert {place(made, n * MS, f"g{n}", cores=0.5).machine for n in range(1, 6)} == {first}
@@ -168,19 +168,19 @@
         sent = place(made, n * MS, f"g{n}")
         made.dispatch_accepted(n * MS, sent.guest, MS)
         made.dispatch_ended(n * MS, sent.guest, DispatchOutcome.COMPLETED, True, OutcomeReason.NONE)
-    made.guest_submitted(200_000 * MS, ask("late", 4))
+    made.guest_submitted(200_000 * MS, submission("late", 4))
     decisions(made, 200_000 * MS)
     assert list(made.services) == ["service-4"] and list(made.guests) == ["late"] and not made.held
 
 
-def test_parts_of_a_cold_machines_budget_sum_to_it_for_any_number_of_planners() -> None:
+def test_planners_shares_of_a_cold_machines_budget_sum_to_it() -> None:
     for planners in (1, 3, 7, 16, 50, 330):
         offers = 0
         for slot in range(planners):
             made = scheduler("a", planners=planners, slot=slot, probing=False)
             made.machines_listed(MS, [entry("a", started=MS)], False)
             for n in range(20):
-                made.guest_submitted(MS, ask(f"g{n}", cores=0.1))
+                made.guest_submitted(MS, submission(f"g{n}", cores=0.1))
             offers += len(decisions(made, MS))
         assert offers == 16
 
@@ -194,7 +194,7 @@
     assert len(found) <= 3
 
 
-def test_old_report_gives_way_to_the_room_that_the_list_shows() -> None:
+def test_old_report_is_replaced_by_the_free_capacity_in_the_list() -> None:
     made = scheduler("ab", at=0)
     for name in "ab":
         made.machine_reported(0, name, Load(12.0, 20.0, None))
@@ -206,7 +206,7 @@
     assert place(made, 9000 * MS, "g").machine == "b"
 
 
-def test_guest_refused_twice_rests_before_it_is_offered_again() -> None:
+def test_guest_refused_twice_backs_off_before_it_is_offered_again() -> None:
     made = scheduler("abcd")
     sent = place(made, 0, "g")
     again = end(made, MS, sent, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY)[0]
@@ -220,7 +220,7 @@
     made = scheduler("abcdefghijkl", planners=16)
     for number in range(20):
         now = number * 700 * MS
-        made.guest_submitted(now, ask(f"g{number}"))
+        made.guest_submitted(now, submission(f"g{number}"))
         found = []
         while (decision := made.decide(now)) is not None:
             found.append(decision.kind)
@@ -229,9 +229,9 @@
         assert [step for step in found if step is not DecisionKind.WATCH_LIST] == [DecisionKind.DISPATCH]
 
 
-def test_where_only_probes_bring_reports_the_few_to_be_weighed_are_asked_first() -> None:
+def test_where_only_probes_bring_reports_candidates_are_probed_first() -> None:
     made = scheduler("abcdefghijkl", planners=60, reports_on_probe=True)
-    made.guest_submitted(0, ask("g"))
+    made.guest_submitted(0, submission("g"))
     asked = []
     while (decision := made.decide(0)) is not None:
         asked.append(decision)
@@ -241,14 +241,14 @@
 
 
 def test_an_unseen_start_alone_opens_no_machine_where_machines_in_use_cost() -> None:
-    """Presumed late in full, a first start on the machines in use looked worse than an empty one."""
+    """Assumed late, a first start on the machines in use looked worse than one on an empty machine."""
     made = scheduler("abcdef", fleet_price=0.1)
     used = [entry("a", room=20.0), entry("b", room=21.0), entry("c", room=22.0)]
     made.machines_listed(0, used, False)
     assert {place(made, n * MS, f"g{n}", n % 2).machine for n in range(6)} <= {"a", "b", "c"}
 
 
-def test_room_by_pushing_out_counts_seated_guests_as_the_plain_count_does() -> None:
+def test_count_of_placed_guests_by_priority_equals_a_plain_count() -> None:
     made, random = scheduler("abcd"), Random(3)
     for number in range(200):
         sent = place(made, number * MS, f"g{number}", random.choice([0, 1, 3]), cores=0.1)
@@ -267,34 +267,34 @@
     assert place(made, 30 * MS, "large", 3, cores=8.0).timeout > 4000 * MS
 
 
-def test_silent_list_does_not_hold_guests_back() -> None:
+def test_silent_list_does_not_block_placement() -> None:
     made = scheduler("ab")
     made.machines_listed(0, [entry(name, room=-60.0) for name in "ab"], True)
-    made.guest_submitted(0, ask("g"))
+    made.guest_submitted(0, submission("g"))
     assert decisions(made, 1900 * MS) == []
     assert [d.kind for d in decisions(made, 2200 * MS)] == [DecisionKind.DISPATCH]
 
 
-def test_higher_priority_counts_lower_guests_as_room_where_machines_push_out() -> None:
-    for makes_room in (True, False):
+def test_higher_priority_counts_lower_guests_as_capacity_where_machines_preempt() -> None:
+    for preempts in (True, False):
         made = scheduler(
-            "a", preempts=makes_room, guest_classes=(PRODUCTS[0], PRODUCTS[0]._replace(priority=1))
+            "a", preempts=preempts, guest_classes=(GUEST_CLASSES[0], GUEST_CLASSES[0]._replace(priority=1))
         )
         place(made, 0, "low")
         made.dispatch_accepted(MS, "low", MS)
         made.machines_listed(MS, [entry("a", room=-36.0)], False)
-        made.guest_submitted(2 * MS, ask("high", 1))
-        assert bool(decisions(made, 2 * MS)) is makes_room
+        made.guest_submitted(2 * MS, submission("high", 1))
+        assert bool(decisions(made, 2 * MS)) is preempts
 
 
-def test_a_cancel_of_a_held_guest_is_answered_and_of_one_out_called_off_once() -> None:
+def test_a_cancelled_held_guest_is_answered_and_an_outstanding_one_withdrawn_once() -> None:
     made = scheduler()
     sent = place(made, 0, "g", 1)
     made.guest_cancelled(1 * MS, "g")
     assert decisions(made, 1 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
     assert [d.kind for d in end(made, 2 * MS, sent, DispatchOutcome.REFUSED)] == [DecisionKind.REFUSE]
     made.machines_listed(3 * MS, [entry(n, MachineMode.CORDONED) for n in "ab"], False)
-    made.guest_submitted(3 * MS, ask("h", 1))
+    made.guest_submitted(3 * MS, submission("h", 1))
     made.guest_cancelled(4 * MS, "h")
     assert [d.kind for d in decisions(made, 4 * MS)] == [DecisionKind.REFUSE]
 
@@ -308,24 +308,24 @@
     assert decisions(made, 2 * MS) == [Decision(DecisionKind.WITHDRAW, "g", sent.machine)]
 
 
-def test_an_unsettled_earlier_dispatch_breaks_an_exclusive_guest_off_and_binds_a_ticketed_one() -> None:
+def test_an_earlier_dispatch_fails_an_at_most_once_guest_and_binds_a_deduplicated_one() -> None:
     made = scheduler("abcdef")
-    made.guest_submitted(0, ask("g", 1)._replace(earlier_dispatch=EarlierDispatch("a", 0)))
+    made.guest_submitted(0, submission("g", 1)._replace(earlier_dispatch=EarlierDispatch("a", 0)))
     assert [d.kind for d in decisions(made, 0)] == [DecisionKind.FAIL]
-    made.guest_submitted(0, ask("h", 2)._replace(earlier_dispatch=EarlierDispatch("c", 0)))
+    made.guest_submitted(0, submission("h", 2)._replace(earlier_dispatch=EarlierDispatch("c", 0)))
     assert decisions(made, 0)[0].machine in ("c", "d")
-    made.guest_submitted(0, ask("i")._replace(earlier_dispatch=EarlierDispatch("nobody", 0)))
+    made.guest_submitted(0, submission("i")._replace(earlier_dispatch=EarlierDispatch("nobody", 0)))
     assert [d.kind for d in decisions(made, 0)] == [DecisionKind.DISPATCH]
 
 
-def test_a_late_copy_is_taken_for_the_guest_only_where_nothing_else_is_out() -> None:
+def test_a_late_copy_becomes_the_guest_only_without_another_dispatch() -> None:
     made = scheduler("ab")
     for product, name in ((0, "g"), (3, "h"), (1, "i")):
         sent = place(made, 0, name, product)
         made.dispatch_ended(1 * MS, name, DispatchOutcome.TIMED_OUT, product == 1, OutcomeReason.NONE)
-        made.late_copy_accepted(2 * MS, sent.machine, ask(name, product))
+        made.late_copy_accepted(2 * MS, sent.machine, submission(name, product))
         assert made.guests[name].placed and decisions(made, 2 * MS) == []
-    made.late_copy_accepted(3 * MS, "a", ask("g"))
+    made.late_copy_accepted(3 * MS, "a", submission("g"))
     assert decisions(made, 3 * MS) == [Decision(DecisionKind.WITHDRAW, "g", "a")]
 
 
@@ -341,32 +341,31 @@
     assert "a" not in made.machines
 
 
-def test_a_ticket_of_a_machine_that_the_list_does_not_have_is_bound_to_no_known_group() -> None:
+def test_a_guest_deduplicated_on_an_unlisted_machine_is_bound_to_no_known_group() -> None:
     made = scheduler("ab")
-    made.guest_submitted(0, ask("g", 2))
+    made.guest_submitted(0, submission("g", 2))
     made.restore_dispatch(0, "elsewhere", "g", 0)
     made.dispatch_ended(MS, "g", DispatchOutcome.TIMED_OUT, False, OutcomeReason.NONE)
-    made_at = [d for now in range(MS, 4000 * MS, 100 * MS) for d in decisions(made, now)]
-    assert all(d.kind is not DecisionKind.DISPATCH for d in made_at)
+    found = [d for now in range(MS, 4000 * MS, 100 * MS) for d in decisions(made, now)]
+    assert all(d.kind is not DecisionKind.DISPATCH for d in found)
 
 
 def test_an_unknown_start_is_not_preferred_to_a_known_one() -> None:
-    """In a planner's first seconds only starts where the program is have been seen: what is not known must
-    not count as costless."""
+    """In a planner's first seconds only warm starts are known: unknown cold starts must not count as free."""
     made = scheduler("abcd")
     for at, machine in enumerate("abcd"):  # as many guests on each, of a's service only there
         for n in range(4):
             service = "mine" if machine == "a" else machine
-            made.guest_discovered(0, machine, ask(f"f{at}{n}")._replace(service=service))
+            made.guest_discovered(0, machine, submission(f"f{at}{n}")._replace(service=service))
     made.starts[0, True].extend([100 * MS] * 5)
     picked = []
     for n in range(3):
-        made.guest_submitted(n * MS, ask(f"g{n}")._replace(service="mine"))
+        made.guest_submitted(n * MS, submission(f"g{n}")._replace(service="mine"))
         picked += [d.machine for d in decisions(made, n * MS) if d.kind is DecisionKind.DISPATCH]
     assert picked == ["a", "a", "a"]
 
 
-def test_an_answer_that_is_lost_does_not_speak_of_a_machine_that_was_heard_since() -> None:
+def test_a_lost_answer_does_not_count_against_a_machine_that_reported_since() -> None:
     made = scheduler("ab")
     sent = place(made, 0, "g")
     made.machine_reported(100 * MS, sent.machine, Load(20.0, 30.0, None))
@@ -380,16 +379,16 @@
     assert machine.unresponsive and machine.failures == 1 and machine.backoff_until > 500 * MS
 
 
-@pytest.mark.parametrize("remark", [OutcomeReason.NONE, OutcomeReason.QUEUE_FULL])
-def test_a_machine_that_refused_rests_longer_than_a_second_copy_of_its_refusal_takes(
-    remark: OutcomeReason,
+@pytest.mark.parametrize("reason", [OutcomeReason.NONE, OutcomeReason.QUEUE_FULL])
+def test_a_machine_that_refused_is_avoided_for_longer_than_a_duplicate_refusal_takes(
+    reason: OutcomeReason,
 ) -> None:
-    """Where words do not name the dispatch, a copy some milliseconds late is heard as of the next one."""
+    """Where messages do not name the dispatch, a duplicate some ms later counts for the next one."""
     made = scheduler("a", dispatches_identified=False)
     now = 20_000 * MS
-    made.guest_submitted(now, ask("g"))
+    made.guest_submitted(now, submission("g"))
     (first,) = decisions(made, now)
-    made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.REFUSED, False, remark)
+    made.dispatch_ended(now + 5 * MS, first.guest, DispatchOutcome.REFUSED, False, reason)
     assert all(not decisions(made, now + 5 * MS + after * MS) for after in (0, 50, 100, 200))
     (again,) = decisions(made, now + 700 * MS)
     assert (again.kind, again.machine) == (DecisionKind.DISPATCH, "a")
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The machine model: what it takes, refuses, starts, serves and sends away."""
+"""The machine model: admission, starts, service, preemption, eviction and inventory."""
 
 from hazelhold.model.machine import GuestClassBehaviour, Machine, MachineProfile
 from hazelhold.protocol import messages as m
@@ -40,34 +40,34 @@
     )
 
 
-def told(machine: Machine, now: int) -> list[m.Message]:
+def sent(machine: Machine, now: int) -> list[m.Message]:
     machine.advance(now)
     out, machine.out = machine.out, []
     return [message for _, message in out]
 
 
 def kinds(machine: Machine, now: int) -> list[str]:
-    return [message.__struct_config__.tag for message in told(machine, now)]
+    return [message.__struct_config__.tag for message in sent(machine, now)]
 
 
-def test_one_look_at_a_time_and_a_line_of_its_length() -> None:
+def test_offers_are_examined_one_at_a_time_and_the_queue_is_limited() -> None:
     machine = Machine("a", profile(queue_limit=2), 1, 0)
     for number in range(3):
         machine.offered(0, "p", offer(f"g{number}"))
-    first = told(machine, 0)
+    first = sent(machine, 0)
     assert [(r.guest, r.remark) for r in first] == [("g2", "line_full")]
     assert kinds(machine, 14 * MS) == ["taken"] and "taken" in kinds(machine, 28 * MS)
 
 
-def test_accepts_up_to_its_multiples_and_says_what_is_short() -> None:
+def test_accepts_up_to_its_overcommit_and_names_the_missing_resource() -> None:
     machine = Machine("a", profile(cores_multiple=2.0, memory_multiple=1.0), 1, 0)
     for number, (cores, memory) in enumerate([(15, 1), (6, 1), (1, 9.5), (5, 1)]):
         machine.offered(number * S, "p", offer(f"g{number}", cores=cores, memory=memory))
         machine.advance(number * S + S // 2)
-    said = [
+    messages = [
         (s.guest, getattr(s, "remark", "taken")) for _, s in machine.out if isinstance(s, m.Taken | m.Refused)
     ]
-    assert said == [("g0", "taken"), ("g1", "no_cores"), ("g2", "no_memory"), ("g3", "taken")]
+    assert messages == [("g0", "taken"), ("g1", "no_cores"), ("g2", "no_memory"), ("g3", "taken")]
 
 
 def test_cold_programs_and_cold_machines_start_slower() -> None:
@@ -84,47 +84,47 @@
     assert first > 3 * again and start(cold, "g", "s", 0) > 2 * first
 
 
-def test_pushes_out_lower_priority_and_no_other() -> None:
+def test_preempts_only_lower_priority() -> None:
     machine = Machine("a", profile(preempts=True, memory_multiple=1.0), 1, 0)
     machine.offered(0, "p", offer("low", memory=9))
     assert "taken" in kinds(machine, S)
     machine.offered(S, "p", offer("high", "high", memory=8))
-    said = told(machine, 2 * S)
-    assert [s.how for s in said if isinstance(s, m.Ended)] == ["pushed_out"]
+    messages = sent(machine, 2 * S)
+    assert [s.how for s in messages if isinstance(s, m.Ended)] == ["pushed_out"]
     machine.offered(2 * S, "p", offer("high2", "high", memory=8))
-    assert [s.remark for s in told(machine, 3 * S) if isinstance(s, m.Refused)] == ["no_memory"]
+    assert [s.remark for s in sent(machine, 3 * S) if isinstance(s, m.Refused)] == ["no_memory"]
 
 
 def test_memory_that_overflows_evicts_the_lowest_first() -> None:
     machine = Machine("a", profile(memory_multiple=1.5), 1, 0)
     for number, product in enumerate(["low", "high", "high"]):
         machine.offered(0, "p", offer(f"g{number}", product, memory=4.5))
-    told(machine, 5 * S)
+    sent(machine, 5 * S)
     machine.faults.use_factor = 9.0
     machine.redraw_use(5 * S)
-    ended = [s for s in told(machine, 5 * S) if isinstance(s, m.Ended)]
+    ended = [s for s in sent(machine, 5 * S) if isinstance(s, m.Ended)]
     assert [(e.guest, e.how) for e in ended][:1] == [("g0", "evicted")]
 
 
-def test_one_copy_of_a_ticketed_guest_stands() -> None:
+def test_a_second_copy_of_a_deduplicated_guest_is_refused() -> None:
     machine = Machine("a", profile(), 1, 0)
     machine.offered(0, "p", offer("g", "ticket"))
     machine.offered(0, "other", offer("g", "ticket"))
-    said = told(machine, S)
-    assert [s.remark for s in said if isinstance(s, m.Refused)] == ["not_here"]
+    messages = sent(machine, S)
+    assert [s.remark for s in messages if isinstance(s, m.Refused)] == ["not_here"]
 
 
-def test_withdrawn_in_line_it_never_ran_and_once_accepted_it_stands() -> None:
+def test_a_queued_offer_can_be_withdrawn_and_an_accepted_one_stays() -> None:
     machine = Machine("a", profile(), 1, 0)
     machine.offered(0, "p", offer("g"))
     machine.withdrawn(0, "p", m.Withdraw(guest="g"))
-    assert [(type(s), s.how) for s in told(machine, S)][:1] == [(m.Ended, "withdrawn")]
+    assert [(type(s), s.how) for s in sent(machine, S)][:1] == [(m.Ended, "withdrawn")]
     machine.offered(S, "p", offer("h"))
-    told(machine, S + 20 * MS)
+    sent(machine, S + 20 * MS)
     machine.withdrawn(S + 20 * MS, "p", m.Withdraw(guest="h"))
     assert "taken" in kinds(machine, S + 20 * MS) and machine.guests
     machine.stopped(3 * S, "p", m.Stop(guest="h"))
-    assert [s.how for s in told(machine, 3 * S) if isinstance(s, m.Ended)] == ["stopped"]
+    assert [s.how for s in sent(machine, 3 * S) if isinstance(s, m.Ended)] == ["stopped"]
     assert not machine.guests
 
 
@@ -139,7 +139,7 @@
     assert sum(isinstance(s, m.Started) for _, s in machine.out) == 1
 
 
-def test_its_word_on_what_it_holds_is_whole_until_it_has_forgotten() -> None:
+def test_the_inventory_is_complete_unless_ended_guests_were_dropped() -> None:
     machine = Machine("a", profile(remembers=2, concurrent_starts=9), 1, 0)
     for number in range(5):
         machine.advance(number * S)
@@ -162,36 +162,36 @@
     assert machine.out[-1][1].complete
 
 
-def test_a_cold_machine_bears_its_budget_and_falls_over_past_it() -> None:
-    for count, falls in ((40, False), (41, True)):
+def test_a_cold_machine_tolerates_its_budget_and_fails_beyond_it() -> None:
+    for count, overloads in ((40, False), (41, True)):
         machine = Machine("a", profile(cold_offers=40, queue_limit=100), 1, 0, warm=False)
         for number in range(count):
             machine.offered(number * MS, "p", offer(f"g{number}"))
-        assert machine.overloaded == falls
+        assert machine.overloaded == overloads
     spread = Machine("a", profile(cold_offers=40, queue_limit=200), 1, 0, warm=False)
     for number in range(100):
         spread.offered(number * S // 10, "p", offer(f"g{number}"))
     assert not spread.overloaded
 
 
-def test_crowded_cores_serve_worse_and_it_says_so() -> None:
+def test_overloaded_cores_reduce_service_and_are_reported() -> None:
     machine = Machine("a", profile(cores_multiple=4, memory_multiple=9), 1, 0)
     for number in range(30):
         machine.offered(0, "p", offer(f"g{number}", memory=0.1))
         machine.advance(number * 50 * MS)
     machine.faults.use_factor = 2
     machine.redraw_use(10 * S)
-    served = [s.share for s in told(machine, 15 * S) if isinstance(s, m.Served)]
+    served = [s.share for s in sent(machine, 15 * S) if isinstance(s, m.Served)]
     assert served and max(served) < 0.95
 
 
-def test_one_copy_stands_in_a_group_of_machines() -> None:
+def test_a_group_of_machines_accepts_one_copy() -> None:
     one, two = Machine("a", profile(), 1, 0), Machine("b", profile(), 2, 0)
     two.idempotency_keys = one.idempotency_keys
     one.offered(0, "p", offer("g", "ticket"))
     assert "taken" in kinds(one, S)
     two.offered(S, "p", offer("g", "ticket"))
-    assert [s.remark for s in told(two, 2 * S) if isinstance(s, m.Refused)] == ["not_here"]
+    assert [s.remark for s in sent(two, 2 * S) if isinstance(s, m.Refused)] == ["not_here"]
     one.went_down()
     two.offered(2 * S, "p", offer("g", "ticket"))
     assert "taken" in kinds(two, 3 * S)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: plain words on bad input, exact times, instances that share nothing."""
+"""The simulator's adapter: clear errors on bad input, exact times, planners that share nothing."""
 
 import io
 
@@ -7,7 +7,7 @@
 from hazelhold import simhost
 from hazelhold.simhost import micros, millis, serve
 
-FACTS = (
+SETTINGS = (
     "balancers=1 slot-no=0 classes.count=1 classes.0.dedup-window=5000.0 classes.0.group=all "
     "classes.0.idempotency=retryable classes.0.late-worth=0.1 classes.0.on-time=800.0 classes.0.points=1.0 "
     "discovery=ask family-info.accepts-memory=1.5 family-info.class-kind=-1 family-info.class-most=2 "
@@ -29,15 +29,15 @@
 
 def start(name: str) -> list[str]:
     return [
-        f"ENLIST {name} 5 {FACTS}",
+        f"ENLIST {name} 5 {SETTINGS}",
         "REGISTER 0 1",
         "ROW healthy 0 machine-a 0 0 41 1 26 0",
         f"DISCOVERY {name} stale_copy 0 1",
     ]
 
 
-def test_a_guest_is_offered_and_instances_act_only_on_their_events() -> None:
-    code, said = talk(
+def test_a_guest_is_offered_and_planners_act_only_on_their_own_events() -> None:
+    code, output = talk(
         "TICK 1000",
         *start("planner_0"),
         *start("planner_1"),
@@ -46,7 +46,7 @@
         "SUBMIT planner_1 00ab 0 - task-x 240.0 - c:s 2 1.5 0",
         "COMMIT",
     )
-    replies = said.split("EOR\n")
+    replies = output.split("EOR\n")
     assert code == 0 and "BIND planner_1 00ab machine-a" in replies[1] and "planner_0" not in replies[1]
 
 
@@ -60,19 +60,23 @@
         ("ROW healthy 0 machine-a 0 0 41 1 26 0", "row"),
     ],
 )
-def test_a_malformed_line_is_named(line: str, word: str, capsys: pytest.CaptureFixture) -> None:
+def test_a_malformed_line_is_reported(line: str, word: str, capsys: pytest.CaptureFixture) -> None:
     code, _ = talk("TICK 1", *start("planner_0"), "COMMIT", line)
     errors = capsys.readouterr().err
     assert code == 2 and word in errors and "Traceback" not in errors
 
 
-def test_a_missing_setting_ends_that_instance_alone() -> None:
-    bad = f"ENLIST planner_0 5 {FACTS}".replace("rules.cold=15000.0 ", "")
-    code, said = talk("TICK 1", bad, *start("planner_1"), "COMMIT")
-    assert code == 0 and "DIE planner_0 setting rules.cold is missing" in said and "DIE planner_1" not in said
+def test_a_missing_setting_ends_only_that_planner() -> None:
+    bad = f"ENLIST planner_0 5 {SETTINGS}".replace("rules.cold=15000.0 ", "")
+    code, output = talk("TICK 1", bad, *start("planner_1"), "COMMIT")
+    assert (
+        code == 0
+        and "DIE planner_0 setting rules.cold is missing" in output
+        and "DIE planner_1" not in output
+    )
 
 
-def test_times_come_back_as_they_went() -> None:
+def test_times_are_converted_without_loss() -> None:
     assert [millis(micros(text)) for text in ("0.001", "137276476.768", "80.0")] == [
         "0.001",
         "137276476.768",
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -6,7 +6,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
 from hazelhold.state.ledger import Ledger
-from tests.helpers import MS, EngineHarness, ask, of, scheduler, stand
+from tests.helpers import MS, EngineHarness, of, scheduler, stand, submission
 from tests.state_rig import S
 
 
@@ -134,7 +134,7 @@
 def test_what_was_learned_comes_back_for_machines_in_the_same_life() -> None:
     made = scheduler("ab", at=S)
     for n in range(4):
-        made.guest_submitted(S, ask(f"g{n}"))
+        made.guest_submitted(S, submission(f"g{n}"))
         decision = made.decide(S)
         made.dispatch_accepted(S, f"g{n}", 5 * MS)
         made.guest_started(2 * S, f"g{n}")
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -9,13 +9,13 @@
 from hazelhold.interface import DecisionKind, DispatchOutcome, Load, OutcomeReason
 from hazelhold.scheduler import Guest, Machine, Scheduler, ServiceUsage
 from hazelhold.state import snapshot
-from tests.helpers import DEPLOYMENT, MS, ask, scheduler
+from tests.helpers import DEPLOYMENT, MS, scheduler, submission
 from tests.state_rig import S
 
 
 def test_every_attribute_of_the_scheduler_is_in_a_snapshot() -> None:
     made = scheduler("ab")
-    made.guest_submitted(0, ask("g"))
+    made.guest_submitted(0, submission("g"))
     own = {
         "deployment",
         "spread",
@@ -60,7 +60,7 @@
 
 def test_the_keys_of_a_snapshot_are_those_of_earlier_captures() -> None:
     made = scheduler("ab")
-    made.guest_submitted(0, ask("g"))
+    made.guest_submitted(0, submission("g"))
     plain = snapshot.dump(made)
     (machine, _), (guest,) = plain["machines"], plain["guests"]
     assert " ".join(plain) == (
@@ -85,7 +85,7 @@
     what, found = random.randrange(9), []
     if what < 4:
         names.append(f"g{len(names)}")
-        made.guest_submitted(now, ask(names[-1], random.randrange(5), random.choice([0.5, 2.0, 6.0])))
+        made.guest_submitted(now, submission(names[-1], random.randrange(5), random.choice([0.5, 2.0, 6.0])))
     out = [n for n, g in made.guests.items() if g.machine]
     if out and what in (4, 5, 6):
         name = random.choice(out)
