--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -89,10 +89,12 @@
 def test_list_is_polled_again_after_a_failed_call_and_after_silence() -> None:
     made = scheduler()
     made.list_failed(0)
-    asked = [
+    polled = [
         t for t in range(0, 12_000, 50) if (d := made.decide(t * MS)) and d.kind is DecisionKind.WATCH_LIST
     ]
-    assert asked and asked[0] <= 3000 and max(b - a for a, b in zip(asked, asked[1:], strict=False)) <= 3100
+    assert (
+        polled and polled[0] <= 3000 and max(b - a for a, b in zip(polled, polled[1:], strict=False)) <= 3100
+    )
 
 
 def test_silent_machine_is_probed_before_it_gets_guests_again() -> None:
@@ -232,11 +234,11 @@
 def test_where_only_probes_bring_reports_candidates_are_probed_first() -> None:
     made = scheduler("abcdefghijkl", planners=60, reports_on_probe=True)
     made.guest_submitted(0, submission("g"))
-    asked = []
+    decided = []
     while (decision := made.decide(0)) is not None:
-        asked.append(decision)
-    probed = {d.machine for d in asked if d.kind is DecisionKind.PROBE}
-    assert len(probed) >= 3 and not [d for d in asked if d.kind is DecisionKind.DISPATCH]
+        decided.append(decision)
+    probed = {d.machine for d in decided if d.kind is DecisionKind.PROBE}
+    assert len(probed) >= 3 and not [d for d in decided if d.kind is DecisionKind.DISPATCH]
     assert decisions(made, 50 * MS)[0].machine in probed
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -144,15 +144,15 @@
                 scheduler.guest_cancelled(now, guest)
         elif what == "late" and model.history:
             guest = list(model.history)[pick % len(model.history)]
-            asked, ends, answered, placed, sent = model.history[guest]
+            product, ends, answered, placed, sent = model.history[guest]
             given_up = [d for d in sent if d[2] is DispatchOutcome.TIMED_OUT]
-            if given_up and GUEST_CLASSES[asked].spread_scope is Scope.NOWHERE:
+            if given_up and GUEST_CLASSES[product].spread_scope is Scope.NOWHERE:
                 held = not answered and not placed and not model.out(guest)
                 unknown = (
                     guest not in scheduler.guests
-                    and GUEST_CLASSES[asked].repeat is not RepeatSemantics.IDEMPOTENT
+                    and GUEST_CLASSES[product].repeat is not RepeatSemantics.IDEMPOTENT
                 )
-                scheduler.late_copy_accepted(now, given_up[0][0], submission(guest, asked))
+                scheduler.late_copy_accepted(now, given_up[0][0], submission(guest, product))
                 if held or unknown:  # the guest is placed there now; no final answer may follow
                     assert scheduler.guests[guest].placed
                     model.history[guest][2:4] = [True, True]
@@ -163,7 +163,7 @@
                 model.history[guest][2] = True
                 scheduler.guest_abandoned(now, guest)
         last = now + wait * MS
-        while True:  # the host calls again whenever the module asked for it
+        while True:  # as the host does, decide again at the requested times
             for _ in range(10_000):
                 decision = scheduler.decide(now)
                 if decision is None:
