--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -3,16 +3,17 @@
 from collections.abc import Callable, Iterator
 from functools import partial
 
+from hazelhold.scheduler import Scheduler
+
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import measurement
 from bench.capacity.target import TASKS_RUNNING
-from hazelhold.brain import Brain
 from hazelhold.config.planner import deployment_settings
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.records import Dial
-from hazelhold.interface import Ask, Mode, Step
+from hazelhold.interface import DecisionKind, MachineMode, Submission
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
@@ -22,8 +23,8 @@
 FEW_TASKS = (100, 200, 400, 800)
 
 
-def brain(machines: int, planners: int) -> Brain:
-    made = Brain(1, deployment_settings(throughput.planner_config())._replace(planners=planners))
+def scheduler(machines: int, planners: int) -> Scheduler:
+    made = Scheduler(1, deployment_settings(throughput.planner_config())._replace(planners=planners))
     made.machines_listed(0, [workers.listed(n) for n in range(machines)], True)
     return made
 
@@ -65,12 +66,12 @@
 SERVICES = 20
 
 
-def decide_all(made: Brain, now: int) -> list[str]:
+def decide_all(made: Scheduler, now: int) -> list[str]:
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step is Step.DISPATCH:
-            made.dispatch_taken(now, decision.guest, 1000)
-            made.guest_runs(now, decision.guest)
+        if decision.kind is DecisionKind.DISPATCH:
+            made.dispatch_accepted(now, decision.guest, 1000)
+            made.guest_started(now, decision.guest)
             found.append(decision.guest)
     return found
 
@@ -88,7 +89,7 @@
     rounds=3,
 )
 def after_list_change(size: int) -> Iterator[float]:
-    made, now, number = brain(size, 64), SECOND, 0
+    made, now, number = scheduler(size, 64), SECOND, 0
 
     def a_round() -> float:
         """Processor time of one task for each service."""
@@ -96,14 +97,14 @@
         spent = 0.0
         for service in range(SERVICES):
             now, number = now + 3000, number + 1
-            made.guest_arrived(now, Ask(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
+            made.guest_submitted(now, Submission(f"g{number}", 0, 0, f"s{service}", 0.5, 1.0, 60 * SECOND))
             spent += processor_time(partial(decide_all, made, now))
         return spent / SERVICES
 
     a_round()
     with no_collection():
         for change in range(5):
-            made.machines_listed(now, [workers.listed(change)._replace(mode=Mode.CORDONED)], False)
+            made.machines_listed(now, [workers.listed(change)._replace(mode=MachineMode.CORDONED)], False)
             yield max(0.0, a_round() - a_round())
 
 
@@ -122,7 +123,7 @@
     note="traced by Python's allocator; workers listed, no task",
 )
 def module_memory(size: int) -> Iterator[float]:
-    yield traced_bytes(lambda: brain(size, 64))[0]
+    yield traced_bytes(lambda: scheduler(size, 64))[0]
 
 
 @measurement(
--- a/bench/capacity/rows_probes.py
+++ b/bench/capacity/rows_probes.py
@@ -3,12 +3,13 @@
 import time
 from collections.abc import Iterator
 
+from hazelhold.scheduler import Scheduler
+
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.registry import RefusedError, measurement
-from hazelhold.brain import Brain
 from hazelhold.config.planner import deployment_settings
-from hazelhold.interface import Load, Step
+from hazelhold.interface import DecisionKind, Load
 from hazelhold.protocol import messages as m
 
 SECOND = 1_000_000
@@ -20,13 +21,13 @@
 def probed(machines: int, planners: int, seconds: int = 2) -> tuple[float, float]:
     """Probes a second and processor time a second, after the first second; every probe is answered."""
     facts = deployment_settings(throughput.planner_config())._replace(planners=planners, probing=True)
-    made = Brain(1, facts)
+    made = Scheduler(1, facts)
     made.machines_listed(0, [workers.listed(n) for n in range(machines)], True)
     probes, spent, began = 0, 0.0, time.process_time()
     for now in range(TURN, seconds * SECOND, TURN):
         start = time.process_time()
         while (decision := made.decide(now)) is not None:
-            if decision.step is not Step.PROBE:
+            if decision.kind is not DecisionKind.PROBE:
                 continue
             made.machine_reported(now, decision.machine, Load(1000.0, 2000.0, 0.5))
             made.probe_answered(now, decision.machine, True)
--- a/bench/module.py
+++ b/bench/module.py
@@ -1,86 +1,73 @@
-"""The decision module beside an earlier version of itself: the same decisions, and how much faster.
+"""Compares the scheduler with an earlier version of itself: the decisions and the speed.
 
-Run as `python -m bench.module --against REVISION`. The earlier `brain.py` is read from the repository's
-history and runs in the same process. First both are driven through generated days (arrivals, answers,
-refusals, losses, cancels, reports, failing disks) with the same seeds and compared decision by decision;
-then bench.throughput's plain loop runs with each, in turn, at several sizes, and the best of the rounds are
-compared.
+Run as `python -m bench.module --against REVISION`. The earlier module is read from the repository's
+history (see bench/earlier_module.py) and runs in the same process. First both are driven through
+generated days (submissions, answers, refusals, losses, cancels, reports, failing disks) with the same
+seeds and compared decision by decision; then bench.throughput's plain loop runs with each in turn at
+several sizes, and the best rounds are compared.
 """
 
 import argparse
-import importlib.util
 import json
-import subprocess
-import sys
-import tempfile
-from pathlib import Path
 from random import Random
 from types import ModuleType
 from typing import Any
 
 from bench import throughput
-from hazelhold import brain as today
-from hazelhold.interface import Ask, Decision, Ending, Listed, Load, Mode, Remark, Step
+from bench.earlier_module import earlier
+from hazelhold import scheduler as today
+from hazelhold.interface import (
+    Decision,
+    DecisionKind,
+    DispatchOutcome,
+    ListedMachine,
+    Load,
+    MachineMode,
+    OutcomeReason,
+    Submission,
+)
 
 SECOND, MS = 1_000_000, 1000
-ROOT = Path(__file__).parent.parent
-
-
-def earlier(revision: str) -> ModuleType:
-    """That revision's decision module, under a name of its own."""
-    text = subprocess.run(
-        ["git", "show", f"{revision}:hazelhold/brain.py"],
-        cwd=ROOT,
-        check=True,
-        capture_output=True,
-        text=True,
-    ).stdout
-    with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "earlier_brain.py"
-        path.write_text(text)
-        spec = importlib.util.spec_from_file_location("earlier_brain", path)
-        module = importlib.util.module_from_spec(spec)
-        sys.modules["earlier_brain"] = module
-        spec.loader.exec_module(module)
-    return module
 
 
 def day(module: ModuleType, seed: int, steps: int, machines: int) -> list[Decision]:
-    """All decisions of one generated day; what happens depends on the seed and on earlier decisions."""
+    """All decisions of one generated day; its events depend on the seed and on earlier decisions."""
     plain = throughput.deployment_settings(throughput.planner_config())
     kinds = (
-        (today.Effect.RERUNNABLE, today.Place.ALL, 1.0, today.Place.NOWHERE),
-        (today.Effect.EXCLUSIVE, today.Place.ALL, 2.0, today.Place.MACHINE),
-        (today.Effect.TICKETED, today.Place.CELL, 1.5, today.Place.ZONE),
+        (today.RepeatSemantics.IDEMPOTENT, today.Scope.ALL, 1.0, today.Scope.NOWHERE),
+        (today.RepeatSemantics.AT_MOST_ONCE, today.Scope.ALL, 2.0, today.Scope.MACHINE),
+        (today.RepeatSemantics.DEDUPLICATED, today.Scope.CELL, 1.5, today.Scope.ZONE),
     )
     products = tuple(
-        plain.products[0]._replace(
-            effect=effect,
-            group=group,
-            window=4 * SECOND,
-            goal_time=SECOND,
-            payoff=payoff,
-            spread=spread,
-            spread_most=3,
+        plain.guest_classes[0]._replace(
+            repeat=repeat,
+            dedup_scope=dedup_scope,
+            dedup_window=4 * SECOND,
+            start_target=SECOND,
+            value=value,
+            spread_scope=spread_scope,
+            spread_limit=3,
         )
-        for effect, group, payoff, spread in kinds
+        for repeat, dedup_scope, value, spread_scope in kinds
     )
     random = Random(seed)
-    facts = plain._replace(
-        products=products,
+    deployment_settings = plain._replace(
+        guest_classes=products,
         probing=random.random() < 0.5,
         max_dispatches=random.choice([2, 4]),
-        kinds=(today.interface.Kind(24.0, 40.0),),
+        machine_kinds=(today.interface.MachineKind(24.0, 40.0),),
         cores_multiple=2.5,
         memory_multiple=1.5,
-        list_is_asked=random.random() < 0.5,
+        list_is_polled=random.random() < 0.5,
         planners=random.choice([1, 3, 40]),
-        confirms_running=random.random() < 0.5,
+        confirms_when_running=random.random() < 0.5,
     )
-    made = module.Brain(seed, facts)
+    made = module.Scheduler(seed, deployment_settings)
     names, found, now = 0, [], SECOND
     entries = [
-        Listed(f"m{n}", Mode.READY, random.choice([0, SECOND // 2]), n % 2, n // 4, 0, 24.0, 40.0)
+        ListedMachine(
+            f"m{n}", MachineMode.READY, random.choice([0, SECOND // 2]), n % 2, n // 4, 0, 24.0, 40.0
+        )
         for n in range(machines)
     ]
     made.machines_listed(now, entries, True)
@@ -91,9 +78,9 @@
         if what < 0.45:
             for _ in range(random.choice([1, 1, 5])):
                 names += 1
-                made.guest_arrived(
+                made.guest_submitted(
                     now,
-                    Ask(
+                    Submission(
                         f"g{names}",
                         names % 3,
                         0,
@@ -104,7 +91,7 @@
                     ),
                 )
         elif what < 0.9 and out:
-            _happens(made, now, random.choice(out), random)
+            _random_event(made, now, random.choice(out), random)
         elif what < 0.93 and made.guests:
             made.guest_cancelled(now, random.choice(list(made.guests)))
         elif what < 0.97:
@@ -117,44 +104,44 @@
             made.machines_listed(
                 now,
                 [
-                    e._replace(mode=random.choice(list(Mode)), cores_room=random.uniform(0, 24))
+                    e._replace(mode=random.choice(list(MachineMode)), free_cores=random.uniform(0, 24))
                     for e in entries
                     if random.random() < 0.3
                 ],
                 False,
             )
         elif what < 0.985:
-            made.state_kept(now, random.random() < 0.5)
+            made.persistence_changed(now, random.random() < 0.5)
         else:
             made.probe_answered(now, f"m{random.randrange(machines)}", random.random() < 0.5)
         while (decision := made.decide(now)) is not None:
             found.append(decision)
-            if decision.step in (Step.TURN_BACK, Step.BREAK_OFF) and decision.guest in made.guests:
-                made.dispatch_ended(now, decision.guest, Ending.OVERDUE, True, Remark.NONE)
-        found.append(Decision(Step.PROBE, "next", str(made.next_look(now))))
+            if decision.kind in (DecisionKind.REFUSE, DecisionKind.FAIL) and decision.guest in made.guests:
+                made.dispatch_ended(now, decision.guest, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE)
+        found.append(Decision(DecisionKind.PROBE, "next", str(made.next_decision_at(now))))
     return found
 
 
-def _happens(made: Any, now: int, name: str, random: Random) -> None:  # noqa: ANN401 - a Brain of either version
+def _random_event(made: Any, now: int, name: str, random: Random) -> None:  # noqa: ANN401 - a Scheduler of either version
     guest = made.guests[name]
     if not guest.placed and random.random() < 0.6:
-        made.dispatch_taken(now, name, random.randrange(5, 400) * MS)
-        made.guest_runs(now, name)
-        made.cores_used(now, name, random.random() * guest.ask.cores)
-        made.memory_used(now, name, random.random() * guest.ask.memory)
+        made.dispatch_accepted(now, name, random.randrange(5, 400) * MS)
+        made.guest_started(now, name)
+        made.cores_used(now, name, random.random() * guest.submission.cores)
+        made.memory_used(now, name, random.random() * guest.submission.memory)
     else:
-        ending = random.choice(
+        outcome = random.choice(
             [
-                Ending.TURNED_BACK,
-                Ending.TURNED_BACK,
-                Ending.OVERDUE,
-                Ending.CUT_OFF,
-                Ending.NO_CONNECTION,
-                Ending.DONE,
-                Ending.ERROR,
+                DispatchOutcome.REFUSED,
+                DispatchOutcome.REFUSED,
+                DispatchOutcome.TIMED_OUT,
+                DispatchOutcome.INTERRUPTED,
+                DispatchOutcome.UNREACHABLE,
+                DispatchOutcome.COMPLETED,
+                DispatchOutcome.ERROR,
             ]
         )
-        made.dispatch_ended(now, name, ending, False, random.choice(list(Remark)))
+        made.dispatch_ended(now, name, outcome, False, random.choice(list(OutcomeReason)))
 
 
 def compare(old: ModuleType, seeds: int, steps: int) -> dict[str, Any]:
@@ -178,11 +165,11 @@
     p99 = dict.fromkeys(best, 1e12)
     for _ in range(rounds):
         for name, module in (("earlier", old), ("today", today)):
-            throughput.Brain = module.Brain
-            said = throughput.alone(machines, running, guests, planners)
-            best[name] = max(best[name], said["guests_a_second"])
-            p99[name] = min(p99[name], said["p99_us"])
-    throughput.Brain = today.Brain
+            throughput.Scheduler = module.Scheduler
+            result = throughput.alone(machines, running, guests, planners)
+            best[name] = max(best[name], result["guests_a_second"])
+            p99[name] = min(p99[name], result["p99_us"])
+    throughput.Scheduler = today.Scheduler
     return {
         "machines": machines,
         "running": running,
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -1,26 +1,23 @@
-"""Two versions of the decision module on the same emulated days: paired differences, not lone averages.
+"""Compares two versions of the scheduler on the same emulated days by paired differences.
 
-Run as `python -m bench.paired --against REVISION --days 60`. Days are drawn as the hunt draws them (fleets,
-habits, troubles; hazelhold/rehearse/hunt.py) and played by the fleet emulator with today's module and with
-the earlier one. Told are the mean difference of the service score with its 95 per cent interval (normal,
-over days), how many days got better and worse, and broken rules of both. `--file` takes a module from a file
-in place of a revision.
+Run as `python -m bench.paired --against REVISION --days 60`. Days are drawn as the hunt draws them
+(fleets, settings, faults; hazelhold/rehearse/hunt.py) and played by the fleet emulator with the present
+module and with the earlier one. The output has the mean difference of the service score with its 95 per
+cent interval (normal, over days), the number of days that got better and worse, and the rule violations
+of both. `--file` reads the other module from a file instead of a revision.
 """
 
 import argparse
-import importlib.util
 import json
-import sys
 from concurrent.futures import ProcessPoolExecutor
 from math import sqrt
 from pathlib import Path
 from statistics import mean, stdev
-from types import ModuleType
 from typing import Any
 
 import structlog
 
-from bench.module import earlier
+from bench.earlier_module import earlier, load_module
 from hazelhold.config.day import read_day
 from hazelhold.emulate.fleet import play_fleet
 from hazelhold.engine import engine
@@ -29,28 +26,23 @@
 EXAMPLE = Path(__file__).parent.parent / "examples" / "bad-day.json5"
 
 
-def load(path: str) -> ModuleType:
-    spec = importlib.util.spec_from_file_location("other_brain", path)
-    module = importlib.util.module_from_spec(spec)
-    sys.modules["other_brain"] = module
-    spec.loader.exec_module(module)
-    return module
-
-
 def one(seed: int, length: float, revision: str, file: str) -> dict[str, Any]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    today = engine.Brain
+    today = engine.Scheduler
     found = {}
-    for name, brain in (("today", today), ("other", (load(file) if file else earlier(revision)).Brain)):
-        engine.Brain = brain
-        said = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
+    for name, scheduler in (
+        ("today", today),
+        ("other", (load_module(Path(file).read_text()) if file else earlier(revision)).Scheduler),
+    ):
+        engine.Scheduler = scheduler
+        result = play_fleet(draw(read_day(EXAMPLE), seed, length), seed)
         found[name] = {
-            "service": said["service"]["service"],
-            "broken": len(said["rules_broken"]),
-            "dispatches": said["counts"].get("dispatches", 0),
-            "starts": said["counts"].get("starts", 0),
+            "service": result["service"]["service"],
+            "broken": len(result["rules_broken"]),
+            "dispatches": result["counts"].get("dispatches", 0),
+            "starts": result["counts"].get("starts", 0),
         }
-    engine.Brain = today
+    engine.Scheduler = today
     return {"seed": seed, **found}
 
 
--- a/hazelhold/config/planner.py
+++ b/hazelhold/config/planner.py
@@ -19,16 +19,16 @@
 Millis = Annotated[float, Meta(gt=0, le=86_400_000)]
 Whole = Annotated[int, Meta(ge=0, le=1 << 31)]
 REPEAT_SEMANTICS = {
-    "rerunnable": interface.Effect.RERUNNABLE,
-    "ticketed": interface.Effect.TICKETED,
-    "exclusive": interface.Effect.EXCLUSIVE,
+    "rerunnable": interface.RepeatSemantics.IDEMPOTENT,
+    "ticketed": interface.RepeatSemantics.DEDUPLICATED,
+    "exclusive": interface.RepeatSemantics.AT_MOST_ONCE,
 }
 SCOPES = {
-    "nowhere": interface.Place.NOWHERE,
-    "machine": interface.Place.MACHINE,
-    "cell": interface.Place.CELL,
-    "zone": interface.Place.ZONE,
-    "all": interface.Place.ALL,
+    "nowhere": interface.Scope.NOWHERE,
+    "machine": interface.Scope.MACHINE,
+    "cell": interface.Scope.CELL,
+    "zone": interface.Scope.ZONE,
+    "all": interface.Scope.ALL,
 }
 
 
@@ -351,40 +351,40 @@
     estate, fleet = config.estate, config.estate.fleet
     kinds = [k.name for k in estate.kinds]
     products = tuple(
-        interface.Product(
-            effect=REPEAT_SEMANTICS[p.effect],
-            group=SCOPES[p.group],
-            window=to_microseconds(p.window_ms),
-            goal_time=to_microseconds(p.goal_ms),
-            payoff=p.payoff,
-            start_bonus=p.start_bonus_s,
+        interface.GuestClass(
+            repeat=REPEAT_SEMANTICS[p.effect],
+            dedup_scope=SCOPES[p.group],
+            dedup_window=to_microseconds(p.window_ms),
+            start_target=to_microseconds(p.goal_ms),
+            value=p.payoff,
+            start_value=p.start_bonus_s,
             priority=p.priority,
-            easy_until=p.easy_until,
-            lost_after=p.lost_after,
-            kind=kinds.index(p.kind) if p.kind else -1,
-            spread=SCOPES[p.spread],
-            spread_most=p.spread_most,
+            full_service_load=p.easy_until,
+            service_fade=p.lost_after,
+            machine_kind=kinds.index(p.kind) if p.kind else -1,
+            spread_scope=SCOPES[p.spread],
+            spread_limit=p.spread_most,
         )
         for p in estate.products
     )
     return interface.Deployment(
         planners=config.planners,
         slot=config.slot,
-        products=products,
-        kinds=tuple(interface.Kind(k.cores, k.memory) for k in estate.kinds),
-        list_is_asked=config.list.asked,
-        ask_within=to_microseconds(config.list.ask_within_ms),
-        list_has_room=config.list.has_room,
+        guest_classes=products,
+        machine_kinds=tuple(interface.MachineKind(k.cores, k.memory) for k in estate.kinds),
+        list_is_polled=config.list.asked,
+        list_poll_limit=to_microseconds(config.list.ask_within_ms),
+        list_shows_free=config.list.has_room,
         cores_multiple=fleet.cores_multiple,
         memory_multiple=fleet.memory_multiple,
-        makes_room=fleet.makes_room,
-        confirms_running=fleet.confirms == "running",
+        preempts=fleet.makes_room,
+        confirms_when_running=fleet.confirms == "running",
         probing=fleet.probing,
-        reports_count_asked=fleet.reports_count == "asked",
+        reports_count_requested=fleet.reports_count == "asked",
         max_dispatches=fleet.max_dispatches,
-        cold_for=to_microseconds(fleet.cold_for_ms),
+        warmup_time=to_microseconds(fleet.cold_for_ms),
         cold_from=fleet.cold_from,
-        cold_window=to_microseconds(fleet.cold_window_ms),
+        cold_budget_window=to_microseconds(fleet.cold_window_ms),
         cold_offers=fleet.cold_offers,
         fleet_price=fleet.price,
     )
--- a/hazelhold/engine/address_reuse.py
+++ b/hazelhold/engine/address_reuse.py
@@ -7,7 +7,7 @@
 from hazelhold.engine.machines import Link, RosterChanges, RosterMachine
 from hazelhold.engine.records import GuestRecord
 from hazelhold.engine.verification import GuestVerification
-from hazelhold.interface import Mode
+from hazelhold.interface import MachineMode
 
 
 class AddressReuse(GuestVerification):
@@ -64,7 +64,7 @@
         self._detach(record)
         record.machine = machine
         self._attach(record)
-        self.brain.guest_found(now, machine, self._submission(record, 0))
+        self.scheduler.guest_discovered(now, machine, self._submission(record, 0))
         self._guest_event("moved", record, f"from {previous}, whose address it has")
         self.counts["tasks_inherited"] += 1
         if ended:
@@ -81,7 +81,7 @@
                 continue
             del self.unconfirmed_links[name]
             listed = self.roster.machines.get(name)
-            if link is not None and listed is not None and listed.mode is Mode.READY:
+            if link is not None and listed is not None and listed.mode is MachineMode.READY:
                 link.unconfirmed = False
                 for each in link.guests:
                     self.records[each].sent_unconfirmed = False
--- a/hazelhold/engine/claiming.py
+++ b/hazelhold/engine/claiming.py
@@ -5,7 +5,7 @@
 
 from hazelhold.engine.dispatches import Dispatches
 from hazelhold.engine.records import Claimed, Claims, GuestRecord, Verdict
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
 
 
@@ -52,7 +52,7 @@
         """
         self.counts["not_agreed_" + reason[:20]] += 1
         if record.unsettled_machine or self.abandoned.get(record.guest):
-            self._not_sent(now, record, Ending.NOT_SENT)
+            self._not_sent(now, record, DispatchOutcome.NOT_SENT)
             return
         self._release(now, record.guest, open_ or record.claim)
         self._drop_guest(now, record)
@@ -96,9 +96,11 @@
     def _drop_guest(self, now: int, record: GuestRecord) -> None:
         """Takes the guest from the scheduler: the claim, or the lack of one, is its answer."""
         self._detach(record)
-        self.brain.guest_left(now, record.name)
+        self.scheduler.guest_abandoned(now, record.name)
         if record.machine:
-            self.brain.dispatch_ended(now, record.name, Ending.NOT_SENT, True, Remark.NONE)
+            self.scheduler.dispatch_ended(
+                now, record.name, DispatchOutcome.NOT_SENT, True, OutcomeReason.NONE
+            )
         record.machine = ""
 
     def _query_answered(self, now: int, verdict: Verdict) -> None:
--- a/hazelhold/engine/dispatches.py
+++ b/hazelhold/engine/dispatches.py
@@ -1,11 +1,11 @@
 """Dispatches of guests, from the decision to their end: offers, timeouts, abandoned dispatches, answers."""
 
-from hazelhold.brain import NEVER_RAN
 from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.records import AbandonedDispatch, GuestRecord
 from hazelhold.engine.tables import OutstandingProbe, Tables
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import NEVER_RAN
 
 # Microseconds: a message written so shortly before a connection ended may not have been read.
 CROSSING_WINDOW = 1_000_000
@@ -26,7 +26,7 @@
         self._attach(record)
         listed = self.roster.machines.get(machine)
         if listed is None:
-            self._not_sent(now, record, Ending.NO_CONNECTION)
+            self._not_sent(now, record, DispatchOutcome.UNREACHABLE)
             return
         link = self._dial(now, listed)
         if link.state == "up" and link.inventory_known:
@@ -58,8 +58,8 @@
         record.sent, record.sent_at, record.incarnation = True, now, link.incarnation
         record.sent_claim, record.sent_unconfirmed = record.claim, link.unconfirmed
         self._mark_changed("guest", record.name)
-        host = self.brain.machines.get(record.machine)
-        if host and now - host.cold_at < self.deployment.cold_for:
+        host = self.scheduler.machines.get(record.machine)
+        if host and now - host.cold_at < self.deployment.warmup_time:
             self._mark_changed("cold", record.machine)
         self.counts["dispatches"] += 1
         self._send_machine(
@@ -81,17 +81,19 @@
             ),
         )
 
-    def _not_sent(self, now: int, record: GuestRecord, ending: Ending) -> None:
+    def _not_sent(self, now: int, record: GuestRecord, ending: DispatchOutcome) -> None:
         """An offer was never sent, which proves that it did not run."""
         if link := self.links.get(record.machine):
             link.queue.pop(record.name, None)
-        self._dispatch_ended(now, record, ending, Remark.NONE)
+        self._dispatch_ended(now, record, ending, OutcomeReason.NONE)
 
-    def _dispatch_ended(self, now: int, record: GuestRecord, ending: Ending, remark: Remark) -> None:
+    def _dispatch_ended(
+        self, now: int, record: GuestRecord, ending: DispatchOutcome, remark: OutcomeReason
+    ) -> None:
         """The outstanding dispatch is over; the guest is held again, or answered by what follows."""
         self._detach(record)
         self.monitor.dispatch_ended(record.name, ending not in NEVER_RAN)
-        self._guest_event("ended", record, f"{ending.name.lower()} {remark.name.lower()}")
+        self._guest_event("ended", record, f"{ending.label} {remark.label}")
         if ending not in NEVER_RAN:
             record.unsettled_machine, record.may_have_run_since = (
                 record.machine,
@@ -99,7 +101,7 @@
             )
         record.machine = ""
         self._mark_changed("guest", record.name)
-        self.brain.dispatch_ended(now, record.name, ending, False, remark)
+        self.scheduler.dispatch_ended(now, record.name, ending, False, remark)
         self._settle_copies(now, record.guest)
 
     def _guest_gone(
@@ -107,20 +109,22 @@
         now: int,
         record: GuestRecord,
         how: str,
-        ending: Ending = Ending.CUT_OFF,
-        remark: Remark = Remark.NONE,
+        ending: DispatchOutcome = DispatchOutcome.INTERRUPTED,
+        remark: OutcomeReason = OutcomeReason.NONE,
     ) -> None:
         """A placed guest has ended, or the machine of an outstanding dispatch is lost."""
         if not record.placed:
             self._withdraw_dispatch(now, record)
-            self._dispatch_ended(now, record, Ending.CUT_OFF if record.sent else Ending.NOT_SENT, remark)
+            self._dispatch_ended(
+                now, record, DispatchOutcome.INTERRUPTED if record.sent else DispatchOutcome.NOT_SENT, remark
+            )
             return
         self.counts["ended_" + how[:20]] += 1
         self._guest_event("released", record, how)
         if how != "lost":  # one that cannot be reached may run on
             self._report_fact(now, record, "over", how)
         self._detach(record)
-        self.brain.dispatch_ended(now, record.name, ending, True, remark)
+        self.scheduler.dispatch_ended(now, record.name, ending, True, remark)
         self._forget(record)
         if self.peers.owners_resubmit:
             self._record_end(now, record.guest, how)
@@ -155,7 +159,7 @@
         up = link is not None and link.state == "up"
         if record and record.machine == machine:
             if not record.placed and not record.sent:
-                self._not_sent(now, record, Ending.NOT_SENT)
+                self._not_sent(now, record, DispatchOutcome.NOT_SENT)
             elif up:
                 kind = m.Stop if record.placed else m.Withdraw
                 self._send_machine(
@@ -186,7 +190,9 @@
         if record.machine:
             self._withdraw_dispatch(now, record)
             self._detach(record)
-            self.brain.dispatch_ended(now, record.name, Ending.OVERDUE, True, Remark.NONE)
+            self.scheduler.dispatch_ended(
+                now, record.name, DispatchOutcome.TIMED_OUT, True, OutcomeReason.NONE
+            )
             self.monitor.dispatch_ended(record.name, may_have_run=record.sent)
             record.machine = ""
         self._answer(now, record, message, record.unanswered_submissions)
@@ -202,7 +208,8 @@
         )
         if not self.peers.owners_resubmit:
             self._violated(
-                self.monitor.answered(record.name, self.deployment.products[record.product].effect), record
+                self.monitor.answered(record.name, self.deployment.guest_classes[record.product].repeat),
+                record,
             )
         keep = now + to_microseconds(self.limits.keep_answers_ms)
         for ask in list(asks):
@@ -235,8 +242,8 @@
                 continue
             held = self.newest_records.get(guest)
             record = held or abandoned.record
-            self.brain.copy_stands(now, abandoned.machine, self._submission(record, 0))
-            mine = self.brain.guests.get(record.name)
+            self.scheduler.late_copy_accepted(now, abandoned.machine, self._submission(record, 0))
+            mine = self.scheduler.guests.get(record.name)
             if held and held.machine or not (mine and mine.placed):
                 continue
             self._forget_abandoned(guest, abandoned.machine)
@@ -258,7 +265,7 @@
                     record.unanswered_submissions,
                 )
             if record.cancelled:
-                self.brain.guest_cancelled(now, record.name)
+                self.scheduler.guest_cancelled(now, record.name)
 
     def _send_about_guest(self, now: int, machine: str, message: m.Message) -> None:
         """Sends a message about a placed guest, on the next connection if none is open.
@@ -299,4 +306,4 @@
 
     def _probe_over(self, now: int, machine: str, well: bool) -> None:
         if self.probes.pop(machine, None):
-            self.brain.probe_answered(now, machine, well)
+            self.scheduler.probe_answered(now, machine, well)
--- a/hazelhold/engine/engine.py
+++ b/hazelhold/engine/engine.py
@@ -18,7 +18,7 @@
 from hazelhold.engine.owners import Owners
 from hazelhold.engine.persistence import StatePersistence, recover
 from hazelhold.engine.records import FetchList, HangUp
-from hazelhold.interface import Decision, Ending, Remark, Step
+from hazelhold.interface import Decision, DecisionKind, DispatchOutcome, OutcomeReason
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import Change
 from hazelhold.state.state_table import StateTable
@@ -49,7 +49,7 @@
         """
         self.persistence_healthy = well
         self.counts["state_failures"] += not well
-        self.brain.state_kept(now, well)
+        self.scheduler.persistence_changed(now, well)
 
     def offer_held_back(self, now: int, offer: m.Offer) -> None:
         """An offer was not sent, since the state that it depends on could not be stored."""
@@ -61,8 +61,8 @@
             and (record.submission_number, record.dispatch_number) == (offer.ask, offer.attempt)
         ):
             if self.deployment.list_lease:
-                self.brain.dispatch_held_back(now, record.name)
-            self._not_sent(now, record, Ending.NOT_SENT)
+                self.scheduler.dispatch_not_sent(now, record.name)
+            self._not_sent(now, record, DispatchOutcome.NOT_SENT)
 
     # Time.
 
@@ -75,7 +75,7 @@
         self._handle_timeouts(now)
         self._report_lease(now)
         for _ in range(self.decision_batch):
-            decision = self.brain.decide(now)
+            decision = self.scheduler.decide(now)
             self.more = decision is not None
             if decision is None:
                 return
@@ -85,7 +85,7 @@
         """When to pump again if nothing happens; None if nothing is due."""
         if self.more:
             return now
-        times = [t for t in (self.brain.next_look(now), self.list_due) if t]
+        times = [t for t in (self.scheduler.next_decision_at(now), self.list_due) if t]
         if self.overdue:
             times.append(self.overdue[0][0])
         times += [probe.due for probe in self.probes.values()]
@@ -112,11 +112,13 @@
             if record and record.machine and not record.placed and record.dispatch_number == dispatch_number:
                 if record.sent:
                     self._withdraw_dispatch(now, record)
-                    self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
+                    self._dispatch_ended(now, record, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
                 else:  # on a link that is up, it was waiting for its claim
                     link = self.links.get(record.machine)
                     waited = link is not None and link.state == "up" and link.inventory_known
-                    self._not_sent(now, record, Ending.NOT_SENT if waited else Ending.NO_CONNECTION)
+                    self._not_sent(
+                        now, record, DispatchOutcome.NOT_SENT if waited else DispatchOutcome.UNREACHABLE
+                    )
         for machine, probe in list(self.probes.items()):
             if probe.due <= now:
                 self._probe_unanswered(now, machine, probe.due - to_microseconds(self.limits.probe_ms))
@@ -168,9 +170,9 @@
 
     def _carry_out(self, now: int, decision: Decision) -> None:
         step, name, machine, timeout = decision
-        if step is Step.DISPATCH:
+        if step is DecisionKind.DISPATCH:
             self._dispatch(now, self.records[name], machine, timeout)
-        elif step is Step.TURN_BACK:
+        elif step is DecisionKind.REFUSE:
             record = self.records[name]
             why = "cancelled" if record.cancelled else "stopping" if self.stopping else "no_machine"
             later = 0 if record.cancelled else self._retry_after(now, record.guest, timeout)
@@ -181,7 +183,7 @@
                     guest=record.guest, ask=record.submission_number, reason=why, again_after=later
                 ),
             )
-        elif step is Step.BREAK_OFF:
+        elif step is DecisionKind.FAIL:
             record = self.records[name]
             why = (
                 "cancelled"
@@ -193,11 +195,11 @@
             self._final_answer(
                 now, record, m.GuestFailed(guest=record.guest, ask=record.submission_number, reason=why)
             )
-        elif step is Step.CALL_OFF:
+        elif step is DecisionKind.WITHDRAW:
             self._withdraw(now, name, machine)
-        elif step is Step.PROBE:
+        elif step is DecisionKind.PROBE:
             self._probe(now, machine)
-        elif step is Step.FOLLOW_LIST:
+        elif step is DecisionKind.WATCH_LIST:
             self.list_due = now + 2_000_000
             self.actions.append(FetchList(self.list_version))
 
@@ -212,7 +214,7 @@
         self.stopping = True
         for record in list(self.records.values()):
             if not record.placed:
-                self.brain.guest_cancelled(now, record.name)
+                self.scheduler.guest_cancelled(now, record.name)
         self._pump_all(now)
 
     def stop_now(self, now: int) -> None:
@@ -220,7 +222,7 @@
         for record in list(self.records.values()):
             if record.machine and not record.placed:
                 self._withdraw_dispatch(now, record)
-                self._dispatch_ended(now, record, Ending.OVERDUE, Remark.NONE)
+                self._dispatch_ended(now, record, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
         self._pump_all(now)
 
     def _pump_all(self, now: int) -> None:
--- a/hazelhold/engine/link_loss.py
+++ b/hazelhold/engine/link_loss.py
@@ -4,7 +4,7 @@
 from hazelhold.engine.dispatches import Dispatches
 from hazelhold.engine.machines import Link
 from hazelhold.engine.records import HangUp
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 
 
 class LinkLoss(Dispatches):
@@ -21,7 +21,7 @@
             for name in list(link.guests):
                 record = self.records[name]
                 if record.sent and not record.placed:
-                    self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
+                    self._dispatch_ended(now, record, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)
         if (
             not self.peers.reports_inventory
             and link.machine not in self.roster.machines
@@ -59,7 +59,7 @@
 
     def _drop_queue(self, now: int, link: Link) -> None:
         for name in list(link.queue):
-            self._not_sent(now, self.records[name], Ending.NO_CONNECTION)
+            self._not_sent(now, self.records[name], DispatchOutcome.UNREACHABLE)
 
     def _awaits_successor(self, link: Link) -> bool:
         """Whether a guest there may be on another machine, which the list will show with this address."""
--- a/hazelhold/engine/links.py
+++ b/hazelhold/engine/links.py
@@ -6,25 +6,25 @@
 from hazelhold.engine.liveness import LivenessChecks
 from hazelhold.engine.machines import Link
 from hazelhold.engine.records import AbandonedDispatch, Disconnect, GuestRecord, HangUp
-from hazelhold.interface import Ending, Load, Remark
+from hazelhold.interface import DispatchOutcome, Load, OutcomeReason
 from hazelhold.protocol import messages as m
 
 ENDINGS = {
-    "done": (Ending.DONE, Remark.NONE),
-    "error": (Ending.ERROR, Remark.NONE),
-    "evicted": (Ending.CUT_OFF, Remark.EVICTED),
-    "pushed_out": (Ending.CUT_OFF, Remark.PUSHED_OUT),
-    "sent_away": (Ending.CUT_OFF, Remark.SENT_AWAY),
-    "stopped": (Ending.CALLED_OFF, Remark.NONE),
-    "withdrawn": (Ending.TURNED_BACK, Remark.NONE),
-    "not_sent": (Ending.NOT_SENT, Remark.NONE),
+    "done": (DispatchOutcome.COMPLETED, OutcomeReason.NONE),
+    "error": (DispatchOutcome.ERROR, OutcomeReason.NONE),
+    "evicted": (DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+    "pushed_out": (DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+    "sent_away": (DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+    "stopped": (DispatchOutcome.WITHDRAWN, OutcomeReason.NONE),
+    "withdrawn": (DispatchOutcome.REFUSED, OutcomeReason.NONE),
+    "not_sent": (DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
 }
 ENDS_AFTER_ACCEPTANCE = ("evicted", "pushed_out", "sent_away")  # ends of guests that were accepted
 REMARKS = {
-    "no_cores": Remark.NO_CORES,
-    "no_memory": Remark.NO_MEMORY,
-    "line_full": Remark.LINE_FULL,
-    "not_here": Remark.NOT_HERE,
+    "no_cores": OutcomeReason.NO_CORES,
+    "no_memory": OutcomeReason.NO_MEMORY,
+    "line_full": OutcomeReason.QUEUE_FULL,
+    "not_here": OutcomeReason.NOT_ACCEPTED,
 }
 
 
@@ -145,18 +145,18 @@
             self._inventory_received(now, link, message)
             return
         if isinstance(message, m.Report):
-            self.brain.machine_reported(now, machine, load(message.load))
+            self.scheduler.machine_reported(now, machine, load(message.load))
             if machine in self.probes and self.probes[machine].number == message.number:
                 self._probe_answered(now, link, message.well)
                 self._probe_over(now, machine, message.well)
             return
         if isinstance(message, m.MemoryPressure):
-            self.brain.memory_pressed(now, machine, message.share)
+            self.scheduler.memory_pressure_reported(now, machine, message.share)
             return
         if not isinstance(message, m.DispatchMessage):
             return
         if (report := getattr(message, "load", None)) is not None:
-            self.brain.machine_reported(now, machine, load(report))
+            self.scheduler.machine_reported(now, machine, load(report))
         for record in (
             self.newest_records.get(message.guest),
             self.records.get(f"{message.guest}/{message.ask}"),
@@ -185,12 +185,12 @@
             and not self.peers.reports_inventory
         ):
             # The withdrawal ends what was accepted, and no message follows that could be passed to the owner.
-            self._dispatch_ended(now, record, Ending.CALLED_OFF, Remark.NONE)
+            self._dispatch_ended(now, record, DispatchOutcome.WITHDRAWN, OutcomeReason.NONE)
         elif isinstance(message, m.OfferAccepted) and not record.placed:
             record.placed = True
             self._mark_changed("guest", record.name)
             self._report_fact(now, record, "placed")
-            self.brain.dispatch_taken(now, record.name, now - record.sent_at)
+            self.scheduler.dispatch_accepted(now, record.name, now - record.sent_at)
             if self.peers.advises_retry:
                 self.retry_advisor.placed(now, record.guest)
             self._answer(
@@ -208,18 +208,20 @@
                 self._move_guest(now, record, link.successor)
         elif isinstance(message, m.OfferRefused) and not record.placed:
             self.counts["refused_" + message.remark[:20]] += 1
-            self._dispatch_ended(now, record, Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+            self._dispatch_ended(
+                now, record, DispatchOutcome.REFUSED, REMARKS.get(message.remark, OutcomeReason.NONE)
+            )
         elif isinstance(message, m.Started):
-            self.brain.guest_runs(now, record.name)
+            self.scheduler.guest_started(now, record.name)
         elif isinstance(message, m.ResourceUse):
             if message.cores is not None:
-                self.brain.cores_used(now, record.name, message.cores)
+                self.scheduler.cores_used(now, record.name, message.cores)
             if message.memory is not None:
-                self.brain.memory_used(now, record.name, message.memory)
+                self.scheduler.memory_used(now, record.name, message.memory)
         elif isinstance(message, m.ServiceLevel):
-            self.brain.guest_served(now, record.name, message.share)
+            self.scheduler.service_level_reported(now, record.name, message.share)
         elif isinstance(message, m.Ended):
-            ending, remark = ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE))
+            ending, remark = ENDINGS.get(message.how, (DispatchOutcome.INTERRUPTED, OutcomeReason.NONE))
             if record.placed:
                 self._guest_gone(now, record, message.how, ending, remark)
             else:
@@ -235,7 +237,7 @@
         """
         if self.peers.reports_inventory:
             return False
-        return how == "done" or how in ENDS_AFTER_ACCEPTANCE and not self.deployment.confirms_running
+        return how == "done" or how in ENDS_AFTER_ACCEPTANCE and not self.deployment.confirms_when_running
 
     def _ended_before_acceptance(self, now: int, record: GuestRecord) -> None:
         """The machine's answer is late, and the guest that it accepted is over.
@@ -246,7 +248,7 @@
         self.counts["over_before_answer"] += 1
         record.cancelled = True
         self._mark_changed("guest", record.name)
-        self.brain.guest_cancelled(now, record.name)
+        self.scheduler.guest_cancelled(now, record.name)
 
     def _abandoned_message(self, now: int, machine: str, message: m.DispatchMessage) -> None:
         """A message about a dispatch that was abandoned, or about an unknown guest."""
@@ -300,19 +302,19 @@
                 item
                 and item.state != "line"
                 and not record.placed
-                and not (item.state == "accepted" and self.deployment.confirms_running)
+                and not (item.state == "accepted" and self.deployment.confirms_when_running)
             ):
                 self._dispatch_message(
                     now, record, m.OfferAccepted(guest=record.guest, ask=record.submission_number)
                 )
             if item and item.state == "runs":
-                self.brain.guest_runs(now, name)
+                self.scheduler.guest_started(now, name)
             if item is None and record.placed:
                 self._guest_gone(now, record, "lost")
             elif item is None and same_incarnation and running.complete:
                 self._never_arrived(now, record)
             elif item is None:
-                self._dispatch_ended(now, record, Ending.CUT_OFF, Remark.NONE)
+                self._dispatch_ended(now, record, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)
         for guest in [g for g, by in self.abandoned.items() if link.machine in by]:
             abandoned = self.abandoned[guest][link.machine]
             item = there.pop((guest, abandoned.record.submission_number), None)
@@ -321,7 +323,7 @@
             elif item.state == "line":
                 abandoned.recheck_at = now  # withdrawn once more
             elif not abandoned.accepted and (
-                item.state == "runs" or item.state == "accepted" and not self.deployment.confirms_running
+                item.state == "runs" or item.state == "accepted" and not self.deployment.confirms_when_running
             ):
                 self._late_acceptance(now, abandoned)
         for item in there.values():
@@ -336,7 +338,7 @@
         found = {s.service for s in there.values() if s.state in ("runs", "accepted")}
         for name in list(link.queue):
             if self.records[name].submit.service in found:
-                self._not_sent(now, self.records[name], Ending.NOT_SENT)
+                self._not_sent(now, self.records[name], DispatchOutcome.NOT_SENT)
             else:
                 self._offer(now, self.records[name])
         if link.machine in self.probes:
@@ -350,7 +352,7 @@
         """
         if record.claim and self.claims is not None and not self.claims.mine(record.claim):
             record.claim = record.sent_claim = b""
-        self._dispatch_ended(now, record, Ending.NOT_SENT, Remark.NONE)
+        self._dispatch_ended(now, record, DispatchOutcome.NOT_SENT, OutcomeReason.NONE)
 
     def _guest_found(self, now: int, link: Link, item: m.InventoryItem) -> None:
         """A guest of this planner runs that it does not know: it is from before its start."""
@@ -371,7 +373,7 @@
             return
         record.machine, record.sent, record.placed = link.machine, True, True
         if held:  # submitted again while its planner was away: the running guest is the answer
-            self.brain.guest_left(now, held.name)
+            self.scheduler.guest_abandoned(now, held.name)
             self._answer(
                 now,
                 held,
@@ -384,7 +386,7 @@
         record.incarnation = link.incarnation
         self._attach(record)
         self._mark_changed("guest", name)
-        self.brain.guest_found(now, link.machine, self._submission(record, 0))
+        self.scheduler.guest_discovered(now, link.machine, self._submission(record, 0))
         self._report_fact(now, record, "placed")
 
 
--- a/hazelhold/engine/list_updates.py
+++ b/hazelhold/engine/list_updates.py
@@ -8,7 +8,7 @@
 from hazelhold.engine.machine_incarnations import previous_incarnation_ended
 from hazelhold.engine.machines import Link, RosterChanges
 from hazelhold.engine.records import HangUp, VerificationCause
-from hazelhold.interface import Ending
+from hazelhold.interface import DispatchOutcome
 from hazelhold.protocol import messages as m
 
 
@@ -30,13 +30,13 @@
             self.persistence.listing_received(message)
         self.counts["list_entries"] += len(message.entries)
         self.counts["list_faults"] += len(changes.faults)
-        self.brain.machines_listed(now, changes.listed, message.whole)
+        self.scheduler.machines_listed(now, changes.listed, message.whole)
         if not first:  # the whole list at a start is one log line, written there
             self._log_changes(now, changes)
         for name in changes.draining:  # what was not sent yet must not go there any more
             if link := self.links.get(name):
                 for record_name in list(link.queue):
-                    self._not_sent(now, self.records[record_name], Ending.NOT_SENT)
+                    self._not_sent(now, self.records[record_name], DispatchOutcome.NOT_SENT)
         for name in changes.moved:
             if name in self.links:
                 self.actions.append(HangUp(name))
@@ -115,7 +115,7 @@
     def list_unchanged(self, now: int) -> None:
         """The list service answered that nothing changed."""
         self.list_due = 0
-        self.brain.list_heard(now)
+        self.scheduler.list_unchanged(now)
 
     def list_call_failed(self, now: int) -> None:
         """A call to the list service failed, so it does not renew the lease."""
@@ -133,7 +133,7 @@
         if holds is self.list_taken:
             return
         self.list_taken = holds
-        self.brain.list_taken(now, holds)
+        self.scheduler.list_currency_changed(now, holds)
         as_of, lapse = self.lease.confirmed_as_of, self.lease.lapse
         self.events.append(
             ListEvent(holds, lapse.value if lapse else "confirmed", -1 if as_of is None else now - as_of)
@@ -144,4 +144,4 @@
         """The list service refused, did not answer in time, or its connection broke."""
         self.list_due = 0
         self.counts["list_failures"] += 1
-        self.brain.list_failed(now)
+        self.scheduler.list_failed(now)
--- a/hazelhold/engine/liveness.py
+++ b/hazelhold/engine/liveness.py
@@ -51,7 +51,7 @@
             self._machine_event("test_passed" if well else "test_failed", link.machine)
         link.passes_probes = well
         if not well and self.deployment.list_lease:
-            self.brain.machine_refuses(now, link.machine)
+            self.scheduler.machine_refuses(now, link.machine)
 
     def _probe_unanswered(self, now: int, machine: str, since: int) -> None:
         """A probe was not answered.
--- a/hazelhold/engine/machines.py
+++ b/hazelhold/engine/machines.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hazelhold.interface import Listed, Mode
+from hazelhold.interface import ListedMachine, MachineMode
 from hazelhold.protocol.messages import Entry, Listing, Message
 
 MAX_PAST_CONNECTIONS = 8  # ended connections that are remembered for a machine
 
-MODES = {"ready": Mode.READY, "cordoned": Mode.CORDONED, "gone": Mode.GONE}
+MODES = {"ready": MachineMode.READY, "cordoned": MachineMode.CORDONED, "gone": MachineMode.GONE}
 
 
 @dataclass
@@ -21,7 +21,7 @@
 
     name: str
     address: str
-    mode: Mode
+    mode: MachineMode
     incarnation: int
     started: int
     kind: int
@@ -92,7 +92,7 @@
 class RosterChanges:
     """What a listing changed in the roster."""
 
-    listed: list[Listed] = field(default_factory=list)
+    listed: list[ListedMachine] = field(default_factory=list)
     added: list[str] = field(default_factory=list)  # machines not known before, or in a new incarnation
     moved: list[str] = field(default_factory=list)  # machines with another address
     draining: list[str] = field(default_factory=list)  # machines that accept no new guests any more
@@ -133,7 +133,7 @@
             started = max(1, now - entry.up_for)
         kind = self.kinds.get(entry.kind, old.kind if old else 0)  # a drain counts whatever kind it names
         changes.listed.append(
-            Listed(
+            ListedMachine(
                 entry.machine,
                 mode,
                 started,
@@ -144,9 +144,9 @@
                 entry.memory_room,
             )
         )
-        if mode is not Mode.READY and (not old or old.mode is Mode.READY):
+        if mode is not MachineMode.READY and (not old or old.mode is MachineMode.READY):
             changes.draining.append(entry.machine)
-        if mode is Mode.GONE:
+        if mode is MachineMode.GONE:
             changes.gone.append(entry.machine)
             self.machines.pop(entry.machine, None)
             return
--- a/hazelhold/engine/monitor.py
+++ b/hazelhold/engine/monitor.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hazelhold.interface import Effect
+from hazelhold.interface import RepeatSemantics
 
 
 class Violation(Enum):
@@ -25,7 +25,7 @@
 class GuestAccount:
     """What the monitor has seen of one held guest."""
 
-    effect: Effect
+    effect: RepeatSemantics
     dispatches: int = 0
     outstanding_at: str = ""  # the machine of the outstanding dispatch
     may_have_run: bool = False
@@ -39,14 +39,16 @@
         self.max_dispatches = max_dispatches
         self.accounts: dict[str, GuestAccount] = {}  # by guest; emptied as guests are forgotten
 
-    def dispatch_sent(self, guest: str, machine: str, effect: Effect, list_holds: bool) -> list[Violation]:
+    def dispatch_sent(
+        self, guest: str, machine: str, effect: RepeatSemantics, list_holds: bool
+    ) -> list[Violation]:
         """Records that the bytes of an offer are about to be written; returns the rules that it violates."""
         account = self.accounts.setdefault(guest, GuestAccount(effect))
         account.dispatches += 1
         found = []
         if account.outstanding_at:
             found.append(Violation.TWO_OUT)
-        if account.may_have_run and effect is Effect.EXCLUSIVE:
+        if account.may_have_run and effect is RepeatSemantics.AT_MOST_ONCE:
             found.append(Violation.REPEATED)
         if account.answered:
             found.append(Violation.AFTER_ANSWER)
@@ -63,7 +65,7 @@
             account.may_have_run = account.may_have_run or may_have_run
             account.outstanding_at = ""
 
-    def answered(self, guest: str, effect: Effect) -> list[Violation]:
+    def answered(self, guest: str, effect: RepeatSemantics) -> list[Violation]:
         """Records that the final answer is about to be sent; returns the rules that this violates."""
         account = self.accounts.setdefault(guest, GuestAccount(effect))
         if account.answered:
--- a/hazelhold/engine/owners.py
+++ b/hazelhold/engine/owners.py
@@ -6,7 +6,7 @@
 from hazelhold.engine.records import GuestRecord
 from hazelhold.engine.tables import WaitingHandover
 from hazelhold.engine.verification import GuestVerification
-from hazelhold.interface import Earlier, Effect, Ending, Mode, Remark
+from hazelhold.interface import DispatchOutcome, EarlierDispatch, MachineMode, OutcomeReason, RepeatSemantics
 from hazelhold.protocol import messages as m
 
 # Rejections after which a retry makes sense.
@@ -76,20 +76,24 @@
             self._send_owner(owner, m.Acknowledged(guest=guest, ask=ask))
         earlier = self._earlier_dispatch(now, submit, old)
         record.unsettled_machine = earlier.machine if earlier else ""
-        self.brain.guest_arrived(now, self._submission(record, submit.patience, earlier))
+        self.scheduler.guest_submitted(now, self._submission(record, submit.patience, earlier))
         self._settle_copies(now, guest)
 
-    def _earlier_dispatch(self, now: int, submit: m.Submit, old: GuestRecord | None) -> Earlier | None:
+    def _earlier_dispatch(
+        self, now: int, submit: m.Submit, old: GuestRecord | None
+    ) -> EarlierDispatch | None:
         """The earliest dispatch of this guest that may have run or may still run, if any.
 
         It was abandoned, is being withdrawn, or was made before this planner started to a machine that has
         not reported yet.
         """
-        unsettled = [Earlier(l.machine, l.sent_at) for l in self.abandoned.get(submit.guest, {}).values()]
+        unsettled = [
+            EarlierDispatch(l.machine, l.sent_at) for l in self.abandoned.get(submit.guest, {}).values()
+        ]
         if old and old.sent:
-            unsettled.append(Earlier(old.machine, old.sent_at))
+            unsettled.append(EarlierDispatch(old.machine, old.sent_at))
         if (submit.ask or submit.reason) and self._may_have_unknown_guests():
-            unsettled.append(Earlier("", now))
+            unsettled.append(EarlierDispatch("", now))
         return min(unsettled, key=lambda e: e.sent_at, default=None)
 
     def _rejection(self, now: int, submit: m.Submit, is_reserved: bool) -> tuple[str, str] | None:
@@ -101,14 +105,14 @@
             return "unknown_customer", f"no customer is called {submit.customer!r}"
         if submit.patience > to_microseconds(self.limits.patience_ms):
             return "patience", f"patience is {self.limits.patience_ms:g} ms at most"
-        if not self.persistence_healthy and self.deployment.products[
+        if not self.persistence_healthy and self.deployment.guest_classes[
             self.products[submit.product]
-        ].effect is not (Effect.RERUNNABLE):
+        ].repeat is not (RepeatSemantics.IDEMPOTENT):
             return "not_kept", "the planner's disk fails: nothing is taken that must not run twice"
         if len(self.records) >= self.limits.open_guests:
             return "full", f"{self.limits.open_guests} guests are in hand"
         if self.peers.advises_retry and self.retry_advisor.cannot_be_served(
-            now, len(self.brain.waiting), submit.patience, is_reserved
+            now, len(self.scheduler.held), submit.patience, is_reserved
         ):
             return "overloaded", "the line is longer than this patience"
         return None
@@ -118,7 +122,7 @@
         guest = message.guest
         known = self.products.get(message.product)
         must_query = self.claims is not None and not (
-            known is not None and self.deployment.products[known].effect is Effect.RERUNNABLE
+            known is not None and self.deployment.guest_classes[known].repeat is RepeatSemantics.IDEMPOTENT
         )
         if must_query and not (
             guest in self.newest_records or self.abandoned.get(guest) or guest in self.ends
@@ -136,7 +140,7 @@
         self.counts["cancels"] += 1
         record.owner, record.cancelled = owner, True
         self._mark_changed("guest", record.name)
-        self.brain.guest_cancelled(now, record.name)
+        self.scheduler.guest_cancelled(now, record.name)
 
     def owner_left(self, now: int, guest: str) -> bool:
         """The owner waits no longer, or ends the placed guest: no answer and no report of an end is due.
@@ -159,10 +163,12 @@
             )
         elif record.machine:
             self._withdraw_dispatch(now, record)
-        self.brain.guest_left(now, record.name)
+        self.scheduler.guest_abandoned(now, record.name)
         if record.machine:
             self._detach(record)
-            self.brain.dispatch_ended(now, record.name, Ending.CALLED_OFF, True, Remark.NONE)
+            self.scheduler.dispatch_ended(
+                now, record.name, DispatchOutcome.WITHDRAWN, True, OutcomeReason.NONE
+            )
         self._forget(record)
         return True
 
@@ -172,7 +178,7 @@
         if record and not record.placed and not record.cancelled:
             self.counts["given_up"] += 1
             record.cancelled = True
-            self.brain.guest_cancelled(now, record.name)
+            self.scheduler.guest_cancelled(now, record.name)
 
     def adopt_guest(self, now: int, owner: str, machine: str, submit: m.Submit) -> str:
         """An owner hands over a guest that already runs on a machine.
@@ -221,7 +227,7 @@
         self._verify_handed_over(record)
         self._attach(record)
         self._guest_event("handed_over", record)
-        self.brain.guest_found(now, machine, self._submission(record, submit.patience))
+        self.scheduler.guest_discovered(now, machine, self._submission(record, submit.patience))
         link = self._dial(now, listed)
         link.heard_at = link.heard_at or now
         return ""
@@ -264,7 +270,10 @@
         if record is None or record.submission_number != offer.ask:
             self.denials[Denial.OVER] += 1
             return 0
-        product, listed = self.deployment.products[record.product], self.roster.machines.get(record.machine)
+        product, listed = (
+            self.deployment.guest_classes[record.product],
+            self.roster.machines.get(record.machine),
+        )
         max_dispatches, list_holds = self.deployment.max_dispatches, self.lease.holds(now)
         if denial := offer_denied(now, record, offer.attempt, product, max_dispatches, listed, list_holds):
             self.denials[denial] += 1
@@ -277,14 +286,14 @@
         record = self.newest_records[guest]
         record.offers += 1
         self.links[record.machine].offered_at = now
-        effect, list_holds = self.deployment.products[record.product].effect, self.lease.holds(now)
+        effect, list_holds = self.deployment.guest_classes[record.product].repeat, self.lease.holds(now)
         self._violated(self.monitor.dispatch_sent(record.name, record.machine, effect, list_holds), record)
         as_of = self.lease.confirmed_as_of
         self._guest_event("sent", record, "" if as_of is None else f"list of {(now - as_of) // 1000} ms ago")
 
     def ready(self) -> bool:
         """Whether guests can be placed: some listed machine accepts them."""
-        return not self.stopping and any(f.mode is Mode.READY for f in self.roster.machines.values())
+        return not self.stopping and any(f.mode is MachineMode.READY for f in self.roster.machines.values())
 
     def _state(self, message: m.GuestMessage) -> m.State:
         guest, ask = message.guest, message.ask
--- a/hazelhold/engine/permission.py
+++ b/hazelhold/engine/permission.py
@@ -9,7 +9,7 @@
 
 from hazelhold.engine.machines import RosterMachine
 from hazelhold.engine.records import GuestRecord
-from hazelhold.interface import Effect, Mode, Product
+from hazelhold.interface import GuestClass, MachineMode, RepeatSemantics
 
 
 class Denial(Enum):
@@ -34,7 +34,7 @@
     now: int,
     record: GuestRecord | None,
     dispatch_number: int,
-    product: Product,
+    product: GuestClass,
     max_dispatches: int,
     listed: RosterMachine | None,
     list_holds: bool,
@@ -57,24 +57,27 @@
     return machine_denied(listed, list_holds)
 
 
-def repeat_denied(now: int, record: GuestRecord, product: Product, max_dispatches: int) -> Denial | None:
+def repeat_denied(now: int, record: GuestRecord, product: GuestClass, max_dispatches: int) -> Denial | None:
     """Why no further dispatch may follow those already made, or None if one may."""
     if record.offers >= max_dispatches:
         return Denial.TOO_MANY
     if not record.may_have_run_since:
         return None
-    if product.effect is Effect.EXCLUSIVE:
+    if product.repeat is RepeatSemantics.AT_MOST_ONCE:
         return Denial.MAY_HAVE_RUN
-    if product.effect is Effect.TICKETED and now - record.may_have_run_since >= product.window:
+    if (
+        product.repeat is RepeatSemantics.DEDUPLICATED
+        and now - record.may_have_run_since >= product.dedup_window
+    ):
         return Denial.WINDOW_CLOSED
     return None
 
 
 def machine_denied(listed: RosterMachine | None, list_holds: bool) -> Denial | None:
     """Why a machine may not be sent new guests, or None if it may."""
-    if listed is None or listed.mode is Mode.GONE:
+    if listed is None or listed.mode is MachineMode.GONE:
         return Denial.MACHINE_GONE
-    if listed.mode is not Mode.READY:
+    if listed.mode is not MachineMode.READY:
         return Denial.MACHINE_DRAINING
     return None if list_holds else Denial.LIST_NOT_CURRENT
 
--- a/hazelhold/engine/persistence.py
+++ b/hazelhold/engine/persistence.py
@@ -12,7 +12,7 @@
 from hazelhold.config.planner import to_microseconds
 from hazelhold.engine.records import AbandonedDispatch, GuestRecord
 from hazelhold.engine.tables import Tables
-from hazelhold.interface import Earlier, Effect, Learned, Mode
+from hazelhold.interface import EarlierDispatch, LearnedState, MachineMode, RepeatSemantics
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import (
     AnswerImage,
@@ -71,8 +71,10 @@
 
     def image(self, engine: Tables, record: GuestRecord) -> GuestImage:
         """The image of one guest, with its times on the wall clock."""
-        s, known = record.submit, engine.brain.guests.get(record.name)
-        unsettled_at = known.window_ends - known.product.window if known and known.may_run else 0
+        s, known = record.submit, engine.scheduler.guests.get(record.name)
+        unsettled_at = (
+            known.window_ends - known.guest_class.dedup_window if known and known.may_have_run else 0
+        )
         sent = record.machine if record.sent else ""  # an offer that waits for its link was not sent
         return GuestImage(
             record.name,
@@ -83,7 +85,7 @@
             s.service,
             s.cores,
             s.memory,
-            self.wall(known.patience_at) if known and not record.placed else 0,
+            self.wall(known.deadline) if known and not record.placed else 0,
             tuple(record.unanswered_submissions),
             s.customer,
             getattr(s, "life", 0),
@@ -132,7 +134,7 @@
         )
 
     def _cold(self, engine: Tables, now: int, machine: str) -> Change | None:
-        host, window = engine.brain.machines.get(machine), 2 * engine.deployment.cold_window
+        host, window = engine.scheduler.machines.get(machine), 2 * engine.deployment.cold_budget_window
         if host is None:
             return None
         times = tuple(self.wall(at) for at in host.offers if at > now - window)
@@ -153,7 +155,7 @@
 
     def learned(self, engine: Tables) -> Change:
         """The image of what the scheduler has learned."""
-        return put("learned", "", LearnedImage(self.epoch, engine.brain.learned()))
+        return put("learned", "", LearnedImage(self.epoch, engine.scheduler.learned_state()))
 
 
 def recover(engine: Tables, now: int, state_table: StateTable, complete: bool) -> dict[str, int]:
@@ -173,17 +175,18 @@
         # The last state of the list may never have been stored: nothing is sent before the list reports
         # again.
         listed = [
-            each._replace(mode=Mode.CORDONED) for each in engine.roster.update(received_at, listing).listed
+            each._replace(mode=MachineMode.CORDONED)
+            for each in engine.roster.update(received_at, listing).listed
         ]
-        engine.brain.machines_listed(received_at, listed, True)
+        engine.scheduler.machines_listed(received_at, listed, True)
         engine.unreported_machines = {f.name for f in engine.roster.machines.values()}
-    past = Learned({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
+    past = LearnedState({}, (), (), (1.0, 1.0, 1.0, 1.0), {})
     for image in state_table.images("learned"):
         past = moved(image.data, image.epoch - epoch)
     if any(counts.values()):
-        engine.brain.remembered(now, past, complete)
+        engine.scheduler.restore_learned(now, past, complete)
     for image in state_table.images("cold"):
-        engine.brain.offers_kept(now, image.machine, tuple(at - epoch for at in image.times))
+        engine.scheduler.restore_offers(now, image.machine, tuple(at - epoch for at in image.times))
     guest_images = [image for image in state_table.images("guest") if image.product in engine.products]
     counts["of_unknown_products"] = state_table.sizes()["guest"] - len(guest_images)
     for image in sorted(guest_images, key=lambda i: (i.placed, i.ask, i.name)):
@@ -209,7 +212,7 @@
     return counts
 
 
-def moved(past: Learned, shift: int) -> Learned:
+def moved(past: LearnedState, shift: int) -> LearnedState:
     """The learned state, with its times moved to the clock of this run."""
 
     def at(when: int) -> int:
@@ -258,16 +261,16 @@
     record = record_of(engine, image)
     engine.records[record.name] = engine.newest_records[record.guest] = record
     patience = max(0, image.deadline - epoch - now) if image.deadline else 0
-    harmful = engine.deployment.products[record.product].effect is not Effect.RERUNNABLE
+    harmful = engine.deployment.guest_classes[record.product].repeat is not RepeatSemantics.IDEMPOTENT
     earlier = None
     if image.unsure_at:
-        earlier = Earlier(image.unsure_machine, image.unsure_at - epoch)
+        earlier = EarlierDispatch(image.unsure_machine, image.unsure_at - epoch)
     elif not complete and harmful and not image.placed and not image.machine:
-        earlier = Earlier("", now)
+        earlier = EarlierDispatch("", now)
         engine.counts["held_unsure"] += 1
-    ask = engine._submission(record, patience, earlier)._replace(spent=image.spent)
+    ask = engine._submission(record, patience, earlier)._replace(dispatches_used=image.spent)
     if not image.machine:
-        engine.brain.guest_arrived(now, ask)
+        engine.scheduler.guest_submitted(now, ask)
     else:
         record.machine, record.sent, record.placed = image.machine, True, image.placed
         record.sent_at = image.sent_at - epoch
@@ -276,11 +279,11 @@
         link.incarnation, link.lost_at = image.incarnation, now
         engine.active_links[record.machine] = None
         if image.placed:
-            engine.brain.guest_found(now, record.machine, ask)
+            engine.scheduler.guest_discovered(now, record.machine, ask)
         else:
-            engine.brain.guest_arrived(now, ask)
-            engine.brain.dispatch_stands(now, record.machine, record.name, record.sent_at)
+            engine.scheduler.guest_submitted(now, ask)
+            engine.scheduler.restore_dispatch(now, record.machine, record.name, record.sent_at)
             due = max(image.due_at - epoch, now + to_microseconds(engine.limits.reconnect_ms))
             engine._set_dispatch_timeout(due, record)
     if record.cancelled:
-        engine.brain.guest_cancelled(now, record.name)
+        engine.scheduler.guest_cancelled(now, record.name)
--- a/hazelhold/engine/tables.py
+++ b/hazelhold/engine/tables.py
@@ -5,7 +5,6 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from hazelhold.brain import Brain
 from hazelhold.config.planner import PlannerConfig, to_microseconds
 from hazelhold.engine.admission import RetryAdvisor
 from hazelhold.engine.events import Event, GuestEvent, MachineEvent, RuleEvent
@@ -25,8 +24,9 @@
     Verification,
 )
 from hazelhold.engine.settings import EngineSettings, engine_settings
-from hazelhold.interface import Ask, Earlier, Effect
+from hazelhold.interface import EarlierDispatch, RepeatSemantics, Submission
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 from hazelhold.state.images import Change
 
 
@@ -65,7 +65,7 @@
     def __init__(self, config: PlannerConfig | EngineSettings, seed: int, now: int) -> None:
         settings = config if isinstance(config, EngineSettings) else engine_settings(config)
         self.limits, self.peers, self.deployment = settings.limits, settings.peers, settings.deployment
-        self.brain = Brain(seed, self.deployment)
+        self.scheduler = Scheduler(seed, self.deployment)
         # Decisions in one pump; a host that is behind lowers it.
         self.decision_batch = self.limits.decisions_at_once
         self.actions: list[Action] = []  # emptied by the host
@@ -128,7 +128,7 @@
 
     def set_planner_share(self, planners: int, slot: int) -> None:
         """Makes this planner number `slot` of `planners` that share the fleet."""
-        self.deployment = self.brain.deployment = self.deployment._replace(planners=planners, slot=slot)
+        self.deployment = self.scheduler.deployment = self.deployment._replace(planners=planners, slot=slot)
 
     def reconfigure(self, settings: EngineSettings) -> None:
         """Continues with new settings.
@@ -140,7 +140,7 @@
         deployment = settings.deployment._replace(
             planners=self.deployment.planners, slot=self.deployment.slot
         )
-        self.deployment = self.brain.deployment = deployment
+        self.deployment = self.scheduler.deployment = deployment
         self.products = {name: at for at, name in enumerate(settings.products)}
         self.customers = {name: at for at, name in enumerate(settings.customers)}
 
@@ -153,7 +153,7 @@
     def _needs_claim(self, record: GuestRecord) -> bool:
         """Whether offers of this guest need an agreed claim."""
         return self.claims is not None and (
-            self.deployment.products[record.product].effect is not Effect.RERUNNABLE
+            self.deployment.guest_classes[record.product].repeat is not RepeatSemantics.IDEMPOTENT
         )
 
     def _take_proposals(self) -> None:
@@ -175,9 +175,11 @@
         record.due_at = due
         heappush(self.overdue, (due, record.name, record.dispatch_number))
 
-    def _submission(self, record: GuestRecord, patience: int, earlier: Earlier | None = None) -> Ask:
+    def _submission(
+        self, record: GuestRecord, patience: int, earlier: EarlierDispatch | None = None
+    ) -> Submission:
         s = record.submit
-        return Ask(
+        return Submission(
             record.name,
             record.product,
             self.customers.get(s.customer, 0),
@@ -221,7 +223,7 @@
     def _retry_after(self, now: int, guest: str, fallback: int = 0) -> int:
         """The wait in microseconds that a refusal advises: admission control's, or the decision's own."""
         return (
-            self.retry_advisor.wait(now, guest, len(self.brain.waiting))
+            self.retry_advisor.wait(now, guest, len(self.scheduler.held))
             if self.peers.advises_retry
             else fallback
         )
--- a/hazelhold/platform/configuration.py
+++ b/hazelhold/platform/configuration.py
@@ -165,7 +165,7 @@
         try:
             deployment = read_deployment(pairs)
             deployment = deployment._replace(
-                dispatches_named=PLATFORM.identifies_dispatches,
+                dispatches_identified=PLATFORM.identifies_dispatches,
                 ages_by_clock=True,
                 list_lease=list_lease(pairs) if PLATFORM.list_confirms else 0,
             )
@@ -185,10 +185,12 @@
         PLATFORM._replace(reports_use=truth(pairs.values.get("family-info.use-notes", ""))),
     )
     max_resources = (
-        max(k.cores for k in deployment.kinds) * deployment.cores_multiple,
-        max(k.memory for k in deployment.kinds) * deployment.memory_multiple,
+        max(k.cores for k in deployment.machine_kinds) * deployment.cores_multiple,
+        max(k.memory for k in deployment.machine_kinds) * deployment.memory_multiple,
+    )
+    max_time_left = tuple(
+        pairs.duration(f"classes.{at}.deadline") for at in range(len(deployment.guest_classes))
     )
-    max_time_left = tuple(pairs.span(f"classes.{at}.deadline") for at in range(len(deployment.products)))
     return StartSettings(
         values["name"],
         values["listen"],
@@ -205,7 +207,7 @@
 
 def list_lease(pairs: Pairs) -> int:
     """How long a confirmation of the list is valid, in microseconds; WireError if the grace is invalid."""
-    grace = pairs.span("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
+    grace = pairs.duration("rules.drain-grace") if "rules.drain-grace" in pairs.values else DRAIN_GRACE
     if not 0 <= grace <= MAX_GRACE:
         raise WireError(f"setting rules.drain-grace: {grace} microseconds are out of range")
     return max(MIN_LEASE, round(LEASE_PART * grace))
@@ -218,18 +220,18 @@
         for name, value in deployment._asdict().items()
         if isinstance(value, float) and not abs(value) <= MAX_SETTING
     ]
-    for place, figures in (("kinds", deployment.kinds), ("classes", deployment.products)):
+    for place, figures in (("kinds", deployment.machine_kinds), ("classes", deployment.guest_classes)):
         faults += [
             (f"settings: {place}.{at}", f"{value} is out of range")
             for at, each in enumerate(figures)
             for value in each
             if isinstance(value, float) and not abs(value) <= MAX_SETTING
         ]
-    if not deployment.kinds or not deployment.products:
+    if not deployment.machine_kinds or not deployment.guest_classes:
         faults.append(("settings", "at least one class and one kind are needed"))
     faults += [
         ("settings: kinds", f"a machine with {kind.cores:g} cores and {kind.memory:g} of memory")
-        for kind in deployment.kinds
+        for kind in deployment.machine_kinds
         if not (kind.cores > 0 and kind.memory > 0)
     ]
     faults += [
--- a/hazelhold/platform/planner.py
+++ b/hazelhold/platform/planner.py
@@ -15,7 +15,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.records import Action, Dial, Disconnect, FetchList, HangUp, Send
-from hazelhold.interface import Mode
+from hazelhold.interface import MachineMode
 from hazelhold.platform import translation
 from hazelhold.platform.configuration import StartSettings, read_start
 from hazelhold.platform.discovery import DiscoveryError, DiscoveryFollower
@@ -114,7 +114,9 @@
                 "up",
                 address=self.address,
                 known=self.start.known.no,
-                ready=sum(listed.mode is Mode.READY for listed in self.engine.roster.machines.values()),
+                ready=sum(
+                    listed.mode is MachineMode.READY for listed in self.engine.roster.machines.values()
+                ),
                 machines=len(self.engine.roster.machines),
                 sockets=self.start.bounds.sockets,
                 memory_mb=self.start.bounds.memory_mb,
@@ -299,8 +301,8 @@
         engine = self.engine
         self.log.debug(
             "beliefs",
-            waiting=len(engine.brain.waiting),
-            out=len(engine.brain.out),
+            waiting=len(engine.scheduler.held),
+            out=len(engine.scheduler.outstanding),
             cases=len(engine.records),
             owners=len(self.owner_server.peers),
             links=len(self.links.by_machine),
--- a/hazelhold/service/state_writer.py
+++ b/hazelhold/service/state_writer.py
@@ -177,7 +177,7 @@
     def _must_not_repeat(self, product: str) -> bool:
         """Returns whether a second run of a guest of this class could do harm."""
         engine = self.engine
-        return engine.deployment.products[engine.products[product]].effect.name != "RERUNNABLE"
+        return engine.deployment.guest_classes[engine.products[product]].repeat.name != "IDEMPOTENT"
 
     def _hold_until(self, message: m.GuestRefused | m.GuestFailed) -> int:
         """Returns the time until which this answer must be held back; 0 if it may be sent now.
--- a/hazelhold/simhost.py
+++ b/hazelhold/simhost.py
@@ -1,62 +1,68 @@
-"""Hosts many instances of the decision module on the simulator's wire: decodes lines into calls on each
-instance's Brain and encodes what it decides. Nothing is decided here and instances share nothing.
+"""Runs many schedulers for the simulator: decodes its lines into calls on each planner's Scheduler and
+encodes the decisions. It decides nothing itself, and the planners share nothing but the numbered lists.
 
-Run as `python -m hazelhold.simhost`; wire on standard input and output, plain messages on standard error.
+Run as `python -m hazelhold.simhost`; the protocol runs on standard input and output, errors go to standard
+error.
 """
 
 import sys
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from hazelhold.brain import Brain
 from hazelhold.interface import (
-    Ask,
     Decision,
+    DecisionKind,
     Deployment,
-    Effect,
-    Ending,
-    Kind,
-    Listed,
+    DispatchOutcome,
+    GuestClass,
+    ListedMachine,
     Load,
-    Mode,
-    Place,
-    Product,
-    Remark,
-    Step,
+    MachineKind,
+    MachineMode,
+    OutcomeReason,
+    RepeatSemantics,
+    Scope,
+    Submission,
 )
-
-ENDINGS = {
-    "completed": Ending.DONE,
-    "errored": Ending.ERROR,
-    "saturated": Ending.TURNED_BACK,
-    "overdue": Ending.OVERDUE,
-    "refused_conn": Ending.NO_CONNECTION,
-    "severed": Ending.CUT_OFF,
-    "recalled": Ending.CALLED_OFF,
-    "superseded": Ending.NOT_SENT,
+from hazelhold.scheduler import Scheduler
+
+OUTCOMES = {
+    "completed": DispatchOutcome.COMPLETED,
+    "errored": DispatchOutcome.ERROR,
+    "saturated": DispatchOutcome.REFUSED,
+    "overdue": DispatchOutcome.TIMED_OUT,
+    "refused_conn": DispatchOutcome.UNREACHABLE,
+    "severed": DispatchOutcome.INTERRUPTED,
+    "recalled": DispatchOutcome.WITHDRAWN,
+    "superseded": DispatchOutcome.NOT_SENT,
+}
+MODES = {"healthy": MachineMode.READY, "cordoned": MachineMode.CORDONED, "deregistered": MachineMode.GONE}
+REPEATS = {
+    "retryable": RepeatSemantics.IDEMPOTENT,
+    "dedup": RepeatSemantics.DEDUPLICATED,
+    "fragile": RepeatSemantics.AT_MOST_ONCE,
 }
-MODES = {"healthy": Mode.READY, "cordoned": Mode.CORDONED, "deregistered": Mode.GONE}
-EFFECTS = {"retryable": Effect.RERUNNABLE, "dedup": Effect.TICKETED, "fragile": Effect.EXCLUSIVE}
-PLACES = {
-    "off": Place.NOWHERE,
-    "machine": Place.MACHINE,
-    "cell": Place.CELL,
-    "zone": Place.ZONE,
-    "all": Place.ALL,
+SCOPES = {
+    "off": Scope.NOWHERE,
+    "machine": Scope.MACHINE,
+    "cell": Scope.CELL,
+    "zone": Scope.ZONE,
+    "all": Scope.ALL,
 }
 
 
 class WireError(Exception):
-    """A line that cannot be read; its text names what was wrong."""
+    """A line that cannot be read; the message names the fault."""
 
 
 def micros(text: str) -> int:
-    """Milliseconds as the wire writes them, as whole microseconds."""
+    """Converts milliseconds in text form to whole microseconds."""
     return round(float(text) * 1000) if text != "-" else 0
 
 
-def millis(span: int) -> str:
-    return f"{span // 1000}.{span % 1000:03d}"
+def millis(duration: int) -> str:
+    """Converts microseconds to milliseconds in text form."""
+    return f"{duration // 1000}.{duration % 1000:03d}"
 
 
 def number(text: str) -> float:
@@ -72,7 +78,7 @@
 
 
 class Pairs:
-    """The settings of the first message, by path."""
+    """The settings in a planner's first message, by path."""
 
     def __init__(self, parts: list[str]) -> None:
         self.values = dict(part.split("=", 1) for part in parts if "=" in part)
@@ -92,7 +98,7 @@
     def number(self, path: str) -> float:
         return self.read(path, float)
 
-    def span(self, path: str) -> int:
+    def duration(self, path: str) -> int:
         return int(self.read(path, micros))
 
     def items(self, path: str) -> list[str]:
@@ -113,47 +119,47 @@
             raise WireError(f"setting {path} has no usable value number {index}") from None
 
 
-def read_product(pairs: Pairs, index: int) -> Product:
+def read_guest_class(pairs: Pairs, index: int) -> GuestClass:
     own = f"classes.{index}."
     family = "family-info."
-    return Product(
-        effect=pairs.word(own + "idempotency", EFFECTS),
-        group=pairs.word(own + "group", PLACES),
-        window=pairs.span(own + "dedup-window"),
-        goal_time=pairs.span(own + "on-time"),
-        payoff=pairs.number(own + "points"),
-        start_bonus=pairs.nth(family + "start-bonus-s", index, float),
+    return GuestClass(
+        repeat=pairs.word(own + "idempotency", REPEATS),
+        dedup_scope=pairs.word(own + "group", SCOPES),
+        dedup_window=pairs.duration(own + "dedup-window"),
+        start_target=pairs.duration(own + "on-time"),
+        value=pairs.number(own + "points"),
+        start_value=pairs.nth(family + "start-bonus-s", index, float),
         priority=pairs.nth(family + "class-priority", index, int),
-        easy_until=pairs.nth(family + "easy-until", index, float),
-        lost_after=pairs.nth(family + "lost-after", index, float),
-        kind=pairs.nth(family + "class-kind", index, int),
-        spread=pairs.nth(family + "spread-over", index, PLACES.__getitem__),
-        spread_most=pairs.nth(family + "class-most", index, int),
+        full_service_load=pairs.nth(family + "easy-until", index, float),
+        service_fade=pairs.nth(family + "lost-after", index, float),
+        machine_kind=pairs.nth(family + "class-kind", index, int),
+        spread_scope=pairs.nth(family + "spread-over", index, SCOPES.__getitem__),
+        spread_limit=pairs.nth(family + "class-most", index, int),
     )
 
 
 def read_deployment(pairs: Pairs) -> Deployment:
     family = "family-info."
     sizes = zip(pairs.items(family + "size-cores"), pairs.items(family + "mem-of-kind"), strict=True)
-    asked = pairs.text("discovery") == "ask"
+    polled = pairs.text("discovery") == "ask"
     return Deployment(
         planners=int(pairs.number("balancers")),
         slot=int(pairs.number("slot-no")),
-        products=tuple(read_product(pairs, i) for i in range(int(pairs.number("classes.count")))),
-        kinds=tuple(Kind(float(cores), float(memory)) for cores, memory in sizes),
-        list_is_asked=asked,
-        ask_within=pairs.span("rules.ask-within") if asked else 0,
-        list_has_room=truth(pairs.text(family + "lists-free")),
+        guest_classes=tuple(read_guest_class(pairs, i) for i in range(int(pairs.number("classes.count")))),
+        machine_kinds=tuple(MachineKind(float(cores), float(memory)) for cores, memory in sizes),
+        list_is_polled=polled,
+        list_poll_limit=pairs.duration("rules.ask-within") if polled else 0,
+        list_shows_free=truth(pairs.text(family + "lists-free")),
         cores_multiple=pairs.number(family + "cores-multiple"),
         memory_multiple=pairs.number(family + "accepts-memory"),
-        makes_room=truth(pairs.text(family + "makes-room")),
-        confirms_running=pairs.text(family + "confirms") == "running",
+        preempts=truth(pairs.text(family + "makes-room")),
+        confirms_when_running=pairs.text(family + "confirms") == "running",
         probing=truth(pairs.text("limits.probing")),
-        reports_count_asked=pairs.text(family + "report-counts") == "asked",
+        reports_count_requested=pairs.text(family + "report-counts") == "asked",
         max_dispatches=int(pairs.number("limits.max-attempts")),
-        cold_for=pairs.span("rules.cold"),
+        warmup_time=pairs.duration("rules.cold"),
         cold_from=pairs.number("rules.cold-from"),
-        cold_window=pairs.span("rules.tip-after"),
+        cold_budget_window=pairs.duration("rules.tip-after"),
         cold_offers=pairs.number(family + "fresh-offers"),
         fleet_price=pairs.number("penalties.fleet") if "penalties.fleet" in pairs.values else 0.0,
         reports_on_probe=pairs.values.get("load-report.how") == "on_probe"
@@ -162,7 +168,7 @@
 
 
 def read_load(text: str) -> Load | None:
-    """A report of name:value pairs; names not known here are passed over."""
+    """Reads a load report of name:value pairs; unknown names are ignored."""
     if text == "-":
         return None
     values = dict(part.split(":", 1) for part in text.split(",") if ":" in part)
@@ -170,16 +176,16 @@
     return Load(read.get("x0"), read.get("x1"), read.get("busy"))
 
 
-def read_remark(text: str) -> Remark:
+def read_reason(text: str) -> OutcomeReason:
     code = whole(text)
-    return Remark(code) if 0 <= code <= 7 else Remark.NONE
+    return OutcomeReason(code) if 0 <= code <= 7 else OutcomeReason.NONE
 
 
-def read_row(parts: list[str]) -> Listed:
+def read_row(parts: list[str]) -> ListedMachine:
     mode, started, machine, zone, cell, memory, _weight, cores, kind = parts[1:10]
     if mode not in MODES:
         raise WireError(f"mode {mode!r} is not known")
-    return Listed(
+    return ListedMachine(
         machine,
         MODES[mode],
         micros(started),
@@ -192,24 +198,24 @@
 
 
 class Instance:
-    """One planner: its Brain and the timer that is set for it."""
+    """One planner: its scheduler and its pending timer."""
 
-    def __init__(self, name: str, brain: Brain) -> None:
+    def __init__(self, name: str, scheduler: Scheduler) -> None:
         self.name = name
-        self.brain = brain
+        self.scheduler = scheduler
         self.alarm = 0
         self.token = 0
 
 
 class Host:
-    """All planners of this process, and the numbered lists that the wire defines for them together."""
+    """All planners of this process, and the numbered lists that they share."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, list[Listed]] = {}
+        self.lists: dict[int, list[ListedMachine]] = {}
         self.touched: dict[str, None] = {}
         self.faults: dict[str, str] = {}
-        self.events: dict[str, Callable[[int, Brain, list[str]], None]] = {
+        self.events: dict[str, Callable[[int, Scheduler, list[str]], None]] = {
             "DISCOVERY": self.discovery,
             "SUBMIT": self.submit,
             "OUTCOME": self.outcome,
@@ -223,16 +229,18 @@
         }
 
     def event(self, now: int, parts: list[str]) -> None:
-        """Takes one event line, already split, into the instance that it names."""
+        """Delivers one event line, already split, to the planner that it names."""
         name, who = parts[0], parts[1] if len(parts) > 1 else ""
         if name == "ENLIST":
             self.touched[who] = None
             self.faults.pop(who, None)
             try:
-                self.instances[who] = Instance(who, Brain(whole(parts[2]), read_deployment(Pairs(parts[3:]))))
-            except (WireError, ValueError) as wrong:
+                self.instances[who] = Instance(
+                    who, Scheduler(whole(parts[2]), read_deployment(Pairs(parts[3:])))
+                )
+            except (WireError, ValueError) as error:
                 self.instances.pop(who, None)
-                self.faults[who] = str(wrong)
+                self.faults[who] = str(error)
         elif name == "KILL":
             self.instances.pop(who, None)
             self.touched.pop(who, None)
@@ -241,70 +249,76 @@
             raise WireError(f"event {name} is not known")
         elif who in self.instances:
             self.touched[who] = None
-            self.events[name](now, self.instances[who].brain, parts)
+            self.events[name](now, self.instances[who].scheduler, parts)
 
-    def nothing(self, now: int, brain: Brain, parts: list[str]) -> None:
-        """An event that only gives the instance its turn."""
+    def nothing(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        """An event that only makes the planner decide again."""
 
-    def discovery(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def discovery(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         how = parts[2]
         if how == "broken":
-            brain.list_failed(now)
+            scheduler.list_failed(now)
         elif how in ("patch", "whole", "stale_copy"):
             if whole(parts[3]) not in self.lists:
                 raise WireError(f"list {parts[3]} was never registered")
-            brain.machines_listed(now, self.lists[whole(parts[3])], how != "patch")
+            scheduler.machines_listed(now, self.lists[whole(parts[3])], how != "patch")
         else:
             raise WireError(f"discovery of kind {how!r} is not known")
 
-    def submit(self, now: int, brain: Brain, parts: list[str]) -> None:
-        call, product, customer, _unit, left, _life, service, cores, memory, _marks = parts[2:12]
-        brain.guest_arrived(
+    def submit(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        call, product, customer, _unit, time_left, _life, service, cores, memory, _marks = parts[2:12]
+        scheduler.guest_submitted(
             now,
-            Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
+            Submission(
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(time_left)
+            ),
         )
 
-    def found(self, now: int, brain: Brain, parts: list[str]) -> None:
-        call, machine, memory, _life, service, _unit, _marks, left, product, customer, cores = parts[2:13]
-        brain.guest_found(
+    def found(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        call, machine, memory, _life, service, _unit, _marks, time_left, product, customer, cores = parts[
+            2:13
+        ]
+        scheduler.guest_discovered(
             now,
             machine,
-            Ask(call, int(product), whole(customer), service, number(cores), number(memory), micros(left)),
+            Submission(
+                call, int(product), whole(customer), service, number(cores), number(memory), micros(time_left)
+            ),
         )
 
-    def outcome(self, now: int, brain: Brain, parts: list[str]) -> None:
-        call, _attempt, machine, reason, _took, final, remark, metrics = parts[2:10]
-        if reason not in ENDINGS:
+    def outcome(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        call, _attempt, machine, reason, _took, final, reason_code, metrics = parts[2:10]
+        if reason not in OUTCOMES:
             raise WireError(f"outcome {reason!r} is not known")
-        brain.machine_reported(now, machine, read_load(metrics))
-        brain.dispatch_ended(now, call, ENDINGS[reason], truth(final), read_remark(remark))
+        scheduler.machine_reported(now, machine, read_load(metrics))
+        scheduler.dispatch_ended(now, call, OUTCOMES[reason], truth(final), read_reason(reason_code))
 
-    def taken(self, now: int, brain: Brain, parts: list[str]) -> None:
-        brain.dispatch_taken(now, parts[2], micros(parts[5]))
+    def taken(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        scheduler.dispatch_accepted(now, parts[2], micros(parts[5]))
 
-    def dropped(self, now: int, brain: Brain, parts: list[str]) -> None:
-        brain.guest_left(now, parts[2])
+    def dropped(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
+        scheduler.guest_abandoned(now, parts[2])
 
-    def probed(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def probed(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         machine, reason, _took, metrics = parts[2:6]
-        brain.machine_reported(now, machine, read_load(metrics))
-        brain.probe_answered(now, machine, reason == "completed")
+        scheduler.machine_reported(now, machine, read_load(metrics))
+        scheduler.probe_answered(now, machine, reason == "completed")
 
-    def note(self, now: int, brain: Brain, parts: list[str]) -> None:
+    def note(self, now: int, scheduler: Scheduler, parts: list[str]) -> None:
         call, machine, sort, _attempt, value = parts[2:7]
         if sort == "1":
-            brain.guest_runs(now, call)
+            scheduler.guest_started(now, call)
         elif sort == "2":
-            brain.cores_used(now, call, number(value))
+            scheduler.cores_used(now, call, number(value))
         elif sort == "3":
-            brain.memory_used(now, call, number(value))
+            scheduler.memory_used(now, call, number(value))
         elif sort == "4":
-            brain.guest_served(now, call, number(value))
+            scheduler.service_level_reported(now, call, number(value))
         elif sort == "5":
-            brain.memory_pressed(now, machine, number(value))
+            scheduler.memory_pressure_reported(now, machine, number(value))
 
     def replies(self, now: int) -> Iterator[str]:
-        """What the instances that had an event want done, in the order in which they were first named."""
+        """The decisions of the planners that had an event, in the order of their first event."""
         for who in self.touched:
             if who in self.faults:
                 yield f"DIE {who} {self.faults.pop(who)}"
@@ -312,9 +326,9 @@
             if who not in self.instances:
                 continue
             instance = self.instances[who]
-            while (decision := instance.brain.decide(now)) is not None:
+            while (decision := instance.scheduler.decide(now)) is not None:
                 yield encode(who, decision)
-            wake = instance.brain.next_look(now)
+            wake = instance.scheduler.next_decision_at(now)
             if wake is not None and (instance.alarm <= now or wake < instance.alarm):
                 instance.alarm = max(wake, now + 1)
                 instance.token += 1
@@ -323,23 +337,23 @@
 
 
 def encode(who: str, decision: Decision) -> str:
-    step, guest, machine, span = decision
-    if step is Step.DISPATCH:
-        return f"BIND {who} {guest} {machine} {millis(span)}"
-    if step is Step.TURN_BACK:
-        return f"SAY_NO {who} {guest} {millis(span)}"
-    if step is Step.BREAK_OFF:
+    kind, guest, machine, timeout = decision
+    if kind is DecisionKind.DISPATCH:
+        return f"BIND {who} {guest} {machine} {millis(timeout)}"
+    if kind is DecisionKind.REFUSE:
+        return f"SAY_NO {who} {guest} {millis(timeout)}"
+    if kind is DecisionKind.FAIL:
         return f"SURRENDER {who} {guest}"
-    if step is Step.PROBE:
+    if kind is DecisionKind.PROBE:
         return f"INSPECT {who} {machine}"
     return f"WATCH {who} 1"
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answers batches until the input ends; returns the exit code."""
+    """Answers batches of lines until the input ends; returns the exit code."""
     host = Host()
     now = 0
-    rows: list[Listed] = []
+    rows: list[ListedMachine] = []
     rows_left = 0
     for count, line in enumerate(source, 1):
         parts = line.rstrip("\r\n").split(" ")
@@ -364,8 +378,8 @@
                 sink.flush()
             elif name:
                 host.event(now, parts)
-        except (WireError, ValueError, IndexError) as wrong:
-            print(f"simhost: line {count} ({name}): {wrong}", file=sys.stderr)
+        except (WireError, ValueError, IndexError) as error:
+            print(f"simhost: line {count} ({name}): {error}", file=sys.stderr)
             return 2
     return 0
 
--- a/hazelhold/standin/machines.py
+++ b/hazelhold/standin/machines.py
@@ -65,7 +65,7 @@
 
     def come_up(self) -> None:
         """Brings the machine back, cold and empty."""
-        if self.machine.fell_over:
+        if self.machine.overloaded:
             return  # it went down under overload and stays down
         self.machine.faults.silent = False
         self.machine.came_up(self.now())
@@ -77,7 +77,7 @@
     def tally(self) -> None:
         """Records, at the end of a day, the guests that run here and how well they were served."""
         self.machine.settle(self.now())
-        self.note("tally", [(g.offer.guest, int(g.served)) for g in self.machine.tasks.values() if g.runs])
+        self.note("tally", [(g.offer.guest, int(g.served)) for g in self.machine.guests.values() if g.runs])
 
     def _welcome(self) -> m.Welcome:
         machine = self.machine
@@ -97,7 +97,7 @@
         elif isinstance(message, m.Probe):
             machine.probed(now, planner, message)
         elif isinstance(message, m.InventoryRequest):
-            machine.rolled(now, planner)
+            machine.inventory_requested(now, planner)
         self._deliver()
         self.ticker.notify()
 
@@ -112,5 +112,5 @@
                 self.server.send(planner, message)
             else:  # the planner is not connected; the effect remains
                 self.recorder.note(self.net.now(), planner, "unheard", message)
-        if self.machine.fell_over and self.machine.up:
+        if self.machine.overloaded and self.machine.up:
             self.crash("fell_over")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
-"""What the tests share: a small deployment, machines, and a Brain that is driven by hand."""
+"""Shared by tests: a small deployment, machines, and a scheduler and an engine that are driven by hand."""
+
+from hazelhold.scheduler import Scheduler
 
-from hazelhold.brain import Brain
 from hazelhold.config.planner import (
     FleetSettings,
     GuestClassConfig,
@@ -12,69 +13,82 @@
 )
 from hazelhold.engine.engine import Engine
 from hazelhold.engine.records import Dial, ProposeChange, Send
-from hazelhold.interface import Ask, Decision, Deployment, Effect, Kind, Listed, Mode, Place, Product, Step
+from hazelhold.interface import (
+    Decision,
+    DecisionKind,
+    Deployment,
+    GuestClass,
+    ListedMachine,
+    MachineKind,
+    MachineMode,
+    RepeatSemantics,
+    Scope,
+    Submission,
+)
 from hazelhold.protocol import messages as m
 
 MS = 1000
-PRODUCT = Product(
-    Effect.RERUNNABLE, Place.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Place.NOWHERE, 2
+GUEST_CLASS = GuestClass(
+    RepeatSemantics.IDEMPOTENT, Scope.ALL, 5000 * MS, 800 * MS, 1.0, 10.0, 0, 0.8, 0.2, -1, Scope.NOWHERE, 2
 )
-PRODUCTS = (
-    PRODUCT,
-    PRODUCT._replace(effect=Effect.EXCLUSIVE),
-    PRODUCT._replace(effect=Effect.TICKETED, group=Place.CELL),
-    PRODUCT._replace(effect=Effect.TICKETED, group=Place.ALL),
-    PRODUCT._replace(spread=Place.MACHINE),
+GUEST_CLASSES = (
+    GUEST_CLASS,
+    GUEST_CLASS._replace(repeat=RepeatSemantics.AT_MOST_ONCE),
+    GUEST_CLASS._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.CELL),
+    GUEST_CLASS._replace(repeat=RepeatSemantics.DEDUPLICATED, dedup_scope=Scope.ALL),
+    GUEST_CLASS._replace(spread_scope=Scope.MACHINE),
 )
 DEPLOYMENT = Deployment(
     planners=1,
     slot=0,
-    products=PRODUCTS,
-    kinds=(Kind(24.0, 40.0),),
-    list_is_asked=True,
-    ask_within=10_000 * MS,
-    list_has_room=True,
+    guest_classes=GUEST_CLASSES,
+    machine_kinds=(MachineKind(24.0, 40.0),),
+    list_is_polled=True,
+    list_poll_limit=10_000 * MS,
+    list_shows_free=True,
     cores_multiple=2.5,
     memory_multiple=1.5,
-    makes_room=False,
-    confirms_running=False,
+    preempts=False,
+    confirms_when_running=False,
     probing=True,
-    reports_count_asked=False,
+    reports_count_requested=False,
     max_dispatches=4,
-    cold_for=15_000 * MS,
+    warmup_time=15_000 * MS,
     cold_from=0.2,
-    cold_window=2000 * MS,
+    cold_budget_window=2000 * MS,
     cold_offers=20.0,
     fleet_price=0.0,
 )
 
 
-def entry(name: str, mode: Mode = Mode.READY, started: int = 0, cell: int = 0, room: float = 24.0) -> Listed:
-    return Listed(name, mode, started, 0, cell, 0, room, room * 40 / 24)
+def entry(
+    name: str, mode: MachineMode = MachineMode.READY, started: int = 0, cell: int = 0, room: float = 24.0
+) -> ListedMachine:
+    return ListedMachine(name, mode, started, 0, cell, 0, room, room * 40 / 24)
 
 
-def ask(name: str, product: int = 0, cores: float = 1.0, patience: int = 5000 * MS) -> Ask:
-    return Ask(name, product, 0, "service-" + str(product), cores, 2 * cores, patience)
+def submission(name: str, product: int = 0, cores: float = 1.0, time_left: int = 5000 * MS) -> Submission:
+    return Submission(name, product, 0, "service-" + str(product), cores, 2 * cores, time_left)
 
 
-def brain(names: str = "ab", at: int = 0, **changes: object) -> Brain:
-    """A Brain that knows the named machines; two of them share a cell."""
-    made = Brain(7, DEPLOYMENT._replace(**changes))
+def scheduler(names: str = "ab", at: int = 0, **changes: object) -> Scheduler:
+    """A scheduler that knows the named machines; each pair of them shares a cell."""
+    made = Scheduler(7, DEPLOYMENT._replace(**changes))
     made.machines_listed(at, [entry(n, cell=i // 2) for i, n in enumerate(names)], True)
     return made
 
 
-def decisions(made: Brain, now: int) -> list[Decision]:
-    """All that is decided at this moment, probes and list calls left out."""
+def decisions(made: Scheduler, now: int) -> list[Decision]:
+    """All decisions at this timestamp except probes and list polls."""
     found = []
     while (decision := made.decide(now)) is not None:
-        if decision.step not in (Step.PROBE, Step.FOLLOW_LIST):
+        if decision.kind not in (DecisionKind.PROBE, DecisionKind.WATCH_LIST):
             found.append(decision)
     return found
 
 
 def planner_config(**limits: object) -> PlannerConfig:
-    """A planner's configuration with one product of each effect."""
+    """A planner's configuration with one guest class of each kind of repeat semantics."""
     products = [
         GuestClassConfig("plain", "rerunnable", 800, 5000),
         GuestClassConfig("once", "exclusive", 800, 5000),
@@ -87,7 +101,7 @@
 
 
 class EngineHarness:
-    """An engine driven by hand. Machines that are dialled come up at once unless they are in `dead`."""
+    """An engine driven by hand. Dialled machines connect at once unless they are in `dead`."""
 
     def __init__(self, machines: str = "ab", **limits: object) -> None:
         self.engine = Engine(planner_config(**limits), 1, 0)
@@ -95,8 +109,8 @@
         self.dialled: list[str] = []
         self.stands: dict[str, list[m.InventoryItem]] = {}
         self.lives: dict[str, int] = {}
-        self.said: list[tuple[str, m.Message]] = []  # all that was sent, to whom
-        self.asks: list[ProposeChange] = []  # what is to be agreed among planners
+        self.said: list[tuple[str, m.Message]] = []  # every message sent, with its receiver
+        self.asks: list[ProposeChange] = []  # proposals to the other planners
         self.lists(0, [self.entry(name) for name in machines])
 
     def entry(self, name: str, mode: str = "ready", **more: object) -> m.Entry:
@@ -116,7 +130,7 @@
         return self.run(now)
 
     def run(self, now: int) -> list[m.Message]:
-        """Pumps and carries out; returns what was sent."""
+        """Runs the engine and its actions; returns the messages sent."""
         start = len(self.said)
         for _ in range(50):
             self.engine.pump(now)
@@ -190,7 +204,7 @@
 
 
 def stand(offer: m.Offer, state: str = "runs", how: str = "") -> m.InventoryItem:
-    """How a machine tells of a guest that it was offered."""
+    """A machine's inventory item for an offered guest."""
     return m.InventoryItem(
         guest=offer.guest,
         ask=offer.ask,
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -201,7 +201,7 @@
     table.agree(70)
     assert other.sent(m.State)[-1].state == "done"
     assert other.sent(m.GuestEnded, "x")[-1].how == "done"
-    assert not other.sent(m.Offer, "x") and not other.engine.records and not other.engine.brain.guests
+    assert not other.sent(m.Offer, "x") and not other.engine.records and not other.engine.scheduler.guests
 
 
 def test_two_planners_with_the_same_guest_send_one_offer() -> None:
@@ -241,7 +241,7 @@
     table.refuse(500 * MS, one, outcome, reason)
     answer = one.sent(m.GuestRefused, "x")[0]
     assert answer.reason == reason and answer.again_after > 0
-    assert not one.sent(m.Offer, "x") and not one.engine.brain.guests.get("x/0")
+    assert not one.sent(m.Offer, "x") and not one.engine.scheduler.guests.get("x/0")
     if outcome == "open":  # it may be in force: it is released, so that another planner may take the guest
         table.values["claim/x"] = c.encode(
             c.Take("p0", 1, 0, 0, c.decode(one.asks[0].change.known).machine, 2).claim()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -110,7 +110,7 @@
     async def test(rig: SocketRig) -> None:
         rig.machines["a"].accepts = rig.machines["b"].accepts = False
         engine, owner = rig.planner.engine, await rig.owner()
-        real, begun = engine.brain.decide, []
+        real, begun = engine.scheduler.decide, []
 
         def slow(now: int) -> object:
             time.sleep(0.03)
@@ -119,7 +119,7 @@
                 reset(owner.stream)
             return real(now)
 
-        engine.brain.decide = slow
+        engine.scheduler.decide = slow
         await owner.say(*(set_up(guest) for guest in range(1, 41)))
         await until(lambda: begun and not engine.records)
         assert engine.counts["dispatches"] <= begun[0] + 2
@@ -179,7 +179,7 @@
     await until(
         lambda: all(rig.planner.links.by_machine.get(each, (0, 0))[1] for each in "ab")
     )  # all are probed
-    rig.planner.engine.brain.answers[0].extend([10_000] * 10)  # answers were fast: the timeouts are short
+    rig.planner.engine.scheduler.answers[0].extend([10_000] * 10)  # answers were fast: the timeouts are short
     await owner.say(set_up(1))
     await until(lambda: rig.offers(1))
     (first,) = rig.offers(1)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -64,7 +64,7 @@
 def test_an_idempotent_copy_accepted_after_its_dispatch_was_abandoned_is_stopped() -> None:
     harness = EngineHarness("ab")
     first, machine = harness.offer(0, "g")
-    harness.engine.brain.answers[0].extend([10 * MS] * 20)  # makes the next timeout short
+    harness.engine.scheduler.answers[0].extend([10 * MS] * 20)  # makes the next timeout short
     harness.run(harness.engine.overdue[0][0])
     other = [message for message in harness.sent(m.Offer) if message.attempt == 1]
     if not other:  # the first timeout was the whole time left: submit once more with what is known now
@@ -80,9 +80,9 @@
     offer, machine = harness.offer(0, "g", "ticket")
     record = harness.engine.records["g/0"]
     harness.engine._withdraw_dispatch(1000 * MS, record)
-    from hazelhold.interface import Ending, Remark
+    from hazelhold.interface import DispatchOutcome, OutcomeReason
 
-    harness.engine._dispatch_ended(1000 * MS, record, Ending.OVERDUE, Remark.NONE)
+    harness.engine._dispatch_ended(1000 * MS, record, DispatchOutcome.TIMED_OUT, OutcomeReason.NONE)
     harness.engine.machine_said(1001 * MS, machine, of(m.OfferAccepted, offer))
     harness.run(1001 * MS)
     assert len(harness.sent(m.Placed)) == 1 and len(harness.sent(m.Offer)) == 1
@@ -300,10 +300,10 @@
     harness = EngineHarness("")
     for now, age in ((10**9, 5 * 10**6), (2 * 10**9, 0), (3 * 10**9, 3600 * 10**6)):
         harness.lists(now, [harness.entry("a", up_for=age)])
-        assert harness.engine.brain.machines["a"].listed.started == 10**9 - 5 * 10**6
+        assert harness.engine.scheduler.machines["a"].listed.started == 10**9 - 5 * 10**6
     harness.lives["a"] = 2
     harness.lists(4 * 10**9, [harness.entry("a", up_for=10**6)])
-    assert harness.engine.brain.machines["a"].cold_at == 4 * 10**9 - 10**6
+    assert harness.engine.scheduler.machines["a"].cold_at == 4 * 10**9 - 10**6
 
 
 def test_stray_and_invalid_messages_of_machines_change_nothing() -> None:
@@ -367,7 +367,7 @@
     harness.lives[machine] = 2
     harness.lists(10 * MS, [harness.entry(machine, up_for=5 * MS)])
     assert not harness.sent(m.GuestFailed) and len(harness.sent(m.Offer)) == 1
-    assert harness.engine.brain.machines[machine].cold_at == 5 * MS
+    assert harness.engine.scheduler.machines[machine].cold_at == 5 * MS
     break_link(harness, 20 * MS, machine)
     reconnect(harness, 40 * MS, machine)  # in the incarnation that the list showed: whether it ran is unknown
     assert len(harness.sent(m.GuestFailed)) == 1 and len(harness.sent(m.Offer)) == 1
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -87,9 +87,9 @@
 def test_a_planner_that_offers_a_guest_again_at_once_is_detected_in_some_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from hazelhold.brain import Brain
+    from hazelhold.scheduler import Scheduler
 
-    monkeypatch.setattr(Brain, "_allowed", lambda self, guest, machine, now: True)
+    monkeypatch.setattr(Scheduler, "_allowed", lambda self, guest, machine, now: True)
     broken_rules: set[int] = set()
     for seed in range(3):
         day = bad_day(length_s=8.0, planners=4, zones=2, troubles=FAULTS)
--- a/tests/test_large_list.py
+++ b/tests/test_large_list.py
@@ -88,7 +88,7 @@
 def test_a_planner_receives_the_whole_list() -> None:
     planner = receive_list(large_list_config())
     assert not planner.counts["list_frame_too_long"]
-    assert len(planner.engine.brain.machines) == WORKERS
+    assert len(planner.engine.scheduler.machines) == WORKERS
 
 
 def test_with_the_limit_of_other_frames_it_would_not() -> None:
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -4,8 +4,8 @@
 
 import pytest
 import trio
+from hazelhold.scheduler import Scheduler
 
-from hazelhold.brain import Brain
 from hazelhold.config.load import ConfigError
 from hazelhold.engine import owners, permission
 from hazelhold.engine.list_lease import Lapse, ListLease
@@ -150,7 +150,7 @@
 
 def trust_any_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """The scheduler sends guests by any list."""
-    monkeypatch.setattr(Brain, "list_taken", lambda self, now, current: None)
+    monkeypatch.setattr(Scheduler, "list_currency_changed", lambda self, now, current: None)
 
 
 def test_the_final_check_holds_back_what_the_scheduler_would_send(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -11,12 +11,12 @@
     start_denied,
 )
 from hazelhold.engine.records import GuestRecord
-from hazelhold.interface import Effect, Mode, Place, Product
+from hazelhold.interface import GuestClass, MachineMode, RepeatSemantics, Scope
 from hazelhold.protocol import messages as m
 
 
-def product(effect: Effect, window: int = 1000) -> Product:
-    return Product(effect, Place.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Place.NOWHERE, 1)
+def product(effect: RepeatSemantics, window: int = 1000) -> GuestClass:
+    return GuestClass(effect, Scope.ALL, window, 1, 1.0, 1.0, 0, 1.0, 1.0, -1, Scope.NOWHERE, 1)
 
 
 def record(**changes: object) -> GuestRecord:
@@ -34,38 +34,38 @@
     return made
 
 
-def listed(mode: Mode = Mode.READY) -> RosterMachine:
+def listed(mode: MachineMode = MachineMode.READY) -> RosterMachine:
     return RosterMachine("a", "a:1", mode, 0, 0, 0)
 
 
-EXCLUSIVE, TICKETED = product(Effect.EXCLUSIVE), product(Effect.TICKETED)
-RERUNNABLE = product(Effect.RERUNNABLE)
+AT_MOST_ONCE, DEDUPLICATED = product(RepeatSemantics.AT_MOST_ONCE), product(RepeatSemantics.DEDUPLICATED)
+IDEMPOTENT = product(RepeatSemantics.IDEMPOTENT)
 
 
 @pytest.mark.parametrize(
     "held,dispatch_number,of,where,list_holds,denial",
     [
-        (record(), 0, EXCLUSIVE, listed(), True, None),
-        (None, 0, EXCLUSIVE, listed(), True, Denial.OVER),
-        (record(placed=True), 0, EXCLUSIVE, listed(), True, Denial.OVER),
-        (record(sent=False), 0, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
-        (record(dispatch_number=2), 1, EXCLUSIVE, listed(), True, Denial.OTHER_ATTEMPT),
-        (record(cancelled=True), 0, EXCLUSIVE, listed(), True, Denial.CANCELLED),
-        (record(may_have_run_since=1), 0, EXCLUSIVE, listed(), True, Denial.MAY_HAVE_RUN),
-        (record(may_have_run_since=1, due_at=9000), 0, TICKETED, listed(), True, None),
-        (record(may_have_run_since=1), 0, RERUNNABLE, listed(), True, None),
-        (record(offers=3), 0, RERUNNABLE, listed(), True, None),
-        (record(offers=4), 0, RERUNNABLE, listed(), True, Denial.TOO_MANY),
-        (record(due_at=50), 0, RERUNNABLE, listed(), True, Denial.OUT_OF_TIME),
-        (record(), 0, RERUNNABLE, None, True, Denial.MACHINE_GONE),
-        (record(), 0, RERUNNABLE, listed(Mode.CORDONED), True, Denial.MACHINE_DRAINING),
-        (record(), 0, RERUNNABLE, listed(), False, Denial.LIST_NOT_CURRENT),
+        (record(), 0, AT_MOST_ONCE, listed(), True, None),
+        (None, 0, AT_MOST_ONCE, listed(), True, Denial.OVER),
+        (record(placed=True), 0, AT_MOST_ONCE, listed(), True, Denial.OVER),
+        (record(sent=False), 0, AT_MOST_ONCE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(dispatch_number=2), 1, AT_MOST_ONCE, listed(), True, Denial.OTHER_ATTEMPT),
+        (record(cancelled=True), 0, AT_MOST_ONCE, listed(), True, Denial.CANCELLED),
+        (record(may_have_run_since=1), 0, AT_MOST_ONCE, listed(), True, Denial.MAY_HAVE_RUN),
+        (record(may_have_run_since=1, due_at=9000), 0, DEDUPLICATED, listed(), True, None),
+        (record(may_have_run_since=1), 0, IDEMPOTENT, listed(), True, None),
+        (record(offers=3), 0, IDEMPOTENT, listed(), True, None),
+        (record(offers=4), 0, IDEMPOTENT, listed(), True, Denial.TOO_MANY),
+        (record(due_at=50), 0, IDEMPOTENT, listed(), True, Denial.OUT_OF_TIME),
+        (record(), 0, IDEMPOTENT, None, True, Denial.MACHINE_GONE),
+        (record(), 0, IDEMPOTENT, listed(MachineMode.CORDONED), True, Denial.MACHINE_DRAINING),
+        (record(), 0, IDEMPOTENT, listed(), False, Denial.LIST_NOT_CURRENT),
     ],
 )
 def test_an_offer_is_sent_only_if_all_its_preconditions_still_hold(
     held: GuestRecord | None,
     dispatch_number: int,
-    of: Product,
+    of: GuestClass,
     where: RosterMachine | None,
     list_holds: bool,
     denial: Denial | None,
@@ -75,8 +75,8 @@
 
 def test_a_deduplicated_guest_is_not_repeated_after_its_window() -> None:
     late = record(may_have_run_since=1, due_at=9000)
-    assert offer_denied(1000, late, 0, TICKETED, 4, listed(), True) is None
-    assert offer_denied(1001, late, 0, TICKETED, 4, listed(), True) is Denial.WINDOW_CLOSED
+    assert offer_denied(1000, late, 0, DEDUPLICATED, 4, listed(), True) is None
+    assert offer_denied(1001, late, 0, DEDUPLICATED, 4, listed(), True) is Denial.WINDOW_CLOSED
 
 
 def test_submissions_and_connections() -> None:
@@ -91,7 +91,7 @@
 
 def test_the_monitor_reports_each_violation_and_no_valid_guest() -> None:
     monitor = RuleMonitor(max_dispatches=2)
-    once = Effect.EXCLUSIVE
+    once = RepeatSemantics.AT_MOST_ONCE
     assert monitor.dispatch_sent("sound", "a", once, list_holds=True) == []
     monitor.dispatch_ended("sound", may_have_run=False)
     assert monitor.dispatch_sent("sound", "b", once, list_holds=True) == []
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -10,7 +10,7 @@
 
 from hazelhold.config.load import ConfigError
 from hazelhold.engine.links import ENDINGS
-from hazelhold.interface import Ending, Remark
+from hazelhold.interface import DispatchOutcome, OutcomeReason
 from hazelhold.platform import translation
 from hazelhold.platform.codec import (
     CAUSE,
@@ -149,7 +149,7 @@
     )
     start = check_start(file(), "test")
     assert start.engine_settings.deployment == read_deployment(Pairs(wire.split(" ")))._replace(
-        dispatches_named=False, ages_by_clock=True, list_lease=200_000
+        dispatches_identified=False, ages_by_clock=True, list_lease=200_000
     )
     assert (
         flatten(DEPLOYMENT)["kinds"] == "small_box,large-box"
@@ -371,44 +371,52 @@
 @pytest.mark.parametrize(
     ("line", "placed", "outcome", "reason"),
     [
-        ({"why": 34, "note": "mem_full"}, False, Ending.TURNED_BACK, Remark.NO_MEMORY),
-        ({"why": 34, "note": "cpu_full"}, False, Ending.TURNED_BACK, Remark.NO_CORES),
-        ({"why": 34, "note": "busy"}, False, Ending.TURNED_BACK, Remark.LINE_FULL),
-        ({"why": 34, "note": "wrong_host"}, False, Ending.TURNED_BACK, Remark.NOT_HERE),
-        ({"why": 34}, False, Ending.TURNED_BACK, Remark.NONE),
-        ({"why": 47}, False, Ending.ERROR, Remark.NONE),
-        ({"why": 102}, False, Ending.NOT_SENT, Remark.NONE),
-        ({"why": 41}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 41, "note": "oom"}, False, Ending.CUT_OFF, Remark.EVICTED),
-        ({"why": 41, "note": "preempted"}, False, Ending.CUT_OFF, Remark.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, False, Ending.CUT_OFF, Remark.SENT_AWAY),
-        ({"why": 41, "note": "busy"}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 47, "note": "oom"}, False, Ending.ERROR, Remark.NONE),
-        ({"why": 34, "note": "oom"}, False, Ending.TURNED_BACK, Remark.NONE),
-        ({"why": 16}, False, Ending.DONE, Remark.NONE),  # it was accepted and ran; its accept is late
-        ({"why": 31}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 99}, False, Ending.CUT_OFF, Remark.NONE),
-        ({}, False, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 16}, True, Ending.DONE, Remark.NONE),
-        ({"why": 31}, True, Ending.CALLED_OFF, Remark.NONE),
-        ({"why": 41, "note": "oom"}, True, Ending.CUT_OFF, Remark.EVICTED),
-        ({"why": 41, "note": "preempted"}, True, Ending.CUT_OFF, Remark.PUSHED_OUT),
-        ({"why": 41, "note": "drained"}, True, Ending.CUT_OFF, Remark.SENT_AWAY),
-        ({"why": 41}, True, Ending.CUT_OFF, Remark.NONE),
-        ({"why": 34}, True, Ending.CUT_OFF, Remark.NONE),
+        ({"why": 34, "note": "mem_full"}, False, DispatchOutcome.REFUSED, OutcomeReason.NO_MEMORY),
+        ({"why": 34, "note": "cpu_full"}, False, DispatchOutcome.REFUSED, OutcomeReason.NO_CORES),
+        ({"why": 34, "note": "busy"}, False, DispatchOutcome.REFUSED, OutcomeReason.QUEUE_FULL),
+        ({"why": 34, "note": "wrong_host"}, False, DispatchOutcome.REFUSED, OutcomeReason.NOT_ACCEPTED),
+        ({"why": 34}, False, DispatchOutcome.REFUSED, OutcomeReason.NONE),
+        ({"why": 47}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
+        ({"why": 102}, False, DispatchOutcome.NOT_SENT, OutcomeReason.NONE),
+        ({"why": 41}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+        ({"why": 41, "note": "drained"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+        ({"why": 41, "note": "busy"}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 47, "note": "oom"}, False, DispatchOutcome.ERROR, OutcomeReason.NONE),
+        ({"why": 34, "note": "oom"}, False, DispatchOutcome.REFUSED, OutcomeReason.NONE),
+        (
+            {"why": 16},
+            False,
+            DispatchOutcome.COMPLETED,
+            OutcomeReason.NONE,
+        ),  # it was accepted and ran; its accept is late
+        ({"why": 31}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 99}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({}, False, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 16}, True, DispatchOutcome.COMPLETED, OutcomeReason.NONE),
+        ({"why": 31}, True, DispatchOutcome.WITHDRAWN, OutcomeReason.NONE),
+        ({"why": 41, "note": "oom"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.EVICTED),
+        ({"why": 41, "note": "preempted"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.PREEMPTED),
+        ({"why": 41, "note": "drained"}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.DRAINED),
+        ({"why": 41}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
+        ({"why": 34}, True, DispatchOutcome.INTERRUPTED, OutcomeReason.NONE),
     ],
 )
 def test_every_end_is_translated_as_on_the_simulator(
-    line: dict, placed: bool, outcome: Ending, reason: Remark
+    line: dict, placed: bool, outcome: DispatchOutcome, reason: OutcomeReason
 ) -> None:
     fields = {"note": line["note"]} if "note" in line else {}
     message = translation.from_machine(Line("end", "1", fields, line.get("why")), placed)
     if isinstance(message, m.OfferRefused):
         from hazelhold.engine.links import REMARKS
 
-        assert (outcome, reason) == (Ending.TURNED_BACK, REMARKS.get(message.remark, Remark.NONE))
+        assert (outcome, reason) == (DispatchOutcome.REFUSED, REMARKS.get(message.remark, OutcomeReason.NONE))
     else:
-        assert ENDINGS.get(message.how, (Ending.CUT_OFF, Remark.NONE)) == (outcome, reason)
+        assert ENDINGS.get(message.how, (DispatchOutcome.INTERRUPTED, OutcomeReason.NONE)) == (
+            outcome,
+            reason,
+        )
 
 
 def test_notes_reports_and_probe_answers_are_translated_as_on_the_simulator() -> None:
--- a/tests/test_platform_list.py
+++ b/tests/test_platform_list.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from hazelhold.interface import Place
+from hazelhold.interface import Scope
 from hazelhold.platform import discovery
 from tests.platform_rig import DEPLOYMENT, PLACED, Bulletin, Rig, event, file, host, play, set_up
 
@@ -63,9 +63,9 @@
         await trio.sleep(0.1)
         assert planner.follower.address == "news:1" and planner.counts["reloads_refused"] == 1
         planner.config.write_text(file(bulletin="news:2"))
-        heard_at = planner.engine.brain.list_heard_at
+        heard_at = planner.engine.scheduler.list_heard_at
         planner.reload()
-        assert planner.engine.brain.list_heard_at == heard_at  # nothing was received yet
+        assert planner.engine.scheduler.list_heard_at == heard_at  # nothing was received yet
         await trio.sleep(0.1)
         assert new.asked[0][0] == 1 and planner.follower.last == 2
         assert planner.counts["discovery_failures"] == 0
@@ -115,9 +115,9 @@
             )
         ]
         await trio.sleep(0.1)
-        machines = rig.planner.engine.brain.machines
+        machines = rig.planner.engine.scheduler.machines
         assert len({machines[name].listed.zone for name in "abc"}) == 3
-        assert len({machines[name].place(Place.CELL) for name in "abc"}) == 3  # block 0 of each
+        assert len({machines[name].scope_key(Scope.CELL) for name in "abc"}) == 3  # block 0 of each
 
     play(test, machines="abc")
 
@@ -129,7 +129,8 @@
     async def test(rig: Rig) -> None:
         owner = await rig.owner()
         assert (
-            len(rig.planner.engine.brain.machines) == 1100 and rig.planner.engine.deployment.planners == 1024
+            len(rig.planner.engine.scheduler.machines) == 1100
+            and rig.planner.engine.deployment.planners == 1024
         )
         rig.bulletin.events += [event(2, *(each | {"health": "terminating"} for each in hosts))]
         await trio.sleep(0.1)
@@ -155,22 +156,22 @@
     """Each decision takes 10 ms here. With 32 decisions between reads, a drain was read after its grace."""
 
     async def test(rig: Rig) -> None:
-        clock, brain = trio.lowlevel.current_clock(), rig.planner.engine.brain
-        place = brain._place_next
+        clock, scheduler = trio.lowlevel.current_clock(), rig.planner.engine.scheduler
+        place = scheduler._place_next
 
         def slow(now: int) -> object:
             clock.jump(0.01)
             return place(now)
 
         heard: list[float] = []
-        listed = brain.machines_listed
+        listed = scheduler.machines_listed
 
         def noted(now: int, entries: list, whole: bool) -> None:
             if entries:
                 heard.append(trio.current_time())
             listed(now, entries, whole)
 
-        brain._place_next, brain.machines_listed = slow, noted
+        scheduler._place_next, scheduler.machines_listed = slow, noted
         owner = await rig.owner()
         for first in range(1, 400, 40):
             await owner.say(*(set_up(guest) for guest in range(first, first + 40)))
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -175,7 +175,7 @@
     one of the second to the same machine, which then ran beside a third."""
 
     async def test(rig: Rig) -> None:
-        rig.planner.engine.brain.answers[0].append(100_000)  # a known answer time: the time-out is soon
+        rig.planner.engine.scheduler.answers[0].append(100_000)  # a known answer time: the time-out is soon
         slow, owner = rig.machines["a"], await rig.owner()
         slow.silent = True
         await owner.say(set_up(1))
--- a/tests/test_state_recovery.py
+++ b/tests/test_state_recovery.py
@@ -6,7 +6,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.state.images import LooseImage, drop, put
 from hazelhold.state.state_table import StateTable
-from tests.helpers import MS, EngineHarness, ask, brain, of, stand
+from tests.helpers import MS, EngineHarness, of, scheduler, stand, submission
 from tests.state_rig import S
 
 
@@ -108,7 +108,7 @@
     harness.says(S, machine, of(m.OfferRefused, offer, remark="no_cores"))
     runs.crash(harness, S)
     again = runs.harness(2 * S)
-    assert again.engine.brain.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
+    assert again.engine.scheduler.guests["g/0"].dispatches >= 1 and len(again.sent(m.Offer)) == 0
     again.lists(2 * S, [again.entry(n) for n in "ab"], whole=True)
     assert all(o.attempt >= 1 for o in again.sent(m.Offer))
 
@@ -130,19 +130,19 @@
 
 
 def test_learned_state_is_restored_for_machines_of_the_same_incarnation() -> None:
-    made = brain("ab", at=S)
+    made = scheduler("ab", at=S)
     for n in range(4):
-        made.guest_arrived(S, ask(f"g{n}"))
+        made.guest_submitted(S, submission(f"g{n}"))
         decision = made.decide(S)
-        made.dispatch_taken(S, f"g{n}", 5 * MS)
-        made.guest_runs(2 * S, f"g{n}")
+        made.dispatch_accepted(S, f"g{n}", 5 * MS)
+        made.guest_started(2 * S, f"g{n}")
         made.memory_used(2 * S, f"g{n}", 1.5)
     made.probe_answered(2 * S, decision.machine, False)
-    later = brain("ab", at=10 * S)
-    past = made.learned()
-    later.remembered(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
+    later = scheduler("ab", at=10 * S)
+    past = made.learned_state()
+    later.restore_learned(10 * S, msgspec.convert(msgspec.to_builtins(past), type(past)), False)
     assert len(later.services["service-0"].samples) == 4 and later.answers[0]
-    assert later.machines[decision.machine].mute and later.no_cold_until == 14 * S
-    late = brain("ab", at=100 * S)
-    late.remembered(100 * S, made.learned(), True)
+    assert later.machines[decision.machine].unresponsive and later.no_cold_until == 14 * S
+    late = scheduler("ab", at=100 * S)
+    late.restore_learned(100 * S, made.learned_state(), True)
     assert not late.services and not late.no_cold_until
