--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from hazelhold.audit.history import Call, linearizable
-from hazelhold.audit.rules import AuditRules, Breach
+from hazelhold.audit.rules import AuditRules, RuleViolation
 from hazelhold.protocol.record import Crossing
 
 PLANNER, LIFE, ASK, ATTEMPT, STATE, MACHINE, HOW, NO = range(8)  # places in a claim
@@ -61,7 +61,7 @@
         self.effects = {name: product.get("effect") for name, product in rules.products.items()}
         self.off = not any(c.way in ("ask", "agreed") for c in self.crossings)
 
-    def breaches(self) -> list[Breach]:
+    def breaches(self) -> list[RuleViolation]:
         return [] if self.off else sorted([*self._histories(), *self._offers()], key=lambda b: b.at)
 
     def counts(self) -> dict[str, int]:
@@ -71,7 +71,7 @@
                 found[f"asked_{c.message['outcome']}"] += 1
         return dict(found)
 
-    def _histories(self) -> list[Breach]:
+    def _histories(self) -> list[RuleViolation]:
         calls: dict[str, list[Call]] = defaultdict(list)
         open_asks: dict[tuple[str, int], Crossing] = {}
         last: dict[str, Crossing] = {}
@@ -94,12 +94,14 @@
         for c in open_asks.values():  # its process died: it may have been made, and made again
             calls[c.peer] += [Call(*_given(c.message), None, c.at)] * 2
         return [
-            Breach(2, f"what planners saw of {key} has no order", "", "", "", last[key].at, [last[key]])
+            RuleViolation(
+                2, f"what planners saw of {key} has no order", "", "", "", last[key].at, [last[key]]
+            )
             for key, seen in calls.items()
             if not linearizable(seen, b"", step)
         ]
 
-    def _offers(self) -> list[Breach]:
+    def _offers(self) -> list[RuleViolation]:
         found = []
         claimed: set[tuple] = set()  # planner, guest, ask, attempt, machine
         # Dispatches that may have run, by guest: planner, machine, ask, attempt.
@@ -122,15 +124,15 @@
                 self._fate(c, body, out)
         return found
 
-    def _offer(self, c: Crossing, body: dict[str, Any], claimed: set, out: dict) -> list[Breach]:
+    def _offer(self, c: Crossing, body: dict[str, Any], claimed: set, out: dict) -> list[RuleViolation]:
         found = []
         guest, ask, attempt = body["guest"], body.get("ask", 0), body.get("attempt", 0)
         if (c.by, guest, ask, attempt, c.peer) not in claimed:
-            found.append(Breach(2, "an offer without an agreed claim", guest, c.by, c.peer, c.at, [c]))
+            found.append(RuleViolation(2, "an offer without an agreed claim", guest, c.by, c.peer, c.at, [c]))
         others = [o for (by, *_), o in out.items() if by != c.by]
         if others and self.effects[body["product"]] == "exclusive":
             found.append(
-                Breach(
+                RuleViolation(
                     2,
                     "offered beside another planner's dispatch that may have run",
                     guest,
--- a/hazelhold/audit/findings.py
+++ b/hazelhold/audit/findings.py
@@ -24,7 +24,7 @@
     durable: bool = False  # planners keep their state: one that was killed owes what it had taken
 
 
-class Breach(Struct):
+class RuleViolation(Struct):
     """A broken rule: which, for whom, and the crossings that show it."""
 
     rule: int
@@ -36,8 +36,8 @@
     frames: list[Crossing]
 
 
-def breach(
+def violation(
     rule: int, what: str, planner: str, frames: list[Crossing], guest: str = "", machine: str = ""
-) -> Breach:
+) -> RuleViolation:
     """A breach at the moment of its last crossing."""
-    return Breach(rule, what, guest, planner, machine, frames[-1].at, frames)
+    return RuleViolation(rule, what, guest, planner, machine, frames[-1].at, frames)
--- a/hazelhold/audit/machine_ends.py
+++ b/hazelhold/audit/machine_ends.py
@@ -2,7 +2,7 @@
 
 from collections import Counter, defaultdict
 
-from hazelhold.audit.findings import AuditRules, Breach, breach
+from hazelhold.audit.findings import AuditRules, RuleViolation, violation
 from hazelhold.protocol.record import Crossing
 
 
@@ -11,7 +11,7 @@
 
     def __init__(self, rules: AuditRules) -> None:
         self.rules = rules
-        self.found: list[Breach] = []
+        self.found: list[RuleViolation] = []
         self.tally: Counter[str] = Counter()
         self.products: dict[str, str] = {}  # by task
         self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # task: machine: its start
@@ -44,7 +44,7 @@
     def _fact(self, c: Crossing, what: str) -> None:
         self.tally["machine_" + what] += 1
         if what == "fell_over":
-            self.found.append(breach(4, "a cold machine was pushed over", "", [c], machine=c.by))
+            self.found.append(violation(4, "a cold machine was pushed over", "", [c], machine=c.by))
         if what in ("down", "fell_over"):
             for starts in self.running.values():
                 starts.pop(c.by, None)
@@ -56,10 +56,10 @@
             starts = list(self.running[task].values())
             if starts:
                 what = "an exclusive guest runs twice at once"
-                self.found.append(breach(2, what, c.peer, [*starts, c], task, c.by))
+                self.found.append(violation(2, what, c.peer, [*starts, c], task, c.by))
             if task in self.done:
                 what = "an exclusive guest ran again after it was done"
-                self.found.append(breach(2, what, c.peer, [self.done[task], c], task, c.by))
+                self.found.append(violation(2, what, c.peer, [self.done[task], c], task, c.by))
         self.running[task][c.by] = c
 
     def _ends_told_late(self, c: Crossing) -> None:
--- a/hazelhold/audit/planner_life.py
+++ b/hazelhold/audit/planner_run.py
@@ -4,7 +4,14 @@
 from typing import Any, NamedTuple
 
 from hazelhold.audit.attempts import Ask, Attempt
-from hazelhold.audit.findings import ANSWER_SLACK, FINAL_ANSWERS, RETURN_ALLOWANCE, AuditRules, Breach, breach
+from hazelhold.audit.findings import (
+    ANSWER_SLACK,
+    FINAL_ANSWERS,
+    RETURN_ALLOWANCE,
+    AuditRules,
+    RuleViolation,
+    violation,
+)
 from hazelhold.audit.timeline import Outages, Timeline
 from hazelhold.protocol.record import Crossing
 
@@ -32,13 +39,13 @@
     service: str
 
 
-class PlannerLife:
+class PlannerRunAudit:
     """Judges the crossings of one life. What it finds is in `found`; `tally` counts, `open_asks` names what
     was never answered."""
 
     def __init__(self, planner: str, rules: AuditRules, timeline: Timeline) -> None:
         self.planner, self.rules, self.timeline = planner, rules, timeline
-        self.found: list[Breach] = []
+        self.found: list[RuleViolation] = []
         self.tally: Counter[str] = Counter()
         self.open_asks: list[str] = []
         self.asks: dict[AskKey, Ask] = {}
@@ -62,7 +69,7 @@
         self._judge_unanswered()
 
     def _breach(self, rule: int, what: str, frames: list[Crossing], task: str, machine: str = "") -> None:
-        self.found.append(breach(rule, what, self.planner, frames, task, machine))
+        self.found.append(violation(rule, what, self.planner, frames, task, machine))
 
     def _died(self, c: Crossing) -> None:
         self.killed_at = c.at
--- a/hazelhold/audit/rules.py
+++ b/hazelhold/audit/rules.py
@@ -10,13 +10,13 @@
 
 from msgspec import convert
 
-from hazelhold.audit.findings import AuditRules, Breach
+from hazelhold.audit.findings import AuditRules, RuleViolation
 from hazelhold.audit.machine_ends import MachineEnds
-from hazelhold.audit.planner_life import PlannerLife
+from hazelhold.audit.planner_run import PlannerRunAudit
 from hazelhold.audit.timeline import Timeline
 from hazelhold.protocol.record import Crossing, RecordError, read_record
 
-__all__ = ["Audit", "Breach", "AuditRules"]
+__all__ = ["Audit", "RuleViolation", "AuditRules"]
 
 
 class Audit:
@@ -41,12 +41,12 @@
     def crossings(self) -> list[Crossing]:
         return self.timeline.crossings
 
-    def breaches(self) -> list[Breach]:
+    def breaches(self) -> list[RuleViolation]:
         """Every broken rule, in the order of their times."""
-        found: list[Breach] = []
+        found: list[RuleViolation] = []
         self.tally, self.open_asks = Counter(), []
         for (planner, _), crossings in self.timeline.planner_lives(self.rules.durable).items():
-            life = PlannerLife(planner, self.rules, self.timeline)
+            life = PlannerRunAudit(planner, self.rules, self.timeline)
             life.judge(crossings)
             found += life.found
             self.tally += life.tally
--- a/hazelhold/audit/timeline.py
+++ b/hazelhold/audit/timeline.py
@@ -6,7 +6,7 @@
 from hazelhold.audit.findings import RETURN_ALLOWANCE
 from hazelhold.protocol.record import Crossing
 
-LifeKey = tuple[str, int]  # a planner's name and the number of its life
+PlannerRunKey = tuple[str, int]  # a planner's name and the number of its life
 PLANNER_DOWN = ("planner_kill", "planner_stop", "planner_pause")
 PLANNER_BACK = ("planner_start", "planner_resume")
 
@@ -23,10 +23,10 @@
     def ends_at(self) -> int:
         return self.crossings[-1].at
 
-    def planner_lives(self, durable: bool) -> dict[LifeKey, list[Crossing]]:
+    def planner_lives(self, durable: bool) -> dict[PlannerRunKey, list[Crossing]]:
         """The planners' own crossings, apart for each life. With durable state a planner has one life."""
         number: Counter[str] = Counter()
-        lives: dict[LifeKey, list[Crossing]] = defaultdict(list)
+        lives: dict[PlannerRunKey, list[Crossing]] = defaultdict(list)
         for c in self.crossings:
             if c.role == "planner":
                 lives[c.by, number[c.by]].append(c)
--- a/hazelhold/capture/cut.py
+++ b/hazelhold/capture/extract.py
@@ -14,7 +14,7 @@
 from hazelhold.capture.streams import Frame
 
 
-class Wish(Struct):
+class ExtractFilter(Struct):
     """What to keep; empty wishes keep everything. Moments in microseconds since 1970."""
 
     since: int = 0
@@ -36,7 +36,7 @@
         )
 
 
-def extract(files: list[Path], to: Path, wish: Wish, skips: Skips) -> dict[str, int]:
+def extract(files: list[Path], to: Path, wish: ExtractFilter, skips: Skips) -> dict[str, int]:
     """Writes every packet of the connections in which a wanted frame crossed, and all notes of planners."""
     wanted: set[frozenset] = set()
     who: dict[frozenset, str] = {}
--- a/hazelhold/capture/packets.py
+++ b/hazelhold/capture/packets.py
@@ -123,7 +123,7 @@
     return int.from_bytes(data if len(data) % 2 == 0 else data + b"\0") % 0xFFFF
 
 
-class Way:
+class PacketBuilder:
     """From one end to another: what all Ethernet frames on this way have in common is made once."""
 
     def __init__(self, source: tuple[bytes, int], target: tuple[bytes, int]) -> None:
@@ -186,5 +186,5 @@
     flags: int = 0,
 ) -> bytes:
     """An Ethernet frame with a TCP segment, or a UDP datagram if there is no `seq`, with sound checksums."""
-    way = Way(source, target)
+    way = PacketBuilder(source, target)
     return way.udp(payload) if seq < 0 else way.tcp(payload, seq, ack, flags)
--- a/hazelhold/capture/tap.py
+++ b/hazelhold/capture/tap.py
@@ -17,7 +17,7 @@
 from hazelhold import brain, interface
 from hazelhold.capture.packets import name
 from hazelhold.capture.read import MAGIC
-from hazelhold.capture.write import NOTE_WAY, CaptureWriter, Trunk
+from hazelhold.capture.write import NOTE_PACKETS, CapturedConnection, CaptureWriter
 from hazelhold.config.planner import CaptureConfig, PlannerConfig
 
 
@@ -53,15 +53,17 @@
             round(limits.queue_mb * 1e6),
         )
         self.made = 0
-        self.pumped = NOTE_WAY.udp(MAGIC + msgspec.msgpack.encode({"n": "pump", "p": self.life}))
+        self.pumped = NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode({"n": "pump", "p": self.life}))
         self.house = hashlib.sha256(self.life.encode()).digest()[:3]
 
-    def trunk(self, role: str, who: str, stream: trio.abc.Stream, dialled: bool, now: int) -> Trunk:
+    def captured_connection(
+        self, role: str, who: str, stream: trio.abc.Stream, dialled: bool, now: int
+    ) -> CapturedConnection:
         """A new connection with its true addresses; made-up ones where it has none."""
         near, far = self._ends(stream)
-        trunk = Trunk(self.writer, near, far, dialled, now)
+        captured_connection = CapturedConnection(self.writer, near, far, dialled, now)
         self.note(now, "stream", near=name(near), far=name(far), role=role, who=who)
-        return trunk
+        return captured_connection
 
     def pump(self, now: int) -> None:
         """The note that is made most often: every decision follows one."""
--- a/hazelhold/capture/write.py
+++ b/hazelhold/capture/write.py
@@ -14,21 +14,23 @@
 import msgspec
 
 from hazelhold.capture.files import file_head, record
-from hazelhold.capture.packets import ACK, FIN, PSH, SYN, Way
+from hazelhold.capture.packets import ACK, FIN, PSH, SYN, PacketBuilder
 from hazelhold.capture.read import MAGIC
 
 End = tuple[bytes, int]
 SEGMENT = 60_000
 PAUSE = 0.05  # seconds between writes
-NOTE_WAY = Way((b"\x7f\0\0\1", 9), (b"\x7f\0\0\1", 9))  # our own notes seem to go to the discard port
+NOTE_PACKETS = PacketBuilder(
+    (b"\x7f\0\0\1", 9), (b"\x7f\0\0\1", 9)
+)  # our own notes seem to go to the discard port
 
 
-class Trunk:
+class CapturedConnection:
     """One connection: keeps both directions' sequence numbers."""
 
     def __init__(self, writer: "CaptureWriter", near: End, far: End, dialled: bool, at: int) -> None:
         self.writer = writer
-        self.ways = {True: Way(near, far), False: Way(far, near)}
+        self.ways = {True: PacketBuilder(near, far), False: PacketBuilder(far, near)}
         self.seq = {True: 1000, False: 5000}  # of what leaves here, of what comes
         self.open = True
         self._packet(dialled, b"", SYN, at)
@@ -108,7 +110,7 @@
 
     def note(self, at: int, data: dict[str, Any]) -> None:
         """A note of our own, in a datagram."""
-        self.put(at, NOTE_WAY.udp(MAGIC + msgspec.msgpack.encode(data)))
+        self.put(at, NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode(data)))
 
     def end(self) -> None:
         """Takes nothing more. To be called by the thread that puts packets, so that the capture does not end
@@ -135,7 +137,7 @@
             path.parent.mkdir(parents=True, exist_ok=True)
         self.file = path.open("wb", buffering=0)
         head = file_head(self.ng) + record(
-            self.ng, at, NOTE_WAY.udp(MAGIC + msgspec.msgpack.encode(self.start | {"file": self.number}))
+            self.ng, at, NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode(self.start | {"file": self.number}))
         )
         self.file.write(head)
         self.size, self.began = len(head), time.monotonic()
--- a/hazelhold/cli/capture.py
+++ b/hazelhold/cli/capture.py
@@ -65,7 +65,7 @@
 @report_errors
 def info(files: tuple[Path, ...], as_json: bool) -> None:
     """What the files hold, and what in them was skipped."""
-    from hazelhold.capture.cut import survey
+    from hazelhold.capture.extract import survey
 
     skips = Skips()
     said = survey(list(files), skips, meter())
@@ -133,10 +133,10 @@
 @report_errors
 def extract_command(files: tuple[Path, ...], output: Path, **wish: Any) -> None:  # noqa: ANN401 - as click calls
     """Keep the connections in which something wanted crossed, each whole, as a new capture."""
-    from hazelhold.capture.cut import Wish, extract
+    from hazelhold.capture.extract import ExtractFilter, extract
 
     skips = Skips()
-    counts = extract(list(files), output, Wish(**wish), skips)
+    counts = extract(list(files), output, ExtractFilter(**wish), skips)
     click.echo(
         f"{output}: {counts.get('kept', 0)} packets of {counts['streams']} streams, "
         f"{counts.get('left out', 0)} left out"
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -74,8 +74,8 @@
         if self.handed_over:
             return  # the next process hears it: what is not acknowledged is asked again
         now = self.net.now()
-        if wire.trunk is not None:
-            wire.trunk.data(False, frame(wire.body), now)
+        if wire.captured_connection is not None:
+            wire.captured_connection.data(False, frame(wire.body), now)
         getattr(self.engine, what)(now, *given)
         self.carry_out()
         self.ticker.stir()
--- a/hazelhold/service/owner_door.py
+++ b/hazelhold/service/owner_door.py
@@ -112,10 +112,10 @@
 
     def _refuse(self, wire: Wire, wrong: FrameError) -> None:
         if self.wires.tap is not None:  # what was wrong is worth keeping, too
-            if wire.trunk is None:
+            if wire.captured_connection is None:
                 self.wires.begin_capture("refused", wire.peer or "unknown", wire, False)
             told = wire.raw if wrong.code.startswith("frame") else frame(wire.body) if wire.body else b""
-            wire.trunk.data(False, told, self.driver.net.now())
+            wire.captured_connection.data(False, told, self.driver.net.now())
         self.counts["refused_" + wrong.code] += 1
         self.log.warning("connection_refused", code=wrong.code, reason=wrong.text, peer=wire.peer)
         wire.finish(m.Fault(code=wrong.code, text=wrong.text))
--- a/hazelhold/service/wire.py
+++ b/hazelhold/service/wire.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from hazelhold.capture.write import Trunk
+from hazelhold.capture.write import CapturedConnection
 from hazelhold.protocol.frames import FrameError, FrameReader, frame
 from hazelhold.protocol.messages import VERSION, Codec, Fault, Hello, Message, Welcome, encode
 from hazelhold.protocol.record import Recorder
@@ -116,7 +116,7 @@
         self.codec, self.now = codec, now
         self.recorder, self.peer = recorder, peer
         self.reader = FrameReader(frame_bytes)
-        self.trunk: Trunk | None = None  # this connection in the capture
+        self.captured_connection: CapturedConnection | None = None  # this connection in the capture
         self.body = b""  # of the message that was read last
         self.raw = b""  # what was read last, whatever it is
 
@@ -125,8 +125,8 @@
         body = encode(message)
         if not self.put(body):
             return False
-        if self.trunk is not None:
-            self.trunk.data(True, body, self.now())
+        if self.captured_connection is not None:
+            self.captured_connection.data(True, body, self.now())
         self.note("out", message)
         return True
 
@@ -195,7 +195,7 @@
 
     def captured(self) -> None:
         """Puts the message that was read last into the capture."""
-        if self.trunk is not None:
-            self.trunk.data(False, frame(self.body), self.now())
+        if self.captured_connection is not None:
+            self.captured_connection.data(False, frame(self.body), self.now())
 
     held_back: list[bytes] = []
--- a/hazelhold/service/wires.py
+++ b/hazelhold/service/wires.py
@@ -24,9 +24,11 @@
     def begin_capture(self, role: str, who: str, wire: Wire, dialled: bool) -> None:
         """Gives the wire a connection in the capture, if there is one."""
         if self.tap is not None:
-            wire.trunk = self.tap.trunk(role, who, wire.stream, dialled, self.net.now())
+            wire.captured_connection = self.tap.captured_connection(
+                role, who, wire.stream, dialled, self.net.now()
+            )
 
     def end_capture(self, wire: Wire) -> None:
         """Closes the wire's connection in the capture."""
-        if wire.trunk is not None:
-            wire.trunk.close(self.net.now())
+        if wire.captured_connection is not None:
+            wire.captured_connection.close(self.net.now())
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.capture.cut import Wish, extract
+from hazelhold.capture.extract import ExtractFilter, extract
 from hazelhold.capture.files import file_head, read_packets, record
 from hazelhold.capture.packets import ACK, FIN, PSH, SYN, Segment, build, end_of, parse
 from hazelhold.capture.read import Note, read
@@ -273,13 +273,13 @@
 def test_a_library_finds_what_is_written_sound(tmp_path: Path) -> None:
     for suffix, reader in (("pcap", dpkt.pcap.Reader), ("pcapng", dpkt.pcapng.Reader)):
         writer = CaptureWriter(tmp_path / f"c.{suffix}", START, T)
-        from hazelhold.capture.write import Trunk
+        from hazelhold.capture.write import CapturedConnection
 
         for a, b in ((A, B), (end_of("[::1]:9"), end_of("[::2]:8"))):
-            trunk = Trunk(writer, a, b, True, 0)
-            trunk.data(True, b"x" * 150_001, 10)
-            trunk.data(False, b"yes", 20)
-            trunk.close(30)
+            captured_connection = CapturedConnection(writer, a, b, True, 0)
+            captured_connection.data(True, b"x" * 150_001, 10)
+            captured_connection.data(False, b"yes", 20)
+            captured_connection.close(30)
         writer.close()
         seen = {True: b"", False: b""}
         with (tmp_path / f"c.{suffix}").open("rb") as file:
@@ -424,9 +424,12 @@
     pair = {wanted.source, wanted.target}
     for suffix in ("pcap", "pcapng"):
         extract(
-            [path], tmp_path / f"c.{suffix}", Wish(guest=wanted.message["guest"], machine="m000"), Skips()
+            [path],
+            tmp_path / f"c.{suffix}",
+            ExtractFilter(guest=wanted.message["guest"], machine="m000"),
+            Skips(),
         )
-        extract([path], tmp_path / f"c.{suffix}", Wish(guest=wanted.message["guest"]), Skips())
+        extract([path], tmp_path / f"c.{suffix}", ExtractFilter(guest=wanted.message["guest"]), Skips())
         skips = Skips()
         kept = [item for item in read([tmp_path / f"c.{suffix}"], skips) if isinstance(item, Frame)]
         whole = [
