--- a/bench/capture.py
+++ b/bench/capture.py
@@ -19,7 +19,7 @@
 
 from bench import throughput
 from hazelhold.capture.files import file_head, read_packets, record
-from hazelhold.capture.packets import ACK, PSH, SYN, build, end_of, parse
+from hazelhold.capture.packets import ACK, PSH, SYN, build, parse, parse_endpoint
 from hazelhold.capture.read import read
 from hazelhold.capture.skips import Skips
 from hazelhold.config.planner import CaptureConfig
@@ -28,7 +28,10 @@
 
 def make(path: Path, size: int, streams: int = 50) -> None:
     """A capture of so many bytes: offers and answers on some streams, two frames a segment."""
-    pairs = [(end_of(f"10.0.{n // 200}.{n % 200 + 1}:5000"), end_of("10.9.0.1:7400")) for n in range(streams)]
+    pairs = [
+        (parse_endpoint(f"10.0.{n // 200}.{n % 200 + 1}:5000"), parse_endpoint("10.9.0.1:7400"))
+        for n in range(streams)
+    ]
     bodies = [
         m.encode(
             m.Offer(
--- a/bench/fuzz_capture.py
+++ b/bench/fuzz_capture.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from hazelhold.capture.files import file_head, read_packets, record
-from hazelhold.capture.packets import ACK, FIN, PSH, RST, SYN, build, end_of
+from hazelhold.capture.packets import ACK, FIN, PSH, RST, SYN, build, parse_endpoint
 from hazelhold.capture.read import read
 from hazelhold.capture.replay import replay
 from hazelhold.capture.skips import Skips
@@ -25,11 +25,11 @@
     packets = []
     for number in range(random.randint(1, 5)):
         a, b = (
-            end_of(f"10.0.0.{number + 1}:5000"),
-            end_of("[::1]:7400" if random.random() < 0.1 else "10.9.9.9:7400"),
+            parse_endpoint(f"10.0.0.{number + 1}:5000"),
+            parse_endpoint("[::1]:7400" if random.random() < 0.1 else "10.9.9.9:7400"),
         )
         if len(a[0]) != len(b[0]):
-            a = end_of(f"[::{number + 2}]:5000")
+            a = parse_endpoint(f"[::{number + 2}]:5000")
         data = b"".join(m.encode(m.Query(guest=f"g{n}" * random.randint(1, 20))) for n in range(8))
         isn = random.randrange(1 << 32)
         mine = [build(a, b, b"", isn, 0, SYN)] if random.random() < 0.8 else []
--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -61,7 +61,7 @@
         self.effects = {name: product.get("effect") for name, product in rules.products.items()}
         self.off = not any(c.way in ("ask", "agreed") for c in self.crossings)
 
-    def breaches(self) -> list[RuleViolation]:
+    def violations(self) -> list[RuleViolation]:
         return [] if self.off else sorted([*self._histories(), *self._offers()], key=lambda b: b.at)
 
     def counts(self) -> dict[str, int]:
--- a/hazelhold/audit/machine_ends.py
+++ b/hazelhold/audit/machine_ends.py
@@ -17,7 +17,7 @@
         self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # task: machine: its start
         self.done: dict[str, Crossing] = {}  # by task
 
-    def judge(self, crossings: list[Crossing]) -> None:
+    def evaluate(self, crossings: list[Crossing]) -> None:
         """Takes the crossings of the whole day, in order."""
         for c in crossings:
             if c.role == "machine":
--- a/hazelhold/audit/planner_run.py
+++ b/hazelhold/audit/planner_run.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Any, NamedTuple
 
-from hazelhold.audit.attempts import Ask, Attempt
+from hazelhold.audit.dispatches import Ask, Attempt
 from hazelhold.audit.findings import (
     ANSWER_SLACK,
     FINAL_ANSWERS,
@@ -56,7 +56,7 @@
         self.killed_at = 0
         self.outages = Outages([])
 
-    def judge(self, crossings: list[Crossing]) -> None:
+    def evaluate(self, crossings: list[Crossing]) -> None:
         """Takes the crossings of the whole life, in order."""
         self.outages = Outages(crossings)
         for c in crossings:
--- a/hazelhold/audit/rules.py
+++ b/hazelhold/audit/rules.py
@@ -41,18 +41,18 @@
     def crossings(self) -> list[Crossing]:
         return self.timeline.crossings
 
-    def breaches(self) -> list[RuleViolation]:
+    def violations(self) -> list[RuleViolation]:
         """Every broken rule, in the order of their times."""
         found: list[RuleViolation] = []
         self.tally, self.open_asks = Counter(), []
         for (planner, _), crossings in self.timeline.planner_lives(self.rules.durable).items():
             life = PlannerRunAudit(planner, self.rules, self.timeline)
-            life.judge(crossings)
+            life.evaluate(crossings)
             found += life.found
             self.tally += life.tally
             self.open_asks += life.open_asks
         machines = MachineEnds(self.rules)
-        machines.judge(self.crossings)
+        machines.evaluate(self.crossings)
         self.tally += machines.tally
         return sorted([*found, *machines.found], key=lambda b: b.at)
 
--- a/hazelhold/audit/views.py
+++ b/hazelhold/audit/views.py
@@ -19,7 +19,7 @@
 GONE = ("gone", "left")
 
 
-class ViewBounds(Struct, frozen=True):
+class ViewLimits(Struct, frozen=True):
     """What a day allows: how many wrongly gone, and seconds to notice and to heal; more is missed."""
 
     wrongly_gone: int = 0
@@ -40,7 +40,7 @@
 class Views:
     """The views of one day."""
 
-    def __init__(self, crossings: Iterable[Crossing], bounds: ViewBounds) -> None:
+    def __init__(self, crossings: Iterable[Crossing], bounds: ViewLimits) -> None:
         self.bounds = bounds
         self.notice, self.heal = round(bounds.notice_s * 1e6), round(bounds.heal_s * 1e6)
         self.up: set[str] = set()
@@ -59,7 +59,7 @@
         )
         self.off = not any(c.way == "member" for c in self.events)
 
-    def judge(self) -> dict[str, Any]:
+    def evaluate(self) -> dict[str, Any]:
         """The figures, and whether a bound was passed."""
         for c in self.events:
             if c.way == "member":
--- a/hazelhold/capture/load.py
+++ b/hazelhold/capture/load.py
@@ -18,7 +18,7 @@
 OWNERS = m.Codec(m.FROM_OWNER)
 
 
-def asks(files: list[Path], skips: Skips) -> list[tuple[int, str, m.Message]]:
+def owner_messages(files: list[Path], skips: Skips) -> list[tuple[int, str, m.Message]]:
     """All submits and cancels of a capture: moment in microseconds, owner, message."""
     found: list[tuple[int, str, m.Message]] = []
     names: dict[tuple, str] = {}
--- a/hazelhold/capture/packets.py
+++ b/hazelhold/capture/packets.py
@@ -108,7 +108,7 @@
     return f"[{host}]:{end[1]}" if ":" in host else f"{host}:{end[1]}"
 
 
-def end_of(text: str) -> tuple[bytes, int]:
+def parse_endpoint(text: str) -> tuple[bytes, int]:
     """The end that an address as host:port names."""
     host, _, port = text.rpartition(":")
     return ip_address(host.strip("[]")).packed, int(port)
--- a/hazelhold/cli/capture.py
+++ b/hazelhold/cli/capture.py
@@ -168,7 +168,7 @@
     if to:
         import trio
 
-        from hazelhold.capture.load import asks, send
+        from hazelhold.capture.load import owner_messages, send
         from hazelhold.config.load import split_address
         from hazelhold.service.net import TcpNet
 
@@ -176,7 +176,7 @@
             split_address(to)
         except ValueError as wrong:
             raise click.BadParameter(str(wrong)) from None
-        plan = asks(list(files), skips)
+        plan = owner_messages(list(files), skips)
         said = trio.run(send, TcpNet(), to, plan, speed, mark or f"r{time.time_ns() // 1000}-")
         if as_json:
             click.echo(json.dumps(said | {"skipped": skipped(skips)}))
--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -121,7 +121,7 @@
         }
         if self.crossings is not None:
             audit = Audit(self.crossings)
-            broken = audit.breaches()
+            broken = audit.violations()
             found |= {
                 "counts": audit.counts(),
                 "service": score(audit.crossings, audit.rules),
--- a/hazelhold/rehearse/run.py
+++ b/hazelhold/rehearse/run.py
@@ -12,7 +12,7 @@
 from hazelhold.audit.claims import ClaimAudit
 from hazelhold.audit.rules import Audit, AuditRules
 from hazelhold.audit.score import score
-from hazelhold.audit.views import ViewBounds, Views
+from hazelhold.audit.views import ViewLimits, Views
 from hazelhold.config.day import Day
 from hazelhold.config.planner import (
     CopiesConfig,
@@ -220,7 +220,7 @@
         seed,
         time.monotonic() - began,
         {s.model.name: dict(s.model.counts) for s in environment.senders},
-        ViewBounds(**msgspec.structs.asdict(day.views)),
+        ViewLimits(**msgspec.structs.asdict(day.views)),
     )
 
 
@@ -289,15 +289,15 @@
 
 
 def report(
-    records: Path, name: str, seed: int, seconds: float, owners: dict, bounds: ViewBounds | None = None
+    records: Path, name: str, seed: int, seconds: float, owners: dict, bounds: ViewLimits | None = None
 ) -> dict[str, Any]:
     """Audit and score of a folder of records, as plain values."""
     audit = Audit.of_folder(records)
-    breaches = audit.breaches()
+    breaches = audit.violations()
     claims = ClaimAudit(audit.crossings, audit.rules)
-    breaches += claims.breaches()
-    views = Views(audit.crossings, bounds or ViewBounds())
-    more = {} if views.off else {"views": views.judge()}
+    breaches += claims.violations()
+    views = Views(audit.crossings, bounds or ViewLimits())
+    more = {} if views.off else {"views": views.evaluate()}
     if not claims.off:
         more["claims"] = claims.counts()
     return {
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -212,8 +212,8 @@
         for log in folder.glob("*.log"):
             assert "Traceback" not in log.read_text(), log.read_text()[-2000:]
         audit = made.crossings()
-        assert ClaimAudit(audit.crossings, audit.rules).breaches() == []
-        assert [b for b in audit.breaches() if b.rule == 2] == []
+        assert ClaimAudit(audit.crossings, audit.rules).violations() == []
+        assert [b for b in audit.violations() if b.rule == 2] == []
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -88,7 +88,7 @@
         return self.note("", "day_over", "", wait, by="rehearsal", role="rehearsal")
 
     def broken(self) -> list[int]:
-        return [b.rule for b in Audit(self.crossings).breaches()]
+        return [b.rule for b in Audit(self.crossings).violations()]
 
 
 def placed(tape: Tape, guest: str, machine: str = "a", product: str = "plain") -> Tape:
@@ -259,7 +259,7 @@
         stand = {"guest": "g", "ask": 0, "attempt": 0, "state": state, "how": "sent_away", "service": "s"}
         tape.note("p", "out", "running", by="a", role="machine", guests=[stand])
         machine(machine(tape, "b", "offer", product="once"), "b", "started")
-        assert [b.rule for b in Audit(tape.crossings).breaches() if b.rule == 2] == broken
+        assert [b.rule for b in Audit(tape.crossings).violations() if b.rule == 2] == broken
 
 
 def test_a_machine_pushed_over_breaks_the_fourth_rule_and_a_crash_does_not() -> None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -17,7 +17,7 @@
 
 from hazelhold.capture.extract import ExtractFilter, extract
 from hazelhold.capture.files import file_head, read_packets, record
-from hazelhold.capture.packets import ACK, FIN, PSH, SYN, Segment, build, end_of, parse
+from hazelhold.capture.packets import ACK, FIN, PSH, SYN, Segment, build, parse, parse_endpoint
 from hazelhold.capture.read import Note, read
 from hazelhold.capture.replay import replay
 from hazelhold.capture.skips import Skips
@@ -29,7 +29,7 @@
 from hazelhold.protocol.frames import frame
 from hazelhold.rehearse.run import play_virtual
 
-A, B = end_of("10.0.0.1:1000"), end_of("10.0.0.2:2000")
+A, B = parse_endpoint("10.0.0.1:1000"), parse_endpoint("10.0.0.2:2000")
 EXAMPLES = Path(__file__).parent.parent / "examples"
 T = 1_790_000_000_000_000
 START = {"n": "start", "p": "p@1", "planner": "p", "seed": 1, "sheet": {}, "module": "m", "offset": 0}
@@ -131,7 +131,7 @@
 
 
 def test_other_protocols_are_named_once_a_stream(tmp_path: Path) -> None:
-    web = stream(b"GET / HTTP/1.1\r\n\r\n" * 10, [50, 99], a=end_of("10.9.9.9:80"))
+    web = stream(b"GET / HTTP/1.1\r\n\r\n" * 10, [50, 99], a=parse_endpoint("10.9.9.9:80"))
     udp = build(A, B, b"not a note")
     arp = b"\0" * 12 + b"\x08\x06" + b"\0" * 28
     found, skips = frames(save(tmp_path / "c", [*web, udp, arp, *stream(b"".join(submits(2)), [])]))
@@ -145,7 +145,10 @@
 
 def test_byte_orders_resolutions_links_and_tags(tmp_path: Path) -> None:
     sent = submits(1)
-    v4, v6 = build(A, B, sent[0], 5, 0, ACK), build(end_of("[::1]:9"), end_of("[::2]:8"), sent[0], 5, 0, ACK)
+    v4, v6 = (
+        build(A, B, sent[0], 5, 0, ACK),
+        build(parse_endpoint("[::1]:9"), parse_endpoint("[::2]:8"), sent[0], 5, 0, ACK),
+    )
     links = {
         1: v4[:12] + b"\x81\0\0\7\x88\xa8\0\1" + v4[12:],
         113: b"\0" * 14 + v4[12:],
@@ -228,12 +231,15 @@
     random, path = Random(seed), tmp_path_factory.mktemp("d") / "c"
     sent, packets = {}, []
     for number in range(6):
-        a = end_of(f"10.0.1.{number}:{5000 + number}")
+        a = parse_endpoint(f"10.0.1.{number}:{5000 + number}")
         sent[a] = submits(6, number)
         data = b"".join(sent[a])
         packets += stream(data, random.sample(range(1, len(data)), 6), random.randrange(1 << 32), a)
     order = [n % 6 for n in range(len(packets))]
-    of = {n: [p for p in packets if parse(1, p).source == end_of(f"10.0.1.{n}:{5000 + n}")] for n in range(6)}
+    of = {
+        n: [p for p in packets if parse(1, p).source == parse_endpoint(f"10.0.1.{n}:{5000 + n}")]
+        for n in range(6)
+    }
     mixed = [of[n].pop(0) for n in order if of[n]]
     save(path, mixed, ng)
     places = [(p.offset, len(p.data), parse(1, p.data).source) for p in read_packets(path, Skips())]
@@ -275,7 +281,7 @@
         writer = CaptureWriter(tmp_path / f"c.{suffix}", START, T)
         from hazelhold.capture.write import CapturedConnection
 
-        for a, b in ((A, B), (end_of("[::1]:9"), end_of("[::2]:8"))):
+        for a, b in ((A, B), (parse_endpoint("[::1]:9"), parse_endpoint("[::2]:8"))):
             captured_connection = CapturedConnection(writer, a, b, True, 0)
             captured_connection.data(True, b"x" * 150_001, 10)
             captured_connection.data(False, b"yes", 20)
@@ -443,12 +449,14 @@
 
 
 def test_asks_are_sent_as_load_with_their_spacing(day: Path) -> None:
-    from hazelhold.capture.load import asks, send
+    from hazelhold.capture.load import owner_messages, send
     from hazelhold.service.net import TcpNet
     from hazelhold.service.planner import Planner
     from tests.helpers import planner_config
 
-    plan = [a for a in asks(sorted(day.glob("planner-0-*.pcap")), Skips()) if isinstance(a[2], m.Submit)][:40]
+    plan = [
+        a for a in owner_messages(sorted(day.glob("planner-0-*.pcap")), Skips()) if isinstance(a[2], m.Submit)
+    ][:40]
 
     late: list[float] = []  # of a bare task beside it, in microseconds: how loaded this machine is
 
--- a/tests/test_claim_audit.py
+++ b/tests/test_claim_audit.py
@@ -97,16 +97,16 @@
 @pytest.mark.parametrize("name", SOUND)
 def test_a_sound_record_has_no_breach(name: str) -> None:
     audit = ClaimAudit(SOUND[name], RULES)
-    assert audit.breaches() == [] and not audit.off
+    assert audit.violations() == [] and not audit.off
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_each_doctored_record_is_found_out(name: str) -> None:
     crossings, what = BROKEN[name]
-    found = [b.what for b in ClaimAudit(sorted(crossings, key=lambda x: x.at), RULES).breaches()]
+    found = [b.what for b in ClaimAudit(sorted(crossings, key=lambda x: x.at), RULES).violations()]
     assert any(what in each for each in found), found
-    assert all(b.rule == 2 for b in ClaimAudit(crossings, RULES).breaches())
+    assert all(b.rule == 2 for b in ClaimAudit(crossings, RULES).violations())
 
 
 def test_a_record_without_claims_is_not_judged() -> None:
-    assert ClaimAudit(offer(10), RULES).off and ClaimAudit(offer(10), RULES).breaches() == []
+    assert ClaimAudit(offer(10), RULES).off and ClaimAudit(offer(10), RULES).violations() == []
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -4,7 +4,7 @@
 import pytest
 from click.testing import CliRunner
 
-from hazelhold.audit.views import ViewBounds, Views
+from hazelhold.audit.views import ViewLimits, Views
 from hazelhold.cli.main import main
 from hazelhold.config.day import Day, Trouble, check_day, read_day
 from hazelhold.protocol.record import Crossing
@@ -44,7 +44,7 @@
 
     def judged(self, until: float = 60, **bounds: object) -> dict:
         self.fact(until, "day_over")
-        return Views(self.told, ViewBounds(**{"notice_s": 10, "heal_s": 10, **bounds})).judge()
+        return Views(self.told, ViewLimits(**{"notice_s": 10, "heal_s": 10, **bounds})).evaluate()
 
 
 def test_a_quiet_day_has_nothing_to_say_against_it() -> None:
