--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -17,7 +17,7 @@
 from hazelhold.audit.rules import AuditRules, RuleViolation
 from hazelhold.protocol.record import Crossing
 
-PLANNER, LIFE, ASK, ATTEMPT, STATE, MACHINE, HOW, NO = range(8)  # places in a claim
+PLANNER, RUN, SUBMISSION, DISPATCH, STATE, MACHINE, HOW, NO = range(8)  # places in a claim
 ORDER = ("free", "held", "placed", "over")
 
 
@@ -29,23 +29,25 @@
         return str(int(value or b"0") + 1).encode()
     claim = msgspec.msgpack.decode(value) if value else None
     if call.kind == "take":
-        planner, life, ask, attempt, machine, no, known = call.given
-        made = msgspec.msgpack.encode([planner, life, ask, attempt, "held", machine, "", no])
+        planner, run, submission, dispatch, machine, no, known = call.arguments
+        new_claim = msgspec.msgpack.encode([planner, run, submission, dispatch, "held", machine, "", no])
         if claim is None or claim[STATE] == "free" or claim[STATE] == "held" and value == known:
-            return made
+            return new_claim
         if claim[STATE] == "over":
-            return made if claim[HOW] != "done" and ask > claim[ASK] else value
-        own = claim[:2] == [planner, life]
-        return made if own and (claim[STATE] == "held" or ask > claim[ASK]) else value
+            return new_claim if claim[HOW] != "done" and submission > claim[SUBMISSION] else value
+        own = claim[:2] == [planner, run]
+        return new_claim if own and (claim[STATE] == "held" or submission > claim[SUBMISSION]) else value
     if claim is None:
         return value
     if call.kind == "release":
-        if value != call.given[0] or claim[STATE] != "held":
+        if value != call.arguments[0] or claim[STATE] != "held":
             return value
         claim[STATE], claim[MACHINE] = "free", ""
     elif call.kind == "fact":
-        planner, ask, state, machine, how = call.given
-        if (planner, ask) != (claim[PLANNER], claim[ASK]) or ORDER.index(state) <= ORDER.index(claim[STATE]):
+        planner, submission, state, machine, how = call.arguments
+        if (planner, submission) != (claim[PLANNER], claim[SUBMISSION]) or ORDER.index(state) <= ORDER.index(
+            claim[STATE]
+        ):
             return value
         claim[STATE], claim[MACHINE], claim[HOW] = state, machine, how
     else:
@@ -58,7 +60,7 @@
 
     def __init__(self, crossings: Iterable[Crossing], rules: AuditRules) -> None:
         self.crossings = list(crossings)
-        self.effects = {name: product.get("effect") for name, product in rules.products.items()}
+        self.repeats = {name: product.get("effect") for name, product in rules.products.items()}
         self.off = not any(c.way in ("ask", "agreed") for c in self.crossings)
 
     def violations(self) -> list[RuleViolation]:
@@ -73,26 +75,28 @@
 
     def _histories(self) -> list[RuleViolation]:
         calls: dict[str, list[Call]] = defaultdict(list)
-        open_asks: dict[tuple[str, int], Crossing] = {}
+        open_proposals: dict[tuple[str, int], Crossing] = {}
         last: dict[str, Crossing] = {}
         for c in self.crossings:
             if c.way not in ("ask", "agreed"):
                 continue
-            said = c.message
-            number = said["process"], said["no"]
+            message = c.message
+            number = message["process"], message["no"]
             last[c.peer] = c
             if c.way == "ask":
-                open_asks[number] = c
-            elif number in open_asks:
-                begun = open_asks.pop(number)
-                kind, given = _given(begun.message)
-                agreed = said["outcome"] == "agreed"
-                unheard = said.get("rounds", 0) - agreed
-                calls[c.peer] += [Call(kind, given, None, begun.at)] * max(0, unheard)
+                open_proposals[number] = c
+            elif number in open_proposals:
+                proposal = open_proposals.pop(number)
+                kind, arguments = _arguments(proposal.message)
+                agreed = message["outcome"] == "agreed"
+                unanswered = message.get("rounds", 0) - agreed
+                calls[c.peer] += [Call(kind, arguments, None, proposal.at)] * max(0, unanswered)
                 if agreed:
-                    calls[c.peer].append(Call(kind, given, b64decode(said.get("value", "")), begun.at, c.at))
-        for c in open_asks.values():  # its process died: it may have been made, and made again
-            calls[c.peer] += [Call(*_given(c.message), None, c.at)] * 2
+                    calls[c.peer].append(
+                        Call(kind, arguments, b64decode(message.get("value", "")), proposal.at, c.at)
+                    )
+        for c in open_proposals.values():  # its process died: it may have been made, and made again
+            calls[c.peer] += [Call(*_arguments(c.message), None, c.at)] * 2
         return [
             RuleViolation(
                 2, f"what planners saw of {key} has no order", "", "", "", last[key].at, [last[key]]
@@ -105,32 +109,34 @@
         found = []
         claimed: set[tuple] = set()  # planner, guest, ask, attempt, machine
         # Dispatches that may have run, by guest: planner, machine, ask, attempt.
-        out: dict[str, dict[tuple[str, str, int, int], Crossing]] = defaultdict(dict)
-        asks: dict[tuple[str, int], tuple[str, list]] = {}
+        outstanding: dict[str, dict[tuple[str, str, int, int], Crossing]] = defaultdict(dict)
+        takes: dict[tuple[str, int], tuple[str, list]] = {}
         for c in self.crossings:
             body = c.message or {}
             if c.way == "ask" and body["change"][0] == "take":
-                asks[body["process"], body["no"]] = c.peer.removeprefix("claim/"), body["change"][1:]
+                takes[body["process"], body["no"]] = c.peer.removeprefix("claim/"), body["change"][1:]
             elif c.way == "agreed" and body["outcome"] == "agreed":
-                if taken := asks.pop((body["process"], body["no"]), None):
-                    guest, (planner, life, ask, attempt, machine, no, _) = taken
+                if taken := takes.pop((body["process"], body["no"]), None):
+                    guest, (planner, run, submission, dispatch, machine, no, _) = taken
                     value = msgspec.msgpack.decode(b64decode(body.get("value", "")))
-                    if value == [planner, life, ask, attempt, "held", machine, "", no]:
-                        claimed.add((c.by, guest, ask, attempt, machine))
+                    if value == [planner, run, submission, dispatch, "held", machine, "", no]:
+                        claimed.add((c.by, guest, submission, dispatch, machine))
             elif c.role == "planner" and c.way == "out" and body.get("t") == "offer":
-                if self.effects.get(body.get("product")) in ("exclusive", "ticketed"):
-                    found += self._offer(c, body, claimed, out[body["guest"]])
+                if self.repeats.get(body.get("product")) in ("exclusive", "ticketed"):
+                    found += self._offer(c, body, claimed, outstanding[body["guest"]])
             elif c.role == "planner" and c.way == "in":
-                self._fate(c, body, out)
+                self._update_outstanding(c, body, outstanding)
         return found
 
-    def _offer(self, c: Crossing, body: dict[str, Any], claimed: set, out: dict) -> list[RuleViolation]:
+    def _offer(
+        self, c: Crossing, body: dict[str, Any], claimed: set, outstanding: dict
+    ) -> list[RuleViolation]:
         found = []
-        guest, ask, attempt = body["guest"], body.get("ask", 0), body.get("attempt", 0)
-        if (c.by, guest, ask, attempt, c.peer) not in claimed:
+        guest, submission, dispatch = body["guest"], body.get("ask", 0), body.get("attempt", 0)
+        if (c.by, guest, submission, dispatch, c.peer) not in claimed:
             found.append(RuleViolation(2, "an offer without an agreed claim", guest, c.by, c.peer, c.at, [c]))
-        others = [o for (by, *_), o in out.items() if by != c.by]
-        if others and self.effects[body["product"]] == "exclusive":
+        others = [o for (by, *_), o in outstanding.items() if by != c.by]
+        if others and self.repeats[body["product"]] == "exclusive":
             found.append(
                 RuleViolation(
                     2,
@@ -142,30 +148,30 @@
                     [others[0], c],
                 )
             )
-        out[c.by, c.peer, ask, attempt] = c
+        outstanding[c.by, c.peer, submission, dispatch] = c
         return found
 
-    def _fate(self, c: Crossing, body: dict[str, Any], out: dict) -> None:
+    def _update_outstanding(self, c: Crossing, body: dict[str, Any], outstanding: dict) -> None:
         """What machines say of a dispatch takes it from those that may have run, or may be on."""
         kind, guest = body.get("t"), body.get("guest", "")
         if kind == "refused" or kind == "ended" and body.get("how") != "done":
-            out.get(guest, {}).pop((c.by, c.peer, body.get("ask", 0), body.get("attempt", 0)), None)
+            outstanding.get(guest, {}).pop((c.by, c.peer, body.get("ask", 0), body.get("attempt", 0)), None)
         elif kind == "running":
-            there = {
+            inventory = {
                 (s["guest"], s.get("ask", 0))
                 for s in body["guests"]
                 if s["state"] != "ended" or s.get("how") == "done"
             }
             whole = body.get("complete", True)
-            for name, by in out.items():
+            for name, by in outstanding.items():
                 for key in [k for k in by if k[0] == c.by and k[1] == c.peer]:
-                    stand = (name, key[2]) in there
-                    told = any(s["guest"] == name for s in body["guests"])
-                    if not stand and (whole or told):
+                    listed = (name, key[2]) in inventory
+                    mentioned = any(s["guest"] == name for s in body["guests"])
+                    if not listed and (whole or mentioned):
                         del by[key]
 
 
-def _given(message: dict[str, Any]) -> tuple[str, tuple]:
+def _arguments(message: dict[str, Any]) -> tuple[str, tuple]:
     """Kind and fields of an asking's change; bytes stand as text in a record."""
     kind, *fields = message["change"]
     if kind in ("take", "release"):
--- a/hazelhold/audit/history.py
+++ b/hazelhold/audit/history.py
@@ -16,7 +16,7 @@
     the key; None with `end` NEVER if the answer never came."""
 
     kind: str
-    given: tuple
+    arguments: tuple
     result: Hashable
     begin: int
     end: int = NEVER
@@ -25,9 +25,9 @@
 def step(state: Hashable, call: Call) -> Hashable:
     """The value after the call."""
     if call.kind == "once":
-        return state or call.given[0]
+        return state or call.arguments[0]
     if call.kind == "swap":
-        return call.given[1] if state == call.given[0] else state
+        return call.arguments[1] if state == call.arguments[0] else state
     return state
 
 
@@ -40,18 +40,18 @@
     seen: set[tuple[frozenset[int], Hashable]] = set()
     stack: list[tuple[frozenset[int], Hashable]] = [(frozenset(range(len(calls))), empty)]
     while stack:
-        left, state = stack.pop()
-        if (left, state) in seen:
+        remaining, state = stack.pop()
+        if (remaining, state) in seen:
             continue
-        seen.add((left, state))
-        if all(calls[n].end == NEVER for n in left):
+        seen.add((remaining, state))
+        if all(calls[n].end == NEVER for n in remaining):
             return True  # what is left was never answered, and need not have happened
-        first_end = min(calls[n].end for n in left)
-        for n in left:
+        first_end = min(calls[n].end for n in remaining)
+        for n in remaining:
             call = calls[n]
             if call.begin > first_end:
                 continue  # something ended before it began, and has not been placed yet
             after = step(state, call)
             if call.end == NEVER or after == call.result:
-                stack.append((left - {n}, after))
+                stack.append((remaining - {n}, after))
     return False
--- a/hazelhold/audit/machine_ends.py
+++ b/hazelhold/audit/machine_ends.py
@@ -13,7 +13,7 @@
         self.rules = rules
         self.found: list[RuleViolation] = []
         self.tally: Counter[str] = Counter()
-        self.products: dict[str, str] = {}  # by task
+        self.guest_classes: dict[str, str] = {}  # by task
         self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # task: machine: its start
         self.done: dict[str, Crossing] = {}  # by task
 
@@ -21,25 +21,25 @@
         """Takes the crossings of the whole day, in order."""
         for c in crossings:
             if c.role == "machine":
-                self._crossed(c)
+                self._process(c)
 
-    def _crossed(self, c: Crossing) -> None:
+    def _process(self, c: Crossing) -> None:
         body = c.message or {}
-        kind, task = body.get("t", ""), body.get("guest", "")
+        kind, guest = body.get("t", ""), body.get("guest", "")
         if c.way == "fact":
             self._fact(c, body["what"])
         elif kind == "offer" and c.way == "in":
-            self.products[task] = body["product"]
+            self.guest_classes[guest] = body["product"]
         elif kind == "started" or kind == "taken" and self.rules.confirms_running:
-            if c.way != "in" and c.by not in self.running[task]:
-                self._started(c, task)
+            if c.way != "in" and c.by not in self.running[guest]:
+                self._started(c, guest)
         elif kind == "running" and c.way != "in":
-            self._ends_told_late(c)
+            self._record_late_ends(c)
         elif kind == "ended" and c.way != "in":
             self.tally["ended_" + body["how"]] += 1
-            self.running[task].pop(c.by, None)
+            self.running[guest].pop(c.by, None)
             if body["how"] == "done":
-                self.done[task] = c
+                self.done[guest] = c
 
     def _fact(self, c: Crossing, what: str) -> None:
         self.tally["machine_" + what] += 1
@@ -49,23 +49,23 @@
             for starts in self.running.values():
                 starts.pop(c.by, None)
 
-    def _started(self, c: Crossing, task: str) -> None:
+    def _started(self, c: Crossing, guest: str) -> None:
         self.tally["starts"] += 1
-        product = self.rules.products.get(self.products.get(task, ""), {})
-        if product.get("effect") == "exclusive":
-            starts = list(self.running[task].values())
+        guest_class = self.rules.products.get(self.guest_classes.get(guest, ""), {})
+        if guest_class.get("effect") == "exclusive":
+            starts = list(self.running[guest].values())
             if starts:
                 what = "an exclusive guest runs twice at once"
-                self.found.append(violation(2, what, c.peer, [*starts, c], task, c.by))
-            if task in self.done:
+                self.found.append(violation(2, what, c.peer, [*starts, c], guest, c.by))
+            if guest in self.done:
                 what = "an exclusive guest ran again after it was done"
-                self.found.append(violation(2, what, c.peer, [self.done[task], c], task, c.by))
-        self.running[task][c.by] = c
+                self.found.append(violation(2, what, c.peer, [self.done[guest], c], guest, c.by))
+        self.running[guest][c.by] = c
 
-    def _ends_told_late(self, c: Crossing) -> None:
+    def _record_late_ends(self, c: Crossing) -> None:
         """Ends that could not be told when they came stand in a machine's whole word."""
-        for stand in c.message["guests"]:
-            if stand["state"] == "ended":
-                self.running[stand["guest"]].pop(c.by, None)
-                if stand.get("how") == "done":
-                    self.done.setdefault(stand["guest"], c)
+        for item in c.message["guests"]:
+            if item["state"] == "ended":
+                self.running[item["guest"]].pop(c.by, None)
+                if item.get("how") == "done":
+                    self.done.setdefault(item["guest"], c)
--- a/hazelhold/audit/planner_run.py
+++ b/hazelhold/audit/planner_run.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Any, NamedTuple
 
-from hazelhold.audit.dispatches import Ask, Attempt
+from hazelhold.audit.dispatches import Submission, Dispatch
 from hazelhold.audit.findings import (
     ANSWER_SLACK,
     FINAL_ANSWERS,
@@ -15,24 +15,24 @@
 from hazelhold.audit.timeline import Outages, Timeline
 from hazelhold.protocol.record import Crossing
 
-AskKey = tuple[str, int]  # a task's name and the number of the ask
+SubmissionKey = tuple[str, int]  # a task's name and the number of the ask
 
 
-class Told(NamedTuple):
+class ListedState(NamedTuple):
     """What the planner was told of a machine last, and by which crossing."""
 
     mode: str
     since: Crossing
 
 
-class Place(NamedTuple):
+class MachineLocation(NamedTuple):
     """Where a machine stands."""
 
     zone: int = 0
     cell: int = 0
 
 
-class Seat(NamedTuple):
+class PlacedGuest(NamedTuple):
     """Where a task is, or is on its way to."""
 
     machine: str
@@ -47,12 +47,12 @@
         self.planner, self.rules, self.timeline = planner, rules, timeline
         self.found: list[RuleViolation] = []
         self.tally: Counter[str] = Counter()
-        self.open_asks: list[str] = []
-        self.asks: dict[AskKey, Ask] = {}
-        self.submits: dict[AskKey, Crossing] = {}
-        self.told: dict[str, Told] = {}  # by machine
-        self.places: dict[str, Place] = {}  # by machine
-        self.seats: dict[AskKey, Seat] = {}
+        self.unanswered: list[str] = []
+        self.submissions: dict[SubmissionKey, Submission] = {}
+        self.submits: dict[SubmissionKey, Crossing] = {}
+        self.listed_states: dict[str, ListedState] = {}  # by machine
+        self.locations: dict[str, MachineLocation] = {}  # by machine
+        self.placed_guests: dict[SubmissionKey, PlacedGuest] = {}
         self.killed_at = 0
         self.outages = Outages([])
 
@@ -61,268 +61,282 @@
         self.outages = Outages(crossings)
         for c in crossings:
             if c.way == "planner_kill" or c.way == "planner_stop" and self.rules.durable:
-                self._died(c)
+                self._planner_stopped(c)
             elif c.way == "planner_start":
                 self.killed_at = 0 if self.rules.durable else self.killed_at
             else:
-                self._crossed(c)
-        self._judge_unanswered()
+                self._process(c)
+        self._check_unanswered()
 
-    def _breach(self, rule: int, what: str, frames: list[Crossing], task: str, machine: str = "") -> None:
-        self.found.append(violation(rule, what, self.planner, frames, task, machine))
+    def _add_violation(
+        self, rule: int, what: str, frames: list[Crossing], guest: str, machine: str = ""
+    ) -> None:
+        self.found.append(violation(rule, what, self.planner, frames, guest, machine))
 
-    def _died(self, c: Crossing) -> None:
+    def _planner_stopped(self, c: Crossing) -> None:
         self.killed_at = c.at
         unkept = (c.message or {}).get("unkept")
-        for ask in self.asks.values():
-            ask.connections_shut()
+        for submission in self.submissions.values():
+            submission.connections_closed()
             if unkept:  # its disk had failed: it owes as if it had none
-                ask.excused |= self._effect(ask) == "rerunnable"
-                ask.forgotten = True
+                submission.excused |= self._repeat(submission) == "rerunnable"
+                submission.state_lost = True
 
-    def _crossed(self, c: Crossing) -> None:
+    def _process(self, c: Crossing) -> None:
         body = c.message or {}
         kind, key = body.get("t", ""), (body.get("guest", ""), body.get("ask", 0))
-        leaves = c.way in ("out", "kept")
+        is_sent = c.way in ("out", "kept")
         if kind == "submit" and c.way == "in":
             self.submits[key] = c
-        elif kind == "held" and leaves:
-            self._take(key, c)
-        elif kind in FINAL_ANSWERS and leaves:
-            self._answer(self.asks.get(key), key[0], c)
-        elif kind == "state" and leaves and self.rules.durable:
-            self._answer_when_asked(self.asks.get(key), c)
+        elif kind == "held" and is_sent:
+            self._accept(key, c)
+        elif kind in FINAL_ANSWERS and is_sent:
+            self._answer(self.submissions.get(key), key[0], c)
+        elif kind == "state" and is_sent and self.rules.durable:
+            self._record_queried_state(self.submissions.get(key), c)
         elif kind == "listing" and c.way == "in":
-            self._list_told(c)
+            self._update_list(c)
         elif kind == "offer" and c.way == "out":
             self._offer(c, key)
         elif kind == "withdraw" and c.way == "out":
             self._withdraw(c.peer, key, body)
         elif c.way == "shut":
-            for ask in self.asks.values():
-                ask.connections_shut(c.peer)
+            for submission in self.submissions.values():
+                submission.connections_closed(c.peer)
         elif kind == "running" and c.way == "in":
-            self._machine_lists_all(c)
+            self._receive_inventory(c)
         elif kind in ("taken", "refused", "ended") and c.way == "in":
-            self._machine_answers(c.peer, kind, key, body)
+            self._receive_outcome(c.peer, kind, key, body)
 
     # Owners.
 
-    def _take(self, key: AskKey, c: Crossing) -> None:
-        if key in self.asks:
+    def _accept(self, key: SubmissionKey, c: Crossing) -> None:
+        if key in self.submissions:
             return
         self.tally["taken"] += 1
         submit = self.submits.get(key)
-        self.asks[key] = Ask(submit or c, submit.message if submit else None)
+        self.submissions[key] = Submission(submit or c, submit.message if submit else None)
 
-    def _answer(self, ask: Ask | None, task: str, c: Crossing) -> None:
+    def _answer(self, submission: Submission | None, guest: str, c: Crossing) -> None:
         kind = c.message["t"]
-        if ask is None or ask.excused:
+        if submission is None or submission.excused:
             return  # a repeat of an answer that an earlier ask got, or all that is known of it is old
-        if ask.finals:
-            first = ask.finals[0]
-            if first.message["t"] not in (kind, "state") and not ask.forgotten:
+        if submission.final_answers:
+            first = submission.final_answers[0]
+            if first.message["t"] not in (kind, "state") and not submission.state_lost:
                 what = f"two final answers: {first.message['t']}, then {kind}"
-                self._breach(1, what, [ask.taken, first, c], task)
+                self._add_violation(1, what, [submission.accepted, first, c], guest)
             return
-        ask.finals.append(c)
+        submission.final_answers.append(c)
         self.tally[kind] += 1
-        self._judge_lateness(ask, task, c)
+        self._check_lateness(submission, guest, c)
         if kind == "turned_back":
-            self._judge_refusal(ask, task, c)
+            self._check_refusal(submission, guest, c)
 
-    def _judge_lateness(self, ask: Ask, task: str, c: Crossing) -> None:
-        patience = ask.submit.get("patience")
-        if patience is None:
+    def _check_lateness(self, submission: Submission, guest: str, c: Crossing) -> None:
+        time_left = submission.submit.get("patience")
+        if time_left is None:
             return
-        due = ask.taken.at + patience
+        due = submission.accepted.at + time_left
         if c.at > due + ANSWER_SLACK and not self.outages.excuse(due + ANSWER_SLACK, c.at):
             what = f"answered {(c.at - due) / 1000:.0f} ms after the patience"
-            self._breach(1, what, [ask.taken, c], task)
+            self._add_violation(1, what, [submission.accepted, c], guest)
 
-    def _judge_refusal(self, ask: Ask, task: str, c: Crossing) -> None:
-        effect = self._effect(ask)
-        group = self._product(ask.product).get("group")
-        once = effect == "exclusive" or effect == "ticketed" and group != "all"
-        if once and (ran := ask.may_have_run):
+    def _check_refusal(self, submission: Submission, guest: str, c: Crossing) -> None:
+        repeat = self._repeat(submission)
+        group = self._guest_class(submission.guest_class).get("group")
+        once = repeat == "exclusive" or repeat == "ticketed" and group != "all"
+        if once and (ran := submission.may_have_run):
             what = "turned back though a dispatch may have run"
-            self._breach(2, what, [ask.taken, ran[0].crossing, c], task, ran[0].machine)
+            self._add_violation(2, what, [submission.accepted, ran[0].crossing, c], guest, ran[0].machine)
 
-    def _answer_when_asked(self, ask: Ask | None, c: Crossing) -> None:
+    def _record_queried_state(self, submission: Submission | None, c: Crossing) -> None:
         """A planner that died before it sent an answer gives it when its owner asks."""
         state = c.message.get("state", "")
-        if ask is None or ask.finals:
+        if submission is None or submission.final_answers:
             return
-        late = c.at > ask.taken.at + ask.submit.get("patience", 0)  # its answer was that its fate is open
-        if state not in ("held", "out", "unsettled", "unknown") or state == "unsettled" and late:
-            ask.finals.append(c)
+        overdue = c.at > submission.accepted.at + submission.submit.get(
+            "patience", 0
+        )  # its answer was that its fate is open
+        if state not in ("held", "out", "unsettled", "unknown") or state == "unsettled" and overdue:
+            submission.final_answers.append(c)
             self.tally["answered_when_asked"] += 1
 
-    def _product(self, name: str) -> dict[str, Any]:
+    def _guest_class(self, name: str) -> dict[str, Any]:
         return self.rules.products.get(name, {})
 
-    def _effect(self, ask: Ask) -> str:
-        return self._product(ask.product).get("effect", "")
+    def _repeat(self, submission: Submission) -> str:
+        return self._guest_class(submission.guest_class).get("effect", "")
 
     # The list.
 
-    def _list_told(self, c: Crossing) -> None:
+    def _update_list(self, c: Crossing) -> None:
         entries = c.message.get("entries", [])
         for entry in entries:
             name, mode = entry["machine"], entry["mode"]
-            self.places[name] = Place(entry.get("zone", 0), entry.get("cell", 0))
-            if name not in self.told or self.told[name].mode != mode:
-                self.told[name] = Told(mode, c)
+            self.locations[name] = MachineLocation(entry.get("zone", 0), entry.get("cell", 0))
+            if name not in self.listed_states or self.listed_states[name].mode != mode:
+                self.listed_states[name] = ListedState(mode, c)
         if c.message.get("whole"):
-            for name in self.told.keys() - {e["machine"] for e in entries}:
-                if self.told[name].mode != "gone":
-                    self.told[name] = Told("gone", c)
+            for name in self.listed_states.keys() - {e["machine"] for e in entries}:
+                if self.listed_states[name].mode != "gone":
+                    self.listed_states[name] = ListedState("gone", c)
 
     # Attempts.
 
-    def _offer(self, c: Crossing, key: AskKey) -> None:
-        task, machine = key[0], c.peer
-        if key not in self.asks and key in self.submits and self.rules.durable:
+    def _offer(self, c: Crossing, key: SubmissionKey) -> None:
+        guest, machine = key[0], c.peer
+        if key not in self.submissions and key in self.submits and self.rules.durable:
             submit = self.submits[key]  # the planner died before it could say that it took the task
-            self.asks[key] = Ask(submit, submit.message)
+            self.submissions[key] = Submission(submit, submit.message)
         self.tally["dispatches"] += 1
-        ask = self.asks.get(key)
-        if ask is None:
-            self._breach(1, "a dispatch for a guest that was never taken", [c], task, machine)
+        submission = self.submissions.get(key)
+        if submission is None:
+            self._add_violation(1, "a dispatch for a guest that was never taken", [c], guest, machine)
             return
-        if ask.excused:
+        if submission.excused:
             return
-        if ask.finals:
+        if submission.final_answers:
             what = "a dispatch after the final answer"
-            self._breach(1, what, [ask.taken, ask.finals[0], c], task, machine)
-        self._judge_number(ask, task, c)
-        self._judge_effect(ask, task, c)
-        self._judge_mode(task, c)
-        self._judge_spread(key, c)
-        ask.attempts.append(Attempt(c))
-
-    def _judge_number(self, ask: Ask, task: str, c: Crossing) -> None:
-        out = [a for a in ask.attempts if a.out]
-        if out:
-            self._breach(2, "two dispatches out", [out[0].crossing, c], task, c.peer)
-        if len(ask.attempts) >= self.rules.max_dispatches:
-            what = f"dispatch number {len(ask.attempts) + 1}"
-            self._breach(2, what, [ask.taken, c], task, c.peer)
-
-    def _judge_effect(self, ask: Ask, task: str, c: Crossing) -> None:
-        ran = ask.may_have_run
+            self._add_violation(
+                1, what, [submission.accepted, submission.final_answers[0], c], guest, machine
+            )
+        self._check_number(submission, guest, c)
+        self._check_repeat(submission, guest, c)
+        self._check_mode(guest, c)
+        self._check_spread(key, c)
+        submission.dispatches.append(Dispatch(c))
+
+    def _check_number(self, submission: Submission, guest: str, c: Crossing) -> None:
+        outstanding = [a for a in submission.dispatches if a.outstanding]
+        if outstanding:
+            self._add_violation(2, "two dispatches out", [outstanding[0].crossing, c], guest, c.peer)
+        if len(submission.dispatches) >= self.rules.max_dispatches:
+            what = f"dispatch number {len(submission.dispatches) + 1}"
+            self._add_violation(2, what, [submission.accepted, c], guest, c.peer)
+
+    def _check_repeat(self, submission: Submission, guest: str, c: Crossing) -> None:
+        ran = submission.may_have_run
         if not ran:
             return
-        product, first = self._product(ask.product), ran[0]
+        guest_class, first = self._guest_class(submission.guest_class), ran[0]
         frames = [first.crossing, c]
-        if product.get("effect") == "exclusive":
+        if guest_class.get("effect") == "exclusive":
             what = "an exclusive guest sent again though a dispatch may have run"
-            self._breach(2, what, frames, task, c.peer)
-        elif product.get("effect") == "ticketed":
-            if c.at > first.at + product["window"]:
-                self._breach(2, "a ticketed guest sent again after its window", frames, task, c.peer)
-            reach = product["group"]
-            if self._group(reach, c.peer) != self._group(reach, first.machine):
-                self._breach(2, "a ticketed guest sent outside its group", frames, task, c.peer)
-
-    def _judge_mode(self, task: str, c: Crossing) -> None:
-        mode, since = self.told.get(c.peer, Told("unlisted", c))
+            self._add_violation(2, what, frames, guest, c.peer)
+        elif guest_class.get("effect") == "ticketed":
+            if c.at > first.at + guest_class["window"]:
+                self._add_violation(2, "a ticketed guest sent again after its window", frames, guest, c.peer)
+            scope = guest_class["group"]
+            if self._scope_group(scope, c.peer) != self._scope_group(scope, first.machine):
+                self._add_violation(2, "a ticketed guest sent outside its group", frames, guest, c.peer)
+
+    def _check_mode(self, guest: str, c: Crossing) -> None:
+        mode, since = self.listed_states.get(c.peer, ListedState("unlisted", c))
         if mode != "ready" and (mode == "unlisted" or c.at > since.at + self.rules.drain_grace):
-            self._breach(3, f"a dispatch to a machine told {mode}", [since, c], task, c.peer)
+            self._add_violation(3, f"a dispatch to a machine told {mode}", [since, c], guest, c.peer)
 
-    def _judge_spread(self, key: AskKey, c: Crossing) -> None:
-        product = self._product(c.message.get("product", ""))
-        reach, service = product.get("spread", "nowhere"), c.message["service"]
-        if reach != "nowhere":
-            group = self._group(reach, c.peer)
+    def _check_spread(self, key: SubmissionKey, c: Crossing) -> None:
+        guest_class = self._guest_class(c.message.get("product", ""))
+        scope, service = guest_class.get("spread", "nowhere"), c.message["service"]
+        if scope != "nowhere":
+            group = self._scope_group(scope, c.peer)
             there = sum(
-                seat.service == service and self._group(reach, seat.machine) == group
-                for other, seat in self.seats.items()
+                placed_guest.service == service and self._scope_group(scope, placed_guest.machine) == group
+                for other, placed_guest in self.placed_guests.items()
                 if other != key
             )
-            if there + 1 > product["spread_most"]:
-                what = f"{there + 1} guests of {service} in one {reach}"
-                self._breach(5, what, [c], key[0], c.peer)
-        self.seats[key] = Seat(c.peer, service)
+            if there + 1 > guest_class["spread_most"]:
+                what = f"{there + 1} guests of {service} in one {scope}"
+                self._add_violation(5, what, [c], key[0], c.peer)
+        self.placed_guests[key] = PlacedGuest(c.peer, service)
 
-    def _group(self, reach: str, machine: str) -> object:
-        place = self.places.get(machine, Place())
-        return {"machine": machine, "cell": place.cell, "zone": place.zone}.get(reach, "")
+    def _scope_group(self, scope: str, machine: str) -> object:
+        location = self.locations.get(machine, MachineLocation())
+        return {"machine": machine, "cell": location.cell, "zone": location.zone}.get(scope, "")
 
-    def _withdraw(self, machine: str, key: AskKey, body: dict[str, Any]) -> None:
-        for attempt in self._matching(machine, key, body):
-            if attempt.out and not attempt.taken:
-                attempt.out = False
-                self.seats.pop(key, None)
+    def _withdraw(self, machine: str, key: SubmissionKey, body: dict[str, Any]) -> None:
+        for dispatch in self._matching(machine, key, body):
+            if dispatch.outstanding and not dispatch.accepted:
+                dispatch.outstanding = False
+                self.placed_guests.pop(key, None)
 
-    def _matching(self, machine: str, key: AskKey, body: dict[str, Any]) -> list[Attempt]:
-        ask = self.asks.get(key)
-        return ask.matching(machine, body) if ask else []
+    def _matching(self, machine: str, key: SubmissionKey, body: dict[str, Any]) -> list[Dispatch]:
+        submission = self.submissions.get(key)
+        return submission.matching(machine, body) if submission else []
 
     # Machines.
 
-    def _machine_answers(self, machine: str, kind: str, key: AskKey, body: dict[str, Any]) -> None:
-        for attempt in self._matching(machine, key, body):
-            attempt.out = False
+    def _receive_outcome(self, machine: str, kind: str, key: SubmissionKey, body: dict[str, Any]) -> None:
+        for dispatch in self._matching(machine, key, body):
+            dispatch.outstanding = False
             if kind == "taken":
-                attempt.taken = True
-                self.seats[key] = Seat(machine, self.asks[key].submit.get("service", ""))
+                dispatch.accepted = True
+                self.placed_guests[key] = PlacedGuest(
+                    machine, self.submissions[key].submit.get("service", "")
+                )
                 continue
-            attempt.ended = True
+            dispatch.ended = True
             if kind == "refused" or body.get("how") == "withdrawn":
-                attempt.never_ran = True
-        if kind != "taken" and key in self.seats and self.seats[key].machine == machine:
-            del self.seats[key]
+                dispatch.never_ran = True
+        if kind != "taken" and key in self.placed_guests and self.placed_guests[key].machine == machine:
+            del self.placed_guests[key]
 
-    def _machine_lists_all(self, c: Crossing) -> None:
+    def _receive_inventory(self, c: Crossing) -> None:
         """A machine's whole word on a planner's tasks, after a new connection: what is missing never
         arrived, if the machine remembers all and lives the life in which it was offered."""
         machine = c.peer
-        listed = {(s["guest"], s["ask"]): s for s in c.message["guests"]}
-        for key, stand in listed.items():
-            if stand["state"] in ("runs", "accepted") and key not in self.asks:
-                self.seats[key] = Seat(machine, stand["service"])
-        for key, ask in self.asks.items():
-            for attempt in ask.attempts:
-                if attempt.machine == machine and not attempt.never_ran and not attempt.ended:
-                    self._compare(attempt, listed.get(key), c)
-        here = {key for key, stand in listed.items() if stand["state"] != "ended"}
-        for key in [k for k, seat in self.seats.items() if seat.machine == machine and k not in here]:
-            del self.seats[key]
-
-    def _compare(self, attempt: Attempt, stand: dict[str, Any] | None, c: Crossing) -> None:
-        if stand is None:
-            attempt.out = False
-            same_life = self.timeline.machine_life(c.peer, attempt.at) == self.timeline.machine_life(
-                c.peer, c.at
+        inventory = {(s["guest"], s["ask"]): s for s in c.message["guests"]}
+        for key, item in inventory.items():
+            if item["state"] in ("runs", "accepted") and key not in self.submissions:
+                self.placed_guests[key] = PlacedGuest(machine, item["service"])
+        for key, submission in self.submissions.items():
+            for dispatch in submission.dispatches:
+                if dispatch.machine == machine and not dispatch.never_ran and not dispatch.ended:
+                    self._compare_with_inventory(dispatch, inventory.get(key), c)
+        here = {key for key, item in inventory.items() if item["state"] != "ended"}
+        for key in [
+            k
+            for k, placed_guest in self.placed_guests.items()
+            if placed_guest.machine == machine and k not in here
+        ]:
+            del self.placed_guests[key]
+
+    def _compare_with_inventory(self, dispatch: Dispatch, item: dict[str, Any] | None, c: Crossing) -> None:
+        if item is None:
+            dispatch.outstanding = False
+            same_incarnation = self.timeline.machine_incarnation(
+                c.peer, dispatch.at
+            ) == self.timeline.machine_incarnation(c.peer, c.at)
+            dispatch.never_ran = (
+                bool(c.message.get("complete", True)) and not dispatch.accepted and same_incarnation
             )
-            attempt.never_ran = bool(c.message.get("complete", True)) and not attempt.taken and same_life
-        elif stand["state"] == "ended":
-            attempt.out, attempt.ended = False, True
-            attempt.never_ran = stand.get("how") == "withdrawn"
+        elif item["state"] == "ended":
+            dispatch.outstanding, dispatch.ended = False, True
+            dispatch.never_ran = item.get("how") == "withdrawn"
 
     # What was never answered.
 
-    def _judge_unanswered(self) -> None:
-        for (task, number), ask in self.asks.items():
-            if ask.finals:
+    def _check_unanswered(self) -> None:
+        for (guest, number), submission in self.submissions.items():
+            if submission.final_answers:
                 continue
-            if ask.excused:
+            if submission.excused:
                 self.tally["died_with_planner"] += 1
                 continue
-            due = ask.taken.at + ask.submit.get("patience", 0) + ANSWER_SLACK
-            if self.rules.durable and self.timeline.newest_ask(task) > number:
+            due = submission.accepted.at + submission.submit.get("patience", 0) + ANSWER_SLACK
+            if self.rules.durable and self.timeline.newest_submission(guest) > number:
                 self.tally["asked_anew"] += 1  # while its planner was down; the newer ask is owed
-            elif self.rules.durable and not self._owner_asked_since(task, ask.taken.at, due):
+            elif self.rules.durable and not self._owner_returned(guest, submission.accepted.at, due):
                 self.tally["never_asked_for"] += 1  # the answer is kept for an owner that does not come
             elif self.killed_at and self.killed_at <= due:
                 self.tally["died_with_planner"] += 1
             elif due <= self.timeline.ends_at:
                 self.tally["unanswered"] += 1
-                self.open_asks.append(f"{task}/{number}")
-                self._breach(1, "no final answer", [ask.taken], task)
+                self.unanswered.append(f"{guest}/{number}")
+                self._add_violation(1, "no final answer", [submission.accepted], guest)
 
-    def _owner_asked_since(self, task: str, taken: int, due: int) -> bool:
+    def _owner_returned(self, guest: str, accepted: int, due: int) -> bool:
         """Whether the owner came back for a task whose planner died with it: True if it did not die."""
-        deaths = [at for at in self.outages.deaths if taken <= at <= due + RETURN_ALLOWANCE]
-        return not deaths or self.timeline.owner_came_back(task, self.planner, deaths[-1])
+        deaths = [at for at in self.outages.deaths if accepted <= at <= due + RETURN_ALLOWANCE]
+        return not deaths or self.timeline.owner_returned(guest, self.planner, deaths[-1])
--- a/hazelhold/audit/rules.py
+++ b/hazelhold/audit/rules.py
@@ -29,7 +29,7 @@
             raise RecordError("no rules stand in this record")
         self.rules = convert(rules[0], AuditRules)
         self.tally: Counter[str] = Counter()
-        self.open_asks: list[str] = []
+        self.unanswered: list[str] = []
 
     @classmethod
     def of_folder(cls, folder: Path) -> "Audit":
@@ -44,13 +44,13 @@
     def violations(self) -> list[RuleViolation]:
         """Every broken rule, in the order of their times."""
         found: list[RuleViolation] = []
-        self.tally, self.open_asks = Counter(), []
-        for (planner, _), crossings in self.timeline.planner_lives(self.rules.durable).items():
-            life = PlannerRunAudit(planner, self.rules, self.timeline)
-            life.evaluate(crossings)
-            found += life.found
-            self.tally += life.tally
-            self.open_asks += life.open_asks
+        self.tally, self.unanswered = Counter(), []
+        for (planner, _), crossings in self.timeline.planner_runs(self.rules.durable).items():
+            run = PlannerRunAudit(planner, self.rules, self.timeline)
+            run.evaluate(crossings)
+            found += run.found
+            self.tally += run.tally
+            self.unanswered += run.unanswered
         machines = MachineEnds(self.rules)
         machines.evaluate(self.crossings)
         self.tally += machines.tally
@@ -62,4 +62,4 @@
 
     def unaccounted(self) -> list[str]:
         """Tasks that a planner took and neither answered nor died with; of the last `breaches`."""
-        return self.open_asks
+        return self.unanswered
--- a/hazelhold/audit/timeline.py
+++ b/hazelhold/audit/timeline.py
@@ -16,61 +16,61 @@
 
     def __init__(self, crossings: Iterable[Crossing]) -> None:
         self.crossings = sorted(crossings, key=lambda c: c.at)
-        self._machine_starts: dict[str, list[int]] | None = None
-        self._newest_asks: dict[str, int] | None = None
+        self._incarnation_starts: dict[str, list[int]] | None = None
+        self._newest_submissions: dict[str, int] | None = None
 
     @property
     def ends_at(self) -> int:
         return self.crossings[-1].at
 
-    def planner_lives(self, durable: bool) -> dict[PlannerRunKey, list[Crossing]]:
+    def planner_runs(self, durable: bool) -> dict[PlannerRunKey, list[Crossing]]:
         """The planners' own crossings, apart for each life. With durable state a planner has one life."""
         number: Counter[str] = Counter()
-        lives: dict[PlannerRunKey, list[Crossing]] = defaultdict(list)
+        runs: dict[PlannerRunKey, list[Crossing]] = defaultdict(list)
         for c in self.crossings:
             if c.role == "planner":
-                lives[c.by, number[c.by]].append(c)
+                runs[c.by, number[c.by]].append(c)
             elif c.role != "rehearsal":
                 continue
             elif c.way in ("planner_kill", "planner_stop"):
-                lives[c.peer, number[c.peer]].append(c)
+                runs[c.peer, number[c.peer]].append(c)
                 if c.way == "planner_kill" and not durable:
                     number[c.peer] += 1
             elif c.way == "planner_start":
-                stopped = any(e.way == "planner_stop" for e in lives.get((c.peer, number[c.peer]), ()))
+                stopped = any(e.way == "planner_stop" for e in runs.get((c.peer, number[c.peer]), ()))
                 number[c.peer] += stopped and not durable
-                lives[c.peer, number[c.peer]].append(c)
+                runs[c.peer, number[c.peer]].append(c)
             elif c.way in ("planner_pause", "planner_resume"):
-                lives[c.peer, number[c.peer]].append(c)
-        return lives
+                runs[c.peer, number[c.peer]].append(c)
+        return runs
 
-    def machine_life(self, machine: str, at: int) -> int:
+    def machine_incarnation(self, machine: str, at: int) -> int:
         """How often the machine had started by then."""
-        if self._machine_starts is None:
-            self._machine_starts = defaultdict(list)
+        if self._incarnation_starts is None:
+            self._incarnation_starts = defaultdict(list)
             for c in self.crossings:
                 if c.role == "machine" and c.way == "fact" and c.message["what"] == "up":
-                    self._machine_starts[c.by].append(c.at)
-        return sum(start <= at for start in self._machine_starts.get(machine, ()))
+                    self._incarnation_starts[c.by].append(c.at)
+        return sum(start <= at for start in self._incarnation_starts.get(machine, ()))
 
-    def newest_ask(self, task: str) -> int:
+    def newest_submission(self, guest: str) -> int:
         """The highest number under which an owner asked for the task."""
-        if self._newest_asks is None:
-            self._newest_asks = {}
+        if self._newest_submissions is None:
+            self._newest_submissions = {}
             for c in self.crossings:
                 if c.role == "owner" and c.way == "out" and (c.message or {}).get("t") == "submit":
-                    name, ask = c.message["guest"], c.message.get("ask", 0)
-                    self._newest_asks[name] = max(ask, self._newest_asks.get(name, 0))
-        return self._newest_asks.get(task, 0)
+                    name, submission = c.message["guest"], c.message.get("ask", 0)
+                    self._newest_submissions[name] = max(submission, self._newest_submissions.get(name, 0))
+        return self._newest_submissions.get(guest, 0)
 
-    def owner_came_back(self, task: str, planner: str, after: int) -> bool:
+    def owner_returned(self, guest: str, planner: str, after: int) -> bool:
         """Whether the planner heard of the task from its owner after this moment."""
         return any(
             c.at > after
             and c.role == "planner"
             and c.by == planner
             and c.way == "in"
-            and (c.message or {}).get("guest") == task
+            and (c.message or {}).get("guest") == guest
             and c.message["t"] in ("query", "submit", "cancel")
             for c in self.crossings
         )
@@ -81,19 +81,19 @@
 
     def __init__(self, crossings: list[Crossing]) -> None:
         self.deaths = [c.at for c in crossings if c.way in ("planner_kill", "planner_stop")]
-        self.spans: list[tuple[int, int]] = []
+        self.intervals: list[tuple[int, int]] = []
         down_since = 0
         for c in crossings:
             if c.way in PLANNER_DOWN:
                 down_since = down_since or c.at
             elif c.way in PLANNER_BACK and down_since:
-                again = self.spans and down_since - self.spans[-1][1] < RETURN_ALLOWANCE
-                self.spans.append((self.spans.pop()[0] if again else down_since, c.at))
+                repeated = self.intervals and down_since - self.intervals[-1][1] < RETURN_ALLOWANCE
+                self.intervals.append((self.intervals.pop()[0] if repeated else down_since, c.at))
                 down_since = 0
 
     def excuse(self, due: int, at: int) -> bool:
         """Whether what was due came late only because the planner was down, or just back."""
         return any(
             start <= due <= back + RETURN_ALLOWANCE and at <= max(due, back) + RETURN_ALLOWANCE
-            for start, back in self.spans
+            for start, back in self.intervals
         )
--- a/hazelhold/audit/views.py
+++ b/hazelhold/audit/views.py
@@ -28,11 +28,11 @@
     heal_s: float = 20.0
 
 
-class Pair:
+class PairExpectation:
     """What one planner has to believe of another, since when, and whether it did."""
 
     def __init__(self) -> None:
-        self.well: bool | None = None
+        self.healthy: bool | None = None
         self.since = 0
         self.met = True  # what must be believed is believed
 
@@ -40,17 +40,17 @@
 class Views:
     """The views of one day."""
 
-    def __init__(self, crossings: Iterable[Crossing], bounds: ViewLimits) -> None:
-        self.bounds = bounds
-        self.notice, self.heal = round(bounds.notice_s * 1e6), round(bounds.heal_s * 1e6)
+    def __init__(self, crossings: Iterable[Crossing], limits: ViewLimits) -> None:
+        self.limits = limits
+        self.notice, self.heal = round(limits.notice_s * 1e6), round(limits.heal_s * 1e6)
         self.up: set[str] = set()
         self.paused: set[str] = set()
-        self.cuts: dict[tuple[str, str], int] = defaultdict(int)  # how many cuts hold a direction
-        self.life: dict[str, int] = {}
+        self.blocked: dict[tuple[str, str], int] = defaultdict(int)  # how many cuts hold a direction
+        self.incarnation: dict[str, int] = {}
         self.view: dict[tuple[str, str], tuple[str, int]] = {}
-        self.pairs: dict[tuple[str, str], Pair] = defaultdict(Pair)
-        self.last_ill: dict[tuple[str, str], int] = {}  # when all was not well for the last time
-        self.wrong: list[str] = []
+        self.pairs: dict[tuple[str, str], PairExpectation] = defaultdict(PairExpectation)
+        self.last_unhealthy_at: dict[tuple[str, str], int] = {}  # when all was not well for the last time
+        self.wrongly_gone: list[str] = []
         self.missed: list[str] = []
         self.noticed: list[int] = []
         self.healed: list[int] = []
@@ -63,26 +63,26 @@
         """The figures, and whether a bound was passed."""
         for c in self.events:
             if c.way == "member":
-                self._believed(c)
+                self._apply_view(c)
             else:
-                self._happened(c)
+                self._apply_event(c)
             if c.way == "day_over":
                 break  # from here on planners stop
         if self.events:
-            self._look(c.at, close=True)
-        bounds = self.bounds
+            self._update_pairs(c.at, close=True)
+        limits = self.limits
         return {
-            "wrongly_gone": len(self.wrong),
+            "wrongly_gone": len(self.wrongly_gone),
             "missed": len(self.missed),
-            "noticed": spans(self.noticed),
-            "healed": spans(self.healed),
-            "details": (self.wrong + self.missed)[:40],
-            "bounds_passed": len(self.wrong) > bounds.wrongly_gone or len(self.missed) > bounds.missed,
+            "noticed": duration_summary(self.noticed),
+            "healed": duration_summary(self.healed),
+            "details": (self.wrongly_gone + self.missed)[:40],
+            "bounds_passed": len(self.wrongly_gone) > limits.wrongly_gone or len(self.missed) > limits.missed,
         }
 
     # The truth.
 
-    def _happened(self, c: Crossing) -> None:
+    def _apply_event(self, c: Crossing) -> None:
         names = (c.message or {}).get("pairs", [])
         if c.way in ("planner_up", "planner_start"):
             self.up.add(c.peer)
@@ -95,99 +95,101 @@
             self.paused.discard(c.peer)
         elif c.way in ("planner_cut", "planner_heal"):
             for a, b in names:
-                self.cuts[a, b] += 1 if c.way == "planner_cut" else -1
+                self.blocked[a, b] += 1 if c.way == "planner_cut" else -1
         else:
             return
-        self._look(c.at)
+        self._update_pairs(c.at)
 
-    def _joined(self) -> dict[str, int]:
+    def _connected_groups(self) -> dict[str, int]:
         """For each planner that runs the number of its group, of those that reach each other both ways."""
         running = sorted(self.up - self.paused)
         group: dict[str, int] = {}
         for number, first in enumerate(running):
             if first in group:
                 continue
-            queue = [first]
-            while queue:
-                a = queue.pop()
+            pending = [first]
+            while pending:
+                a = pending.pop()
                 group[a] = number
-                queue += [b for b in running if b not in group and self.cuts[a, b] <= 0 >= self.cuts[b, a]]
+                pending += [
+                    b for b in running if b not in group and self.blocked[a, b] <= 0 >= self.blocked[b, a]
+                ]
         return group
 
-    def _look(self, at: int, close: bool = False) -> None:
-        group = self._joined()
+    def _update_pairs(self, at: int, close: bool = False) -> None:
+        group = self._connected_groups()
         sizes: dict[int, int] = defaultdict(int)
         for number in group.values():
             sizes[number] += 1
-        for a in sorted(self.life):
-            for b in sorted(self.life):
+        for a in sorted(self.incarnation):
+            for b in sorted(self.incarnation):
                 if a == b:
                     continue
                 pair = self.pairs[a, b]
-                well: bool | None = None  # nothing is asked of who does not run or has no witness
+                healthy: bool | None = None  # nothing is asked of who does not run or has no witness
                 if a in group and b in group and group[a] == group[b]:
-                    well = True
+                    healthy = True
                 elif a in group and sizes[group[a]] > 1:
-                    well = False
-                if pair.well is not True:
-                    self.last_ill[a, b] = at  # until now
-                if pair.well != well or close:
-                    self._end(a, b, pair, at)
-                    pair.well, pair.since = well, at
-                    pair.met = self._believes(a, b, well)
-
-    def _end(self, a: str, b: str, pair: Pair, at: int) -> None:
+                    healthy = False
+                if pair.healthy is not True:
+                    self.last_unhealthy_at[a, b] = at  # until now
+                if pair.healthy != healthy or close:
+                    self._close_expectation(a, b, pair, at)
+                    pair.healthy, pair.since = healthy, at
+                    pair.met = self._view_matches(a, b, healthy)
+
+    def _close_expectation(self, a: str, b: str, pair: PairExpectation, at: int) -> None:
         """What was asked until now: was there time for it, and was it met?"""
-        bound = self.heal if pair.well else self.notice
-        if pair.well is not None and not pair.met and at - pair.since > bound:
-            what = "did not take back" if pair.well else "did not notice the end of"
+        limit = self.heal if pair.healthy else self.notice
+        if pair.healthy is not None and not pair.met and at - pair.since > limit:
+            what = "did not take back" if pair.healthy else "did not notice the end of"
             self.missed.append(f"{a} {what} {b} in {(at - pair.since) / 1e6:.1f} s from {pair.since}")
 
-    def _believes(self, a: str, b: str, well: bool | None) -> bool:
-        state, life = self.view.get((a, b), ("unknown", -1))
-        if well is None:
+    def _view_matches(self, a: str, b: str, healthy: bool | None) -> bool:
+        state, incarnation = self.view.get((a, b), ("unknown", -1))
+        if healthy is None:
             return True
-        if well:
-            return state == "alive" and life == self.life.get(b, life)
+        if healthy:
+            return state == "alive" and incarnation == self.incarnation.get(b, incarnation)
         return state in GONE or state == "unknown"
 
     # The views.
 
-    def _believed(self, c: Crossing) -> None:
-        said, by, of = c.message or {}, c.by, c.peer
-        what, life = said.get("what", ""), said.get("life", -1)
+    def _apply_view(self, c: Crossing) -> None:
+        message, by, of = c.message or {}, c.by, c.peer
+        what, incarnation = message.get("what", ""), message.get("life", -1)
         if what == "started":
-            self.life[by] = life
+            self.incarnation[by] = incarnation
             for pair in [p for p in self.view if p[0] == by]:
                 del self.view[pair]
-            self._look(c.at)
-            for other in self.life:  # a new life is to be learned by all, and has all to learn
+            self._update_pairs(c.at)
+            for other in self.incarnation:  # a new life is to be learned by all, and has all to learn
                 for a, b in ((by, other), (other, by)):
-                    if a != b and self.pairs[a, b].well:
+                    if a != b and self.pairs[a, b].healthy:
                         self.pairs[a, b].since, self.pairs[a, b].met = c.at, False
             return
         if what == "life_raised":
-            self.life[by] = life
+            self.incarnation[by] = incarnation
             return
         if what not in ("alive", "suspected", "gone", "left") or by == of:
             return
-        self.view[by, of] = what, life
+        self.view[by, of] = what, incarnation
         pair = self.pairs[by, of]
         if (
             what == "gone"
-            and pair.well
-            and life == self.life.get(of)
-            and (c.at - self.last_ill.get((by, of), -self.notice) > self.notice)
+            and pair.healthy
+            and incarnation == self.incarnation.get(of)
+            and (c.at - self.last_unhealthy_at.get((by, of), -self.notice) > self.notice)
         ):
-            self.wrong.append(f"{by} called {of} gone at {c.at}, and all was well")
-        if not pair.met and pair.well is not None and self._believes(by, of, pair.well):
+            self.wrongly_gone.append(f"{by} called {of} gone at {c.at}, and all was well")
+        if not pair.met and pair.healthy is not None and self._view_matches(by, of, pair.healthy):
             pair.met = True
-            (self.healed if pair.well else self.noticed).append(c.at - pair.since)
-        elif pair.well and pair.met and what in GONE:
+            (self.healed if pair.healthy else self.noticed).append(c.at - pair.since)
+        elif pair.healthy and pair.met and what in GONE:
             pair.met, pair.since = False, c.at  # to be taken back
 
 
-def spans(found: list[int]) -> dict[str, float]:
+def duration_summary(found: list[int]) -> dict[str, float]:
     """Seconds: how many, the median and the longest."""
     if not found:
         return {"count": 0}
