--- a/hazelhold/audit/planner_run.py
+++ b/hazelhold/audit/planner_run.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Any, NamedTuple
 
-from hazelhold.audit.dispatches import Submission, Dispatch
+from hazelhold.audit.dispatches import Dispatch, Submission
 from hazelhold.audit.findings import (
     ANSWER_SLACK,
     FINAL_ANSWERS,
--- a/hazelhold/capture/__init__.py
+++ b/hazelhold/capture/__init__.py
@@ -1,2 +1,4 @@
-"""Traffic in capture files: written from a planner's exchanges, read, cut, and replayed. Nothing is
-captured live."""
+"""Capture files of a planner's traffic: writing, reading, extracting and replaying them.
+
+The planner writes the packets itself; no network interface is sniffed.
+"""
--- a/hazelhold/capture/extract.py
+++ b/hazelhold/capture/extract.py
@@ -1,4 +1,7 @@
-"""Cuts and filters captures: what is kept is a valid capture in which each kept stream is whole."""
+"""Extracts parts of captures, and summarises captures.
+
+An extract is a valid capture in which every selected stream is complete.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,7 +18,10 @@
 
 
 class ExtractFilter(Struct):
-    """What to keep; empty wishes keep everything. Moments in microseconds since 1970."""
+    """Criteria that a frame must all match; an empty criterion matches everything.
+
+    `since` and `until` are in microseconds since 1970.
+    """
 
     since: int = 0
     until: int = 0
@@ -24,46 +30,50 @@
     guest: str = ""
     machine: str = ""
 
-    def wants(self, frame: Frame, who: str) -> bool:
+    def matches(self, frame: Frame, peer_name: str) -> bool:
+        """Whether the frame, on a connection whose peer is called `peer_name`, meets every criterion."""
         message = frame.message
         return (
             (not self.since or frame.at >= self.since)
             and (not self.until or frame.at <= self.until)
-            and (not self.owner or self.owner in (message.get("owner"), who))
+            and (not self.owner or self.owner in (message.get("owner"), peer_name))
             and (not self.service or self.service == message.get("service"))
             and (not self.guest or self.guest == message.get("guest"))
-            and (not self.machine or self.machine in (message.get("machine"), who))
+            and (not self.machine or self.machine in (message.get("machine"), peer_name))
         )
 
 
-def extract(files: list[Path], to: Path, wish: ExtractFilter, skips: Skips) -> dict[str, int]:
-    """Writes every packet of the connections in which a wanted frame crossed, and all notes of planners."""
+def extract(files: list[Path], to: Path, criteria: ExtractFilter, skips: Skips) -> dict[str, int]:
+    """Writes every packet of the connections that carry a matching frame, and all notes of planners.
+
+    Returns the number of packets kept and left out, and of the selected streams.
+    """
     wanted: set[frozenset] = set()
-    who: dict[frozenset, str] = {}
+    peer_names: dict[frozenset, str] = {}
     for item in read(files, skips):
         if isinstance(item, Frame):
             pair = frozenset((item.source, item.target))
             if item.message["t"] in ("hello", "welcome"):
-                who.setdefault(pair, item.message.get("name", ""))
-            if wish.wants(item, who.get(pair, "")):
+                peer_names.setdefault(pair, item.message.get("name", ""))
+            if criteria.matches(item, peer_names.get(pair, "")):
                 wanted.add(pair)
     counts: Counter[str] = Counter()
-    ng = to.suffix == ".pcapng"
-    links: set[int] = set()
+    is_pcapng = to.suffix == ".pcapng"
+    written_links: set[int] = set()
     with to.open("wb") as file:
         for packet in packets(files, Skips()):
             segment = parse(packet.link, packet.data)
-            keep = isinstance(segment, Segment) and (
+            included = isinstance(segment, Segment) and (
                 frozenset((segment.source, segment.target)) in wanted
                 if segment.seq >= 0
                 else own_note(packet, segment) is not None
             )
-            if keep and (packet.link in links or not links):
-                if not links:
-                    file.write(file_head(ng, packet.link))
-                    links.add(packet.link)
-                file.write(record(ng, packet.at, packet.data, packet.length))
-            elif keep:  # a file of ours has one link type
+            if included and (packet.link in written_links or not written_links):
+                if not written_links:
+                    file.write(file_head(is_pcapng, packet.link))
+                    written_links.add(packet.link)
+                file.write(record(is_pcapng, packet.at, packet.data, packet.length))
+            elif included:  # the output file has one link type
                 skips.note(
                     packet.file,
                     f"link type {packet.link} beside another",
@@ -72,9 +82,9 @@
                     packet.number,
                     packet.at,
                 )
-            counts["kept" if keep else "left out"] += 1
-        if not links:
-            file.write(file_head(ng))
+            counts["kept" if included else "left out"] += 1
+        if not written_links:
+            file.write(file_head(is_pcapng))
     counts["streams"] = len(wanted)
     return dict(counts)
 
@@ -82,7 +92,7 @@
 def survey(
     files: list[Path], skips: Skips, progress: Callable[[Packet], None] | None = None
 ) -> dict[str, Any]:
-    """What a capture holds: streams, planners, messages by type, first and last moment."""
+    """Summarises a capture: streams, planners, messages by type, first and last time (microseconds)."""
     types: Counter[str] = Counter()
     streams: Counter[str] = Counter()
     planners: dict[str, dict[str, Any]] = {}
--- a/hazelhold/capture/load.py
+++ b/hazelhold/capture/load.py
@@ -1,4 +1,4 @@
-"""Sends the owners' side of a capture to a live planner, at the captured spacing or scaled."""
+"""Replays the owners' messages of a capture against a live planner, at the captured or a scaled rate."""
 
 from collections import Counter
 from pathlib import Path
@@ -19,82 +19,89 @@
 
 
 def owner_messages(files: list[Path], skips: Skips) -> list[tuple[int, str, m.Message]]:
-    """All submits and cancels of a capture: moment in microseconds, owner, message."""
+    """All Submit and Cancel messages of a capture, by time: time in microseconds, owner, message."""
     found: list[tuple[int, str, m.Message]] = []
     names: dict[tuple, str] = {}
     for item in read(files, skips):
         if not isinstance(item, Frame):
             continue
-        kind, pair = item.message["t"], (item.source, item.target, item.life)
+        kind, pair = item.message["t"], (item.source, item.target, item.connection)
         if kind == "hello" and item.message.get("role") == "owner":
             names[pair] = str(item.message.get("name", ""))
         elif kind in ("submit", "cancel"):
             try:
                 found.append((item.at, names.get(pair, "unknown"), OWNERS.decode(item.body)))
-            except FrameError as wrong:
+            except FrameError as error:
                 skips.note(
-                    item.file, f"ask that is malformed: {wrong.code}", len(item.body), 0, item.packet, item.at
+                    item.file,
+                    f"malformed owner message: {error.code}",
+                    len(item.body),
+                    0,
+                    item.packet,
+                    item.at,
                 )
-    return sorted(found, key=lambda ask: ask[0])
+    return sorted(found, key=lambda entry: entry[0])
 
 
 async def send(
-    net: Net, address: str, plan: list[tuple[int, str, m.Message]], speed: float, mark: str
+    net: Net, address: str, schedule: list[tuple[int, str, m.Message]], speed: float, prefix: str
 ) -> dict[str, Any]:
-    """Sends the asks, with ids renewed by `mark` and patience kept, and tells what was answered.
+    """Sends the scheduled messages and returns counts of messages and answers, and the sending delays.
 
-    Sending never waits for answers, so bursts keep their shape; how late each was sent is measured.
+    `prefix` is put before the names of owners and guests, so that they are new to the planner; time limits
+    stay. `speed` divides the captured intervals. Sending never waits for answers, so bursts keep their shape;
+    the delay of each message against its schedule is measured in microseconds.
     """
     counts: Counter[str] = Counter()
-    late: list[int] = []
-    open_asks: set[tuple[str, int]] = set()
-    wires: dict[str, Wire] = {}
+    delays: list[int] = []
+    open_submissions: set[tuple[str, int]] = set()
+    connections: dict[str, Wire] = {}
 
-    async def listen(wire: Wire) -> None:
+    async def listen(connection: Wire) -> None:
         try:
-            async for said in wire.messages():
-                if isinstance(said, m.Placed | m.TurnedBack | m.BrokenOff | m.Rejected):
-                    counts[said.__struct_config__.tag] += 1
-                    open_asks.discard((said.guest, said.ask))
-                elif isinstance(said, m.GuestEnded):
-                    counts["ended_" + said.how] += 1
-        except FrameError as wrong:
-            counts["fault_" + wrong.code] += 1
+            async for message in connection.messages():
+                if isinstance(message, m.Placed | m.TurnedBack | m.BrokenOff | m.Rejected):
+                    counts[message.__struct_config__.tag] += 1
+                    open_submissions.discard((message.guest, message.ask))
+                elif isinstance(message, m.GuestEnded):
+                    counts["ended_" + message.how] += 1
+        except FrameError as error:
+            counts["fault_" + error.code] += 1
 
     async with trio.open_nursery() as nursery:
-        for owner in sorted({owner for _, owner, _ in plan}):
-            wire = wires[owner] = Wire(
+        for owner in sorted({owner for _, owner, _ in schedule}):
+            connection = connections[owner] = Wire(
                 await net.dial(address), m.Codec(m.TO_OWNER), net.now, send_bytes=1 << 26
             )
-            nursery.start_soon(wire.write)
-            wire.send(m.Hello(role="owner", name=f"{mark}{owner}"))
-            await wire.first(m.Welcome, 5.0)
-            nursery.start_soon(listen, wire)
+            nursery.start_soon(connection.write)
+            connection.send(m.Hello(role="owner", name=f"{prefix}{owner}"))
+            await connection.first(m.Welcome, 5.0)
+            nursery.start_soon(listen, connection)
         start = net.now() + 50_000
-        first = plan[0][0] if plan else 0
-        longest = start
-        for at, owner, message in plan:
+        first = schedule[0][0] if schedule else 0
+        last_deadline = start
+        for at, owner, message in schedule:
             due = start + round((at - first) / speed)
             await trio.sleep(max(0.0, (due - net.now()) / 1e6))
-            late.append(net.now() - due)
-            renewed = replace(message, guest=mark + message.guest)
-            sent = wires[owner].send(renewed)
+            delays.append(net.now() - due)
+            renewed = replace(message, guest=prefix + message.guest)
+            sent = connections[owner].send(renewed)
             counts["sent_" + message.__struct_config__.tag if sent else "not_sent"] += 1
             if isinstance(renewed, m.Submit) and sent:
-                open_asks.add((renewed.guest, renewed.ask))
-                longest = max(longest, net.now() + renewed.patience + 200_000)
-        while open_asks and net.now() < longest:
+                open_submissions.add((renewed.guest, renewed.ask))
+                last_deadline = max(last_deadline, net.now() + renewed.patience + 200_000)
+        while open_submissions and net.now() < last_deadline:
             await trio.sleep(0.02)
         nursery.cancel_scope.cancel()
-    counts["unanswered"] = len(open_asks)
-    late.sort()
+    counts["unanswered"] = len(open_submissions)
+    delays.sort()
     return {
         "counts": dict(sorted(counts.items())),
         "send_error_us": {
-            "median": late[len(late) // 2],
-            "p99": late[int(len(late) * 0.99)],
-            "most": late[-1],
+            "median": delays[len(delays) // 2],
+            "p99": delays[int(len(delays) * 0.99)],
+            "most": delays[-1],
         }
-        if late
+        if delays
         else {},
     }
--- a/hazelhold/capture/read.py
+++ b/hazelhold/capture/read.py
@@ -1,4 +1,4 @@
-"""Several capture files as one stream of frames and of our own notes, in the order of their times."""
+"""Reads several capture files as one stream of frames and planner notes, ordered by time."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -13,8 +13,8 @@
 from hazelhold.capture.streams import Frame, Streams
 
 MAGIC = b"hazelhold capture 1\n"
-# What a note of each kind must have; one that has not is no note of ours.
-NEEDS: dict[str, dict[str, type]] = {
+# Fields that a note of each kind must have. A datagram without them is not treated as a note.
+REQUIRED_FIELDS: dict[str, dict[str, type]] = {
     "start": {"planner": str, "seed": int, "sheet": dict, "module": str, "offset": int, "file": int},
     "stream": {"near": str, "far": str, "role": str, "who": str},
     "lost": {"packets": int},
@@ -26,7 +26,10 @@
 
 
 class Note(NamedTuple):
-    """A datagram of our own: what no frame tells. `data["n"]` names its kind (docs/capture.md)."""
+    """A note that a planner wrote as a datagram: engine input that is not part of any frame.
+
+    `data["n"]` is its kind (docs/capture.md); `at` is in microseconds since 1970.
+    """
 
     at: int
     data: dict[str, Any]
@@ -37,10 +40,12 @@
 def packets(
     files: list[Path], skips: Skips, progress: Callable[[Packet], None] | None = None
 ) -> Iterator[Packet]:
-    """Packets of all files merged by time; within a file the order stays the file's, also where time goes
-    back."""
+    """Merges the packets of all files by time.
+
+    Packets of one file stay in the file's order, even where its timestamps go back.
+    """
 
-    def keyed(number: int, path: Path) -> Iterator[tuple[int, int, int, Packet]]:
+    def sorted_source(number: int, path: Path) -> Iterator[tuple[int, int, int, Packet]]:
         latest = 0
         for packet in read_packets(path, skips):
             if packet.at < latest:
@@ -55,7 +60,7 @@
             latest = max(latest, packet.at)
             yield latest, number, packet.number, packet
 
-    sources = [keyed(number, path) for number, path in enumerate(files)]
+    sources = [sorted_source(number, path) for number, path in enumerate(files)]
     for _, _, _, packet in heapq.merge(*sources, key=lambda item: item[:3]):
         if progress:
             progress(packet)
@@ -67,7 +72,7 @@
     skips: Skips,
     progress: Callable[[Packet], None] | None = None,
 ) -> Iterator[Frame | Note]:
-    """Everything that can be read; what cannot is in `skips` when this ends."""
+    """Yields every readable frame and note. Once exhausted, `skips` lists all that could not be read."""
     streams = Streams(skips)
     for packet in packets(files, skips, progress):
         segment = parse(packet.link, packet.data)
@@ -92,6 +97,7 @@
 
 
 def own_note(packet: Packet, segment: Segment) -> Note | None:
+    """The planner's note in a UDP datagram, or None if the datagram holds none."""
     if not segment.payload.startswith(MAGIC) or segment.missing:
         return None
     try:
@@ -100,7 +106,7 @@
         return None
     if not isinstance(data, dict) or not isinstance(data.get("n"), str):
         return None
-    needs = NEEDS.get(data["n"], {}) | {"p": str}
-    if not all(isinstance(data.get(key), kind) for key, kind in needs.items()):
+    required = REQUIRED_FIELDS.get(data["n"], {}) | {"p": str}
+    if not all(isinstance(data.get(key), kind) for key, kind in required.items()):
         return None
     return Note(packet.at, data, packet.number, packet.file)
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -1,7 +1,8 @@
-"""A capture fed into a new engine: the same decisions, or the first that differs and what it was made on.
+"""Replays a capture into a new engine and compares the decisions.
 
-Free of clock and sockets: moments come from the capture. With another configuration or a changed module the
-comparison goes on past the first difference and tells how guests fared in both.
+Reports the first decision that differs, with the state that it was based on. Uses no clock and no sockets:
+times come from the capture. With another configuration or changed scheduling modules the comparison continues
+after the first difference and reports the outcomes of guests in both.
 """
 
 from collections import Counter, deque
@@ -26,17 +27,17 @@
 
 CODECS = {"owner": m.Codec(m.FROM_OWNER), "machine": m.Codec(m.FROM_MACHINE), "list": m.Codec(m.FROM_LIST)}
 TO_MACHINE = m.Codec(m.TO_MACHINE | m.TO_OWNER)
-# What the service says or hears by itself, without the engine.
-SERVICE = ("hello", "welcome", "fault", "bye", "watch")
-STATE = ("keep", "state_kept", "offer_held_back")
-INPUTS = ("pump", "link_up", "link_failed", "link_down", "list_failed", "stop", "stop_now")
+# Message types that the service handles without the engine.
+SERVICE_MESSAGES = ("hello", "welcome", "fault", "bye", "watch")
+STATE_NOTES = ("keep", "state_kept", "offer_held_back")
+INPUT_NOTES = ("pump", "link_up", "link_failed", "link_down", "list_failed", "stop", "stop_now")
 
 
 @dataclass
-class Fate:
-    """How one guest fared: its first machine and its last final answer."""
+class GuestOutcome:
+    """The outcome for one guest: its first machine and its last final answer."""
 
-    product: str = ""
+    guest_class: str = ""
     machine: str = ""
     answer: str = ""
     reason: str = ""
@@ -44,7 +45,7 @@
 
 @dataclass
 class Difference:
-    """The first decision that differs: what the capture has, what the engine did, and on what."""
+    """The first differing decision: the captured and the replayed one, and the state behind the latter."""
 
     at: int
     packet: int
@@ -54,24 +55,31 @@
     state: dict[str, Any] = field(default_factory=dict)
 
 
-class Life:
-    """One life of one planner: its engine, and what it said so far in the capture and here."""
+class PlannerRun:
+    """Replays one run of a planner: its engine, and the messages sent in the capture and by the replay."""
 
-    def __init__(self, start: dict[str, Any], other: PlannerConfig | None) -> None:
+    def __init__(self, start: dict[str, Any], other_config: PlannerConfig | None) -> None:
         self.planner, self.offset = start["planner"], start["offset"]
-        config = other or build(PlannerConfig, start["sheet"], "capture")
-        self.changed = other is not None or start["module"] != module_digest()
+        config = other_config or build(PlannerConfig, start["sheet"], "capture")
+        self.changed = other_config is not None or start["module"] != module_digest()
         self.module = start["module"]
         self.engine = Engine(config, start["seed"], 0)
-        self.streams: dict[tuple[str, str], tuple[str, str]] = {}  # near and far: role and who
-        self.said: deque[tuple[str, str, m.Message]] = deque()  # by the engine, not yet seen in the capture
-        self.seen: deque[tuple[str, str, Any, int, int, str]] = deque()  # in the capture, not yet said here
+        self.streams: dict[
+            tuple[str, str], tuple[str, str]
+        ] = {}  # (near, far) addresses: role and name of the peer
+        self.replayed: deque[tuple[str, str, m.Message]] = (
+            deque()
+        )  # replayed messages without a captured counterpart so far
+        self.captured: deque[tuple[str, str, Any, int, int, str]] = (
+            deque()
+        )  # captured messages without a replayed counterpart so far
         self.compared = self.differing = self.inputs = 0
         self.first: Difference | None = None
         self.lost = self.damaged = 0
-        self.fates: tuple[dict[str, Fate], dict[str, Fate]] = {}, {}  # captured, replayed
+        self.outcomes: tuple[dict[str, GuestOutcome], dict[str, GuestOutcome]] = {}, {}  # captured, replayed
 
     def note(self, note: Note) -> None:
+        """Applies a note of this run."""
         kind, now = note.data["n"], note.at - self.offset
         if kind == "stream":
             self.streams[note.data["near"], note.data["far"]] = note.data["role"], note.data["who"]
@@ -81,140 +89,151 @@
             self._captured(
                 note.data["role"], note.data["who"], note.data["message"], note.at, note.packet, note.file
             )
-        elif kind in STATE:
+        elif kind in STATE_NOTES:
             self._state_note(now, note, kind)
-        elif kind in INPUTS:
-            given = [note.data["who"]] if "who" in note.data else []
+        elif kind in INPUT_NOTES:
+            arguments = [note.data["who"]] if "who" in note.data else []
             if "welcome" in note.data:
                 try:
-                    given.append(msgspec.convert(note.data["welcome"], m.Welcome))
+                    arguments.append(msgspec.convert(note.data["welcome"], m.Welcome))
                 except msgspec.ValidationError:
                     self.damaged += 1
                     return
-            self._input(now, note, kind, *given)
+            self._input(now, note, kind, *arguments)
 
     def frame(self, frame: Frame) -> bool:
-        """Takes a frame if it is of one of this life's streams."""
+        """Applies a frame. Returns whether it belongs to one of this run's streams."""
         source, target = end_name(frame.source), end_name(frame.target)
         if stream := self.streams.get((target, source)):
-            role, who = stream
-            if role not in CODECS:  # refused by the service; the engine never heard of it
+            role, peer = stream
+            if role not in CODECS:  # refused by the service before it reached the engine
                 return True
-            if frame.message["t"] not in SERVICE:
+            if frame.message["t"] not in SERVICE_MESSAGES:
                 try:
                     message = CODECS[role].decode(frame.body)
-                except FrameError:  # damaged since: it was sound when it was captured
+                except FrameError:  # damaged in the file: it was valid when it was captured
                     self.damaged += 1
                     return True
-                given = [message] if role == "list" else [who, message]
-                self._input(frame.at - self.offset, frame, role + "_said", *given)
+                arguments = [message] if role == "list" else [peer, message]
+                self._input(frame.at - self.offset, frame, role + "_said", *arguments)
             return True
         if stream := self.streams.get((source, target)):
-            if frame.message["t"] not in SERVICE:
+            if frame.message["t"] not in SERVICE_MESSAGES:
                 self._captured(*stream, frame.message, frame.at, frame.packet, frame.file)
             return True
         return False
 
-    def _input(self, now: int, item: Note | Frame, what: str, *given: object) -> None:
+    def _input(self, now: int, item: Note | Frame, what: str, *arguments: object) -> None:
         self.inputs += 1
         self.engine_now = now
-        getattr(self.engine, what)(now, *given)
+        getattr(self.engine, what)(now, *arguments)
         for action in self.engine.actions:
             if isinstance(action, Send):
-                self.said.append((action.role, action.peer, action.message))
-                self._fate(self.fates[1], msgspec.to_builtins(action.message), action.peer)
+                self.replayed.append((action.role, action.peer, action.message))
+                self._record_outcome(self.outcomes[1], msgspec.to_builtins(action.message), action.peer)
         self.engine.actions = []
         if self.engine.keeping is not None:
-            self.engine.keeping.marks.clear()  # nothing is kept here
+            self.engine.keeping.marks.clear()  # a replay stores no state
         self._match()
 
     def _captured(
-        self, role: str, who: str, message: dict[str, Any], at: int, packet: int, file: str
+        self, role: str, peer: str, message: dict[str, Any], at: int, packet: int, file: str
     ) -> None:
-        self._fate(self.fates[0], message, who)
-        self.seen.append((role, who, message, at, packet, file))
+        self._record_outcome(self.outcomes[0], message, peer)
+        self.captured.append((role, peer, message, at, packet, file))
         self._match()
 
     def _match(self) -> None:
-        """Compares, in order, what both have said."""
-        while self.said and self.seen:
-            role, who, message = self.said.popleft()
-            was_role, was_who, was, at, packet, file = self.seen.popleft()
+        """Compares the captured and the replayed messages in order."""
+        while self.replayed and self.captured:
+            role, peer, message = self.replayed.popleft()
+            captured_role, captured_peer, captured_message, at, packet, file = self.captured.popleft()
             self.compared += 1
-            here = role, who, msgspec.to_builtins(message)
-            there = was_role, was_who, self._plain(was, type(message))
-            if here != there:
+            replayed_decision = role, peer, msgspec.to_builtins(message)
+            captured_decision = captured_role, captured_peer, self._normalize(captured_message, type(message))
+            if replayed_decision != captured_decision:
                 self.differing += 1
                 if self.first is None:
-                    self.first = Difference(at, packet, file, there, here, self._state(here[2]))
+                    self.first = Difference(
+                        at,
+                        packet,
+                        file,
+                        captured_decision,
+                        replayed_decision,
+                        self._state(replayed_decision[2]),
+                    )
 
-    def _plain(self, was: dict[str, Any], kind: type) -> dict[str, Any]:
-        """A captured message without fields that say what leaving them out says."""
+    def _normalize(self, captured_message: dict[str, Any], kind: type) -> dict[str, Any]:
+        """Removes the fields of a captured message that hold their default values."""
         try:
-            return msgspec.to_builtins(msgspec.convert(was, kind))
+            return msgspec.to_builtins(msgspec.convert(captured_message, kind))
         except msgspec.ValidationError:
-            return was
+            return captured_message
 
     def _state(self, message: dict[str, Any]) -> dict[str, Any]:
-        """What the decision was made on, as far as it fits a page."""
-        brain = self.engine.brain
+        """A summary of the state behind a decision, with at most 50 machines."""
+        scheduler = self.engine.brain
         machines = {
             n: {
                 "mode": x.listed.mode.name,
-                "room": x.room(brain.deployment),
+                "room": x.room(scheduler.deployment),
                 "used": x.used,
                 "guests": len(x.guests),
                 "rests": max(0, x.avoid_until - self.engine_now),
             }
-            for n, x in list(brain.machines.items())[:50]
+            for n, x in list(scheduler.machines.items())[:50]
         }
-        case = self.engine.newest.get(message.get("guest", ""))
+        record = self.engine.newest.get(message.get("guest", ""))
         return {
             "at": self.engine_now,
-            "held": len(brain.waiting),
-            "guests": len(brain.guests),
-            "guest": repr(case) if case else "",
+            "held": len(scheduler.waiting),
+            "guests": len(scheduler.guests),
+            "guest": repr(record) if record else "",
             "machines": machines,
         }
 
     def _state_note(self, now: int, note: Note, kind: str) -> None:
-        """What the keeper told the engine: the recovered images, the disk's health, a held-back offer."""
+        """Applies an input of the state writer: recovered images, the disk's health, or a held-back offer."""
         data = note.data
         if kind == "state_kept":
             self._input(now, note, kind, data["news"])
         elif kind == "offer_held_back":
             self._input(now, note, kind, msgspec.convert(data["news"], m.Offer))
         else:
-            ledger = Ledger()
-            ledger.apply(BATCH.decode(data["changes"]))
-            self._input(now, note, kind, data["epoch"], ledger, data["complete"])
+            table = Ledger()
+            table.apply(BATCH.decode(data["changes"]))
+            self._input(now, note, kind, data["epoch"], table, data["complete"])
 
-    def _fate(self, fates: dict[str, Fate], message: dict[str, Any], who: str) -> None:
+    def _record_outcome(self, outcomes: dict[str, GuestOutcome], message: dict[str, Any], peer: str) -> None:
         guest, kind = message.get("guest", ""), message.get("t", "")
         if kind == "offer":
-            fate = fates.setdefault(guest, Fate())
-            fate.product, fate.machine = message.get("product", ""), fate.machine or who
+            outcome = outcomes.setdefault(guest, GuestOutcome())
+            outcome.guest_class, outcome.machine = message.get("product", ""), outcome.machine or peer
         elif kind in ("placed", "turned_back", "broken_off"):
-            fate = fates.setdefault(guest, Fate())
-            fate.answer, fate.reason = kind, message.get("reason", "")
+            outcome = outcomes.setdefault(guest, GuestOutcome())
+            outcome.answer, outcome.reason = kind, message.get("reason", "")
 
     def report(self) -> dict[str, Any]:
-        unmatched = len(self.said) + len(self.seen)
-        then, now = self.fates
-        fates: Counter[str] = Counter()
-        for guest in sorted(then.keys() | now.keys()):
-            old, new = then.get(guest, Fate()), now.get(guest, Fate())
-            product = old.product or new.product or "never offered"
+        """The counts and the first difference, and the outcomes of guests by guest class."""
+        unmatched = len(self.replayed) + len(self.captured)
+        captured_outcomes, replayed_outcomes = self.outcomes
+        outcomes: Counter[str] = Counter()
+        for guest in sorted(captured_outcomes.keys() | replayed_outcomes.keys()):
+            old, new = (
+                captured_outcomes.get(guest, GuestOutcome()),
+                replayed_outcomes.get(guest, GuestOutcome()),
+            )
+            guest_class = old.guest_class or new.guest_class or "never offered"
             if (old.answer, old.reason) != (new.answer, new.reason):
-                fates[
-                    f"{product}: {old.answer or 'no answer'} {old.reason}".strip()
+                outcomes[
+                    f"{guest_class}: {old.answer or 'no answer'} {old.reason}".strip()
                     + " became "
                     + f"{new.answer or 'no answer'} {new.reason}".strip()
                 ] += 1
             elif old.machine != new.machine:
-                fates[f"{product}: offered elsewhere first"] += 1
+                outcomes[f"{guest_class}: offered elsewhere first"] += 1
             else:
-                fates[f"{product}: the same"] += 1
+                outcomes[f"{guest_class}: the same"] += 1
         return {
             "planner": self.planner,
             "module": self.module,
@@ -227,38 +246,38 @@
             "damaged_messages": self.damaged,
             "changed": self.changed,
             "first_difference": msgspec.to_builtins(self.first) if self.first else None,
-            "guests": dict(sorted(fates.items())),
+            "guests": dict(sorted(outcomes.items())),
         }
 
 
-def replay(items: Iterable[Frame | Note], other: PlannerConfig | None = None) -> dict[str, Any]:
-    """Replays every planner's life in the capture; `other` replaces their configurations.
+def replay(items: Iterable[Frame | Note], other_config: PlannerConfig | None = None) -> dict[str, Any]:
+    """Replays every run of a planner in the capture; `other` replaces their configurations.
 
-    `same` is true only if at least one life was found and all that it said was said here, in the same order.
-    Frames of streams that no planner of the capture has are counted under `of_others`.
+    `same` is true only if at least one run was found and the replay sent the same messages in the same order.
+    Frames of streams that belong to no planner of the capture are counted under `of_others`.
     """
-    lives: dict[str, Life] = {}
-    others: Counter[str] = Counter()
-    late: Counter[str] = Counter()
+    runs: dict[str, PlannerRun] = {}
+    other_streams: Counter[str] = Counter()
+    orphaned_notes: Counter[str] = Counter()
     for item in items:
         if isinstance(item, Frame):
-            if not any(life.frame(item) for life in lives.values()):
-                others[f"{end_name(item.source)} > {end_name(item.target)}"] += 1
+            if not any(run.frame(item) for run in runs.values()):
+                other_streams[f"{end_name(item.source)} > {end_name(item.target)}"] += 1
             continue
         name = item.data.get("p", "")
-        if item.data["n"] == "start" and item.data["file"] == 1 and name not in lives:
+        if item.data["n"] == "start" and item.data["file"] == 1 and name not in runs:
             try:
-                lives[name] = Life(item.data, other)
-            except ConfigError as wrong:
-                late[f"{name.partition('@')[0]}: start that cannot be used: {wrong}"] += 1
-        elif name in lives:
-            lives[name].note(item)
+                runs[name] = PlannerRun(item.data, other_config)
+            except ConfigError as error:
+                orphaned_notes[f"{name.partition('@')[0]}: start that cannot be used: {error}"] += 1
+        elif name in runs:
+            runs[name].note(item)
         elif item.data["n"] != "start":
-            late[name.partition("@")[0]] += 1
-    reports = [life.report() for life in lives.values()]
+            orphaned_notes[name.partition("@")[0]] += 1
+    reports = [run.report() for run in runs.values()]
     return {
         "same": bool(reports) and all(not r["differing"] and not r["unmatched"] for r in reports),
         "planners": reports,
-        "of_others": dict(sorted(others.items())),
-        "notes_without_a_start": dict(late),
+        "of_others": dict(sorted(other_streams.items())),
+        "notes_without_a_start": dict(orphaned_notes),
     }
--- a/hazelhold/capture/write.py
+++ b/hazelhold/capture/write.py
@@ -1,7 +1,7 @@
-"""Writes a planner's exchanges as captures. The planner only queues bytes; a thread of its own writes them.
+"""Writes a planner's traffic as captures. The planner only queues bytes; a separate thread writes them.
 
-A disk that is full or slow never holds a decision up: what finds the queue full is counted, and the next
-packet that does find room is preceded by a note that says how much is missing.
+A full or slow disk never delays a decision: packets that do not fit into the queue are dropped and counted,
+and a note of how many are missing precedes the next packet that fits.
 """
 
 import contextlib
@@ -18,50 +18,54 @@
 from hazelhold.capture.read import MAGIC
 
 End = tuple[bytes, int]
-SEGMENT = 60_000
-PAUSE = 0.05  # seconds between writes
+MAX_SEGMENT_BYTES = 60_000
+WRITE_INTERVAL_S = 0.05  # seconds
 NOTE_PACKETS = PacketBuilder(
     (b"\x7f\0\0\1", 9), (b"\x7f\0\0\1", 9)
-)  # our own notes seem to go to the discard port
+)  # notes are addressed to the discard port
 
 
 class CapturedConnection:
-    """One connection: keeps both directions' sequence numbers."""
+    """One TCP connection in the capture, with the sequence numbers of both directions."""
 
     def __init__(self, writer: "CaptureWriter", near: End, far: End, dialled: bool, at: int) -> None:
         self.writer = writer
-        self.ways = {True: PacketBuilder(near, far), False: PacketBuilder(far, near)}
-        self.seq = {True: 1000, False: 5000}  # of what leaves here, of what comes
+        self.builders = {True: PacketBuilder(near, far), False: PacketBuilder(far, near)}
+        self.seq = {
+            True: 1000,
+            False: 5000,
+        }  # keyed by whether the planner sends; any initial numbers will do
         self.open = True
         self._packet(dialled, b"", SYN, at)
         self._packet(not dialled, b"", SYN | ACK, at)
         self._packet(dialled, b"", ACK, at)
 
-    def data(self, leaves: bool, body: bytes, at: int) -> None:
-        """Bytes that left or came."""
-        for start in range(0, len(body), SEGMENT):
-            self._packet(leaves, body[start : start + SEGMENT], PSH | ACK, at)
+    def data(self, outgoing: bool, body: bytes, at: int) -> None:
+        """Records bytes that the planner sent (`outgoing`) or received."""
+        for start in range(0, len(body), MAX_SEGMENT_BYTES):
+            self._packet(outgoing, body[start : start + MAX_SEGMENT_BYTES], PSH | ACK, at)
 
     def close(self, at: int) -> None:
+        """Records the close of both directions. Further calls have no effect."""
         if self.open:
             self.open = False
-            for leaves in (True, False):
-                self._packet(leaves, b"", FIN | ACK, at)
+            for outgoing in (True, False):
+                self._packet(outgoing, b"", FIN | ACK, at)
             self._packet(True, b"", ACK, at)
 
-    def _packet(self, leaves: bool, payload: bytes, flags: int, at: int) -> None:
-        ack = self.seq[not leaves] if flags & ACK else 0
-        self.writer.put(at, self.ways[leaves].tcp(payload, self.seq[leaves], ack, flags))
-        self.seq[leaves] = (self.seq[leaves] + len(payload) + bool(flags & (SYN | FIN))) & 0xFFFFFFFF
+    def _packet(self, outgoing: bool, payload: bytes, flags: int, at: int) -> None:
+        ack = self.seq[not outgoing] if flags & ACK else 0
+        self.writer.put(at, self.builders[outgoing].tcp(payload, self.seq[outgoing], ack, flags))
+        self.seq[outgoing] = (self.seq[outgoing] + len(payload) + bool(flags & (SYN | FIN))) & 0xFFFFFFFF
 
 
 class CaptureWriter:
     """A capture of bounded size on disk.
 
     `path` with the suffix .pcapng makes that format, any other classic pcap. With `rotate_bytes` or
-    `rotate_s` the files are path-000001 and so on, and the oldest go so that all stay under `total_bytes`.
-    `start` is the note that every file begins with. Moments are those of the planner's clock, put on the
-    wall clock by `offset`.
+    `rotate_s` the files are numbered path-000001 and so on, and the oldest are deleted so that all stay under
+    `total_bytes`. Every file begins with the note `start`. Times are microseconds of the planner's clock;
+    `offset` converts them to the wall clock.
     """
 
     def __init__(
@@ -76,26 +80,26 @@
         queue_bytes: int = 1 << 24,
     ) -> None:
         self.path, self.start, self.offset = path, start, offset
-        self.ng = path.suffix == ".pcapng"
+        self.is_pcapng = path.suffix == ".pcapng"
         self.rotate_bytes, self.rotate_s, self.total_bytes = rotate_bytes, rotate_s, total_bytes
         self.queue_bytes = queue_bytes
         self.queue: deque[tuple[int, bytes]] = deque()
         self.queued = 0
         self.lost = self.lost_bytes = self.lost_in_all = 0
-        self.number = 0
-        self.kept: deque[tuple[Path, int]] = deque()
+        self.file_number = 0
+        self.files: deque[tuple[Path, int]] = deque()
         self.file = None
         self.fault = ""
-        self.ended, self.ending = threading.Event(), False
-        self._begin(now + offset, first=True)
+        self.stop_event, self.stopping = threading.Event(), False
+        self._open_file(now + offset, first=True)
         self.thread = threading.Thread(target=self._run, name="capture", daemon=True)
         self.thread.start()
 
     def put(self, at: int, packet: bytes) -> None:
-        """Queues a packet, or counts it as lost. Passed over once the capture has ended."""
-        if self.ending:
+        """Queues a packet, or counts it as lost if the queue is full. Ignored after `end`."""
+        if self.stopping:
             return
-        data = record(self.ng, at + self.offset, packet)
+        data = record(self.is_pcapng, at + self.offset, packet)
         if self.queued + len(data) > self.queue_bytes:
             self.lost += 1
             self.lost_bytes += len(data)
@@ -109,43 +113,48 @@
         self.queue.append((at + self.offset, data))
 
     def note(self, at: int, data: dict[str, Any]) -> None:
-        """A note of our own, in a datagram."""
+        """Queues a note, encoded as a UDP datagram."""
         self.put(at, NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode(data)))
 
     def end(self) -> None:
-        """Takes nothing more. To be called by the thread that puts packets, so that the capture does not end
-        between something that came and what was answered to it."""
-        self.ending = True
-        self.ended.set()
+        """Accepts no more packets.
+
+        Called by the thread that puts packets, so that the capture does not end between a message and
+        its answer.
+        """
+        self.stopping = True
+        self.stop_event.set()
 
     def close(self) -> None:
-        """Ends it, and waits until what is queued is written: two seconds at most. In any thread."""
+        """Ends the capture and waits up to two seconds until the queue is written. Safe in any thread."""
         self.end()
         self.thread.join(2.0)
 
-    # In the thread.
+    # Runs in the writer thread (apart from the first `_open_file`).
 
-    def _begin(self, at: int, first: bool = False) -> None:
+    def _open_file(self, at: int, first: bool = False) -> None:
         if self.file is not None:
             self.file.close()
             self.file = None
-        self.number += 1
+        self.file_number += 1
         path = self.path
         if self.rotate_bytes or self.rotate_s:
-            path = path.with_name(f"{path.stem}-{self.number:06d}{path.suffix}")
+            path = path.with_name(f"{path.stem}-{self.file_number:06d}{path.suffix}")
         if first:
             path.parent.mkdir(parents=True, exist_ok=True)
         self.file = path.open("wb", buffering=0)
-        head = file_head(self.ng) + record(
-            self.ng, at, NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode(self.start | {"file": self.number}))
+        head = file_head(self.is_pcapng) + record(
+            self.is_pcapng,
+            at,
+            NOTE_PACKETS.udp(MAGIC + msgspec.msgpack.encode(self.start | {"file": self.file_number})),
         )
         self.file.write(head)
-        self.size, self.began = len(head), time.monotonic()
-        self.kept.append((path, len(head)))
+        self.size, self.file_started_at = len(head), time.monotonic()
+        self.files.append((path, len(head)))
 
     def _run(self) -> None:
-        while not self.ending or self.queue:
-            self.ended.wait(PAUSE)  # waking for each packet would cost the planner more than writing does
+        while not self.stopping or self.queue:
+            self.stop_event.wait(WRITE_INTERVAL_S)  # a wake-up per packet costs the planner more than writing
             while self.queue:
                 batch: list[bytes] = []
                 at, size = self.queue[0][0], 0
@@ -160,40 +169,40 @@
     def _write(self, at: int, batch: list[bytes], size: int) -> None:
         try:
             if self.file is None:
-                self._begin(at)
+                self._open_file(at)
             if (
                 self.rotate_bytes
                 and self.size + size > self.rotate_bytes
                 or self.rotate_s
-                and time.monotonic() - self.began > self.rotate_s
+                and time.monotonic() - self.file_started_at > self.rotate_s
             ):
-                self._begin(at)
-                self._make_room()
+                self._open_file(at)
+                self._delete_oldest()
             data = b"".join(batch)
             done = 0
             while done < size:
                 done += self.file.write(data[done:])
             self.size += size
-            self.kept[-1] = self.kept[-1][0], self.size
-        except OSError as wrong:
-            self.fault = wrong.strerror or str(wrong)
+            self.files[-1] = self.files[-1][0], self.size
+        except OSError as error:
+            self.fault = error.strerror or str(error)
             self.lost += len(batch)
             self.lost_bytes += size
             self.lost_in_all += len(batch)
-            if not self.ending:
+            if not self.stopping:
                 time.sleep(0.1)
             if self.file is not None:
-                with contextlib.suppress(OSError):  # what was written in part is cut off again
+                with contextlib.suppress(OSError):  # removes a partly written batch
                     self.file.truncate(self.size)
                     self.file.seek(self.size)
         finally:
             self.queued -= size
 
-    def _make_room(self) -> None:
+    def _delete_oldest(self) -> None:
         while (
             self.total_bytes
-            and len(self.kept) > 1
-            and (sum(size for _, size in self.kept) + self.rotate_bytes > self.total_bytes)
+            and len(self.files) > 1
+            and (sum(size for _, size in self.files) + self.rotate_bytes > self.total_bytes)
         ):
-            path, _ = self.kept.popleft()
+            path, _ = self.files.popleft()
             path.unlink(missing_ok=True)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: written, read past any damage, put together again, cut and replayed."""
+"""Captures: writing, reading despite damage, stream reassembly, extracts and replays."""
 
 import json
 import struct
@@ -45,7 +45,7 @@
 
 
 def stream(data: bytes, cuts: list[int], isn: int = 100, a: tuple = A, b: tuple = B) -> list[bytes]:
-    """Packets of one direction, with the data split at the cuts."""
+    """Packets of one direction of a connection, with the data split at the offsets in `cuts`."""
     found = [build(a, b, b"", isn, 0, SYN)]
     at = 0
     for cut in [*sorted({c for c in cuts if 0 < c < len(data)}), len(data)]:
@@ -54,10 +54,10 @@
     return found
 
 
-def save(path: Path, packets: list[bytes], ng: bool = False, times: list[int] | None = None) -> Path:
+def save(path: Path, packets: list[bytes], is_pcapng: bool = False, times: list[int] | None = None) -> Path:
     path.write_bytes(
-        file_head(ng)
-        + b"".join(record(ng, times[n] if times else T + n * 1000, p) for n, p in enumerate(packets))
+        file_head(is_pcapng)
+        + b"".join(record(is_pcapng, times[n] if times else T + n * 1000, p) for n, p in enumerate(packets))
     )
     return path
 
@@ -67,22 +67,22 @@
     return [frame(item.body) for item in read(list(paths), skips) if isinstance(item, Frame)], skips
 
 
-@pytest.mark.parametrize("ng", [False, True])
-def test_every_prefix_reads_and_names_its_cut(tmp_path: Path, ng: bool) -> None:
+@pytest.mark.parametrize("is_pcapng", [False, True])
+def test_every_prefix_is_readable_and_reports_its_truncation(tmp_path: Path, is_pcapng: bool) -> None:
     sent = submits(3)
-    path = save(tmp_path / "c", stream(b"".join(sent), [len(sent[0]), len(sent[0]) * 2]), ng)
+    path = save(tmp_path / "c", stream(b"".join(sent), [len(sent[0]), len(sent[0]) * 2]), is_pcapng)
     whole = path.read_bytes()
-    ends, at = set(), len(file_head(ng))
+    ends, at = set(), len(file_head(is_pcapng))
     for packet in read_packets(path, Skips()):
         ends.add(packet.offset)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
         found, skips = frames(path)
         assert found == sent[: len(found)]
-        if cut not in ends and cut != 28 * ng:
+        if cut not in ends and cut != 28 * is_pcapng:
             assert skips.table(), cut
         at += 1
-    assert len(found) == 2 and frames(save(path, stream(b"".join(sent), []), ng))[0] == sent
+    assert len(found) == 2 and frames(save(path, stream(b"".join(sent), []), is_pcapng))[0] == sent
 
 
 def test_frames_split_at_every_byte_and_across_the_wrap_of_sequence_numbers(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
     assert found == sent and skips.reasons() == {"contradicting overlap": 1}
 
 
-def test_a_hole_is_named_and_what_follows_is_read(tmp_path: Path) -> None:
+def test_a_hole_is_reported_and_the_frames_after_it_are_read(tmp_path: Path) -> None:
     sent = submits(5)
     cuts = [sum(map(len, sent[:n])) for n in range(1, 5)]
     packets = stream(b"".join(sent), cuts)
@@ -114,14 +114,14 @@
     assert skips.table()[0].bytes == len(sent[1]) and "10.0.0.1:1000" in skips.table()[0].stream
 
 
-def test_streams_that_began_before_the_file_and_of_one_direction(tmp_path: Path) -> None:
+def test_one_direction_of_a_stream_that_began_before_the_file(tmp_path: Path) -> None:
     sent = submits(4)
     packets = stream(b"".join(sent), [30, 70, 140])
     found, skips = frames(save(tmp_path / "c", packets[2:]))
     assert found == sent[1:] and skips.reasons() == {"began before the file, up to the next frame": 1}
 
 
-def test_a_second_connection_between_the_same_ends(tmp_path: Path) -> None:
+def test_a_second_connection_between_the_same_endpoints(tmp_path: Path) -> None:
     sent = submits(4)
     packets = (
         stream(b"".join(sent[:2]), []) + [build(A, B, b"", 9, 0, FIN)] + stream(b"".join(sent[2:]), [], 77)
@@ -130,7 +130,7 @@
     assert found == sent and not skips.table()
 
 
-def test_other_protocols_are_named_once_a_stream(tmp_path: Path) -> None:
+def test_other_protocols_are_reported_once_per_stream(tmp_path: Path) -> None:
     web = stream(b"GET / HTTP/1.1\r\n\r\n" * 10, [50, 99], a=parse_endpoint("10.9.9.9:80"))
     udp = build(A, B, b"not a note")
     arp = b"\0" * 12 + b"\x08\x06" + b"\0" * 28
@@ -171,7 +171,7 @@
                 assert frames(tmp_path / "c")[0] == sent
 
 
-def test_a_snap_length_that_cut_payloads_is_named(tmp_path: Path) -> None:
+def test_payloads_cut_by_a_snap_length_are_reported(tmp_path: Path) -> None:
     sent = submits(3)
     packets = stream(b"".join(sent), [len(sent[0]), len(sent[0]) * 2])
     data = file_head(False) + b"".join(record(False, T, p[:90], len(p)) for p in packets)
@@ -180,7 +180,7 @@
     assert found == [] and skips.reasons()["payload cut by the snap length"] == 3
 
 
-def test_time_that_goes_back_keeps_the_files_order(tmp_path: Path) -> None:
+def test_timestamps_that_go_back_keep_the_order_of_the_file(tmp_path: Path) -> None:
     sent = submits(3)
     packets = stream(b"".join(sent), [len(sent[0]), len(sent[0]) * 2])
     found, skips = frames(save(tmp_path / "c", packets, times=[T, T + 9, T + 3, T + 12]))
@@ -191,12 +191,12 @@
     sent = submits(4)
     packets = stream(b"".join(sent), [60, 120])
     save(tmp_path / "late", packets[2:], times=[T + 5, T + 6])
-    save(tmp_path / "early", packets[:2], ng=True)
+    save(tmp_path / "early", packets[:2], is_pcapng=True)
     assert frames(tmp_path / "late", tmp_path / "early")[0] == sent
 
 
 @pytest.mark.parametrize("size", [0xFFFFFFFF, 0xFFFFFFF0, 1 << 31, 200_000])
-def test_record_lengths_that_cannot_be_right(tmp_path: Path, size: int) -> None:
+def test_impossible_record_lengths(tmp_path: Path, size: int) -> None:
     sent = submits(30)
     cuts = [sum(map(len, sent[:n])) for n in range(1, 30)]
     packets = stream(b"".join(sent), cuts)
@@ -208,7 +208,7 @@
     assert found == sent[:9] + sent[10:] and skips.reasons()["bad record"] == 1
 
 
-def test_very_many_streams_of_one_packet_stay_in_bounds(tmp_path: Path) -> None:
+def test_memory_stays_bounded_for_very_many_streams_of_one_packet(tmp_path: Path) -> None:
     body = submits(1)[0][:-3]
     with (tmp_path / "c").open("wb") as file:
         file.write(file_head(False))
@@ -225,8 +225,8 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 10**6), st.booleans())
-def test_damage_never_hides_an_undamaged_stream(
-    tmp_path_factory: pytest.TempPathFactory, seed: int, ng: bool
+def test_damage_in_one_stream_does_not_affect_undamaged_streams(
+    tmp_path_factory: pytest.TempPathFactory, seed: int, is_pcapng: bool
 ) -> None:
     random, path = Random(seed), tmp_path_factory.mktemp("d") / "c"
     sent, packets = {}, []
@@ -241,15 +241,15 @@
         for n in range(6)
     }
     mixed = [of[n].pop(0) for n in order if of[n]]
-    save(path, mixed, ng)
+    save(path, mixed, is_pcapng)
     places = [(p.offset, len(p.data), parse(1, p.data).source) for p in read_packets(path, Skips())]
-    data, hurt = bytearray(path.read_bytes()), set()
-    for _ in range(3):  # anywhere in a packet's bytes or its record's head
+    data, damaged = bytearray(path.read_bytes()), set()
+    for _ in range(3):  # flips a bit of the packet
         offset, size, source = random.choice(places)
-        head = 28 if ng else 16
+        head = 28 if is_pcapng else 16
         data[offset + random.randrange(head, head + size)] ^= 1 << random.randrange(8)
-        hurt.add(source)
-        # a damaged address can put bytes into another stream's numbers: those two are not judged
+        damaged.add(source)
+        # a damaged address can put bytes into another stream: such cases are not compared
     path.write_bytes(data)
     found: dict[tuple, list[bytes]] = {}
     for item in read([path], Skips()):
@@ -259,24 +259,24 @@
         parse(1, p.data).source for p in read_packets(path, Skips()) if isinstance(parse(1, p.data), Segment)
     }
     for source, bodies in sent.items():
-        if source not in hurt and len(seen) <= 6:
+        if source not in damaged and len(seen) <= 6:
             assert found.get(source) == bodies
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=400), st.integers(0, 5), st.integers(0, 300))
-def test_no_file_crashes_the_reader(
+def test_no_input_crashes_the_reader(
     tmp_path_factory: pytest.TempPathFactory, noise: bytes, head: int, cut: int
 ) -> None:
-    sound = file_head(head % 2 == 1) + record(head % 2 == 1, T, build(A, B, submits(1)[0], 1, 0, SYN))
+    valid = file_head(head % 2 == 1) + record(head % 2 == 1, T, build(A, B, submits(1)[0], 1, 0, SYN))
     path = tmp_path_factory.getbasetemp() / "noise"
-    path.write_bytes(b"" if head == 5 else sound[:cut] + noise + (sound[cut:] if head > 2 else b""))
+    path.write_bytes(b"" if head == 5 else valid[:cut] + noise + (valid[cut:] if head > 2 else b""))
     found, skips = frames(path)
     assert len(found) <= 2
     replay(read([path], skips))
 
 
-def test_a_library_finds_what_is_written_sound(tmp_path: Path) -> None:
+def test_dpkt_reads_written_captures(tmp_path: Path) -> None:
     for suffix, reader in (("pcap", dpkt.pcap.Reader), ("pcapng", dpkt.pcapng.Reader)):
         writer = CaptureWriter(tmp_path / f"c.{suffix}", START, T)
         from hazelhold.capture.write import CapturedConnection
@@ -292,18 +292,18 @@
             for at, data in reader(file):
                 ip = dpkt.ethernet.Ethernet(data).data
                 raw = bytes(ip)
-                fresh = dpkt.ethernet.Ethernet(data).data
-                fresh.data.sum = 0
-                if isinstance(fresh, dpkt.ip.IP):
-                    fresh.sum = 0
-                    assert bytes(fresh) == raw  # both checksums as dpkt makes them
+                recomputed = dpkt.ethernet.Ethernet(data).data
+                recomputed.data.sum = 0
+                if isinstance(recomputed, dpkt.ip.IP):
+                    recomputed.sum = 0
+                    assert bytes(recomputed) == raw  # both checksums equal dpkt's
                 assert abs(at - T / 1e6) < 0.001
                 if isinstance(ip.data, dpkt.tcp.TCP):
                     seen[ip.data.dport in (2000, 8)] += ip.data.data
         assert seen == {True: b"x" * 300_002, False: b"yesyes"}
 
 
-def test_rotation_keeps_to_its_bound_and_a_full_disk_is_counted_and_noted(tmp_path: Path) -> None:
+def test_rotation_respects_its_limit_and_lost_packets_are_counted_and_noted(tmp_path: Path) -> None:
     writer = CaptureWriter(
         tmp_path / "c.pcap", START, T, 0, rotate_bytes=20_000, total_bytes=60_000, queue_bytes=10_000
     )
@@ -313,21 +313,21 @@
         writer.note(n, {"n": "pump", "p": "p", "fill": "x" * 50})
     writer.close()
     files = sorted(tmp_path.glob("c-*.pcap"))
-    assert sum(f.stat().st_size for f in files) <= 60_000 and len(files) >= 2 and writer.number > 5
+    assert sum(f.stat().st_size for f in files) <= 60_000 and len(files) >= 2 and writer.file_number > 5
     skips = Skips()
     assert all(isinstance(item, Note) for item in read(files, skips)) and not skips.table()
     small = CaptureWriter(tmp_path / "s.pcap", START, T, queue_bytes=2000)
-    small.queued = 10**9  # a disk that takes nothing
+    small.queued = 10**9  # simulates a blocked disk
     for n in range(5):
         small.note(n, {"n": "pump", "p": "p"})
     small.queued = 0
     small.note(9, {"n": "pump", "p": "p"})
     small.close()
-    said = [item.data for item in read([tmp_path / "s.pcap"], Skips())]
-    assert [d["n"] for d in said] == ["start", "lost", "pump"] and said[1]["packets"] == 5
+    result = [item.data for item in read([tmp_path / "s.pcap"], Skips())]
+    assert [d["n"] for d in result] == ["start", "lost", "pump"] and result[1]["packets"] == 5
 
 
-def test_a_disk_that_fails_loses_packets_and_nothing_else(tmp_path: Path) -> None:
+def test_a_disk_error_loses_packets_and_nothing_else(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "c.pcap", START, T)
     broken, writer.file = writer.file, open("/dev/full", "wb", buffering=0)  # noqa: SIM115
     writer.note(1, {"n": "pump", "p": "p"})
@@ -336,13 +336,13 @@
     writer.file = broken
     writer.note(2, {"n": "pump", "p": "p"})
     writer.close()
-    said = [item.data["n"] for item in read([tmp_path / "c.pcap"], Skips())]
-    assert writer.lost_in_all == 1 and "space" in writer.fault and said == ["start", "lost", "pump"]
+    result = [item.data["n"] for item in read([tmp_path / "c.pcap"], Skips())]
+    assert writer.lost_in_all == 1 and "space" in writer.fault and result == ["start", "lost", "pump"]
 
 
 @pytest.fixture(scope="module")
 def day(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The captures of a bad day's first 14 seconds, one for each planner's life."""
+    """The captures of the first 14 seconds of the bad day, one per run of a planner."""
     folder = tmp_path_factory.mktemp("day")
     whole = read_day(EXAMPLES / "bad-day.json5")
     short = msgspec.structs.replace(whole, length_s=14.0, troubles=[t for t in whole.troubles if t.at_s < 13])
@@ -350,16 +350,16 @@
     return folder / "capture"
 
 
-def test_a_day_replays_to_the_same_decisions_with_restarts_and_all_planners_at_once(day: Path) -> None:
+def test_a_day_with_restarts_replays_to_the_same_decisions_for_all_planners_at_once(day: Path) -> None:
     files = sorted(day.glob("*.pcap"))
     assert len(files) == 4  # one of three planners was killed and started again
     skips = Skips()
-    said = replay(read(files, skips))
-    assert said["same"] and len(said["planners"]) == 4 and not said["of_others"] and not skips.table()
-    assert sum(life["compared"] for life in said["planners"]) > 1000
+    result = replay(read(files, skips))
+    assert result["same"] and len(result["planners"]) == 4 and not result["of_others"] and not skips.table()
+    assert sum(life["compared"] for life in result["planners"]) > 1000
 
 
-def test_nothing_is_taken_into_a_capture_that_has_ended(tmp_path: Path) -> None:
+def test_an_ended_capture_accepts_no_packets(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "c.pcap", {"n": "start", "p": "p@1"}, 0)
     writer.note(1, {"n": "pump", "p": "p@1"})
     writer.end()
@@ -368,31 +368,34 @@
     assert [note.at for note in read([tmp_path / "c.pcap"], Skips())] == [1]
 
 
-def test_a_planner_ends_its_capture_before_it_waits_for_its_file(
+def test_a_planner_ends_its_capture_before_waiting_for_the_writer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What came while the file was written was captured without its answer: a replay said "not the same"."""
+    """Otherwise messages received while the file is written are captured without their answers, and a replay
+    reports a difference."""
     ended = []
     real = CaptureWriter.close
-    monkeypatch.setattr(CaptureWriter, "close", lambda self: (ended.append(self.ending), real(self)))
+    monkeypatch.setattr(CaptureWriter, "close", lambda self: (ended.append(self.stopping), real(self)))
     day = read_day(EXAMPLES / "quiet-day.json5")
     play_virtual(msgspec.structs.replace(day, length_s=2.0), 1, tmp_path / "records", tmp_path / "capture")
     assert ended and all(ended)
 
 
-def test_a_replay_that_cannot_be_the_same_says_where(day: Path, tmp_path: Path) -> None:
+def test_a_differing_replay_reports_the_first_difference(day: Path, tmp_path: Path) -> None:
     path = sorted(day.glob("planner-0-*.pcap"))[0]
     data = bytearray(path.read_bytes())
     place = data.find(b"till-import", len(data) // 2)
     assert place > 0
     data[place : place + 11] = b"payout-run."
     (tmp_path / "c.pcap").write_bytes(data)
-    said = replay(read([tmp_path / "c.pcap"], Skips()))
-    first = said["planners"][0]["first_difference"]
-    assert not said["same"] and first["packet"] > 100 and first["state"]["machines"]
+    result = replay(read([tmp_path / "c.pcap"], Skips()))
+    first = result["planners"][0]["first_difference"]
+    assert not result["same"] and first["packet"] > 100 and first["state"]["machines"]
 
 
-def test_a_changed_configuration_tells_how_guests_fared(day: Path, tmp_path: Path) -> None:
+def test_a_replay_with_another_configuration_reports_the_outcomes_of_guests(
+    day: Path, tmp_path: Path
+) -> None:
     path = sorted(day.glob("planner-0-*.pcap"))[0]
     start = next(read([path], Skips())).data
     start["sheet"]["estate"]["fleet"]["cores_multiple"] = 1.0
@@ -407,22 +410,24 @@
     life = json.loads(ran.stdout)["planners"][0]
     assert ran.exit_code == 1 and life["changed"] and life["differing"]
     assert life["module"] == life["module_here"]
-    assert any("offered elsewhere" in fate for fate in life["guests"])
-    assert any(" became " in fate for fate in life["guests"]) and life["differing"] > 100
+    assert any("offered elsewhere" in outcome for outcome in life["guests"])
+    assert any(" became " in outcome for outcome in life["guests"]) and life["differing"] > 100
 
 
-def test_later_files_and_others_traffic_are_named_not_guessed(day: Path, tmp_path: Path) -> None:
+def test_notes_without_a_start_and_foreign_traffic_are_reported(day: Path, tmp_path: Path) -> None:
     path = sorted(day.glob("planner-0-*.pcap"))[0]
     packets = list(read_packets(path, Skips()))
     (tmp_path / "later.pcap").write_bytes(
         file_head(False) + b"".join(record(False, p.at, p.data) for p in packets[200:])
     )
-    said = replay(read([tmp_path / "later.pcap"], Skips()))
-    assert not said["same"] and not said["planners"] and said["notes_without_a_start"]["planner-0"] > 100
-    assert said["of_others"]
+    result = replay(read([tmp_path / "later.pcap"], Skips()))
+    assert (
+        not result["same"] and not result["planners"] and result["notes_without_a_start"]["planner-0"] > 100
+    )
+    assert result["of_others"]
 
 
-def test_a_cut_keeps_streams_whole(day: Path, tmp_path: Path) -> None:
+def test_an_extract_contains_complete_streams(day: Path, tmp_path: Path) -> None:
     path = sorted(day.glob("planner-0-*.pcap"))[0]
     wanted = [
         item for item in read([path], Skips()) if isinstance(item, Frame) and item.message["t"] == "offer"
@@ -445,26 +450,28 @@
         ]
         assert not skips.table() and {wanted.source, wanted.target} in [{k.source, k.target} for k in kept]
         assert [k.body for k in kept if {k.source, k.target} == pair] == [w.body for w in whole]
-        assert all({k.source, k.target} != pair or k.life == wanted.life for k in kept)
+        assert all({k.source, k.target} != pair or k.connection == wanted.connection for k in kept)
 
 
-def test_asks_are_sent_as_load_with_their_spacing(day: Path) -> None:
+def test_owner_messages_are_sent_as_load_with_their_spacing(day: Path) -> None:
     from hazelhold.capture.load import owner_messages, send
     from hazelhold.service.net import TcpNet
     from hazelhold.service.planner import Planner
     from tests.helpers import planner_config
 
-    plan = [
+    schedule = [
         a for a in owner_messages(sorted(day.glob("planner-0-*.pcap")), Skips()) if isinstance(a[2], m.Submit)
     ][:40]
 
-    late: list[float] = []  # of a bare task beside it, in microseconds: how loaded this machine is
+    delays: list[
+        float
+    ] = []  # delays of a plain trio task beside it, in microseconds: the load of this computer
 
     async def tick() -> None:
         while True:
             due = trio.current_time() + 0.005
             await trio.sleep_until(due)
-            late.append((trio.current_time() - due) * 1e6)
+            delays.append((trio.current_time() - due) * 1e6)
 
     async def run() -> dict:
         quiet = msgspec.structs.replace(
@@ -476,17 +483,17 @@
             planner = Planner(quiet, 1, TcpNet())
             await nursery.start(planner.run)
             nursery.start_soon(tick)
-            said = await send(TcpNet(), planner.address, plan, 20.0, "again-")
+            result = await send(TcpNet(), planner.address, schedule, 20.0, "again-")
             nursery.cancel_scope.cancel()
-        return said
+        return result
 
-    said = trio.run(run)
-    counts = said["counts"]
+    result = trio.run(run)
+    counts = result["counts"]
     assert counts["sent_submit"] == counts["rejected"] == 40 and not counts["unanswered"]
-    assert said["send_error_us"]["median"] < max(50_000, 3 * max(late))
+    assert result["send_error_us"]["median"] < max(50_000, 3 * max(delays))
 
 
-def test_the_commands_say_what_is_wrong(tmp_path: Path, day: Path) -> None:
+def test_the_commands_report_errors(tmp_path: Path, day: Path) -> None:
     (tmp_path / "odd").write_bytes(b"hello, I am no capture")
     for command in ("info", "list"):
         ran = CliRunner().invoke(main, ["capture", command, str(tmp_path / "odd")])
@@ -504,12 +511,12 @@
 def test_rotation_by_age(tmp_path: Path) -> None:
     writer = CaptureWriter(tmp_path / "c.pcapng", START, T, 0, rotate_s=0.02)
     for n in range(4):
-        written = writer.number
+        written = writer.file_number
         writer.note(n, {"n": "pump", "p": "p@1"})
-        while n and writer.number == written:
+        while n and writer.file_number == written:
             time.sleep(0.005)
             writer.note(n, {"n": "pump", "p": "p@1"})
     writer.close()
     files = sorted(tmp_path.glob("c-*.pcapng"))
-    said = [item.data["n"] for item in read(files, Skips())]
-    assert len(files) >= 4 and said.count("start") == len(files) and said.count("pump") >= 4
+    result = [item.data["n"] for item in read(files, Skips())]
+    assert len(files) >= 4 and result.count("start") == len(files) and result.count("pump") >= 4
