--- a/hazelhold/audit/__init__.py
+++ b/hazelhold/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Judges records of frames by the five rules. Imports nothing of the planner or of the decisions."""
+"""Checks recorded frames against the five rules. Imports nothing of the planner or its scheduling code."""
--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -1,9 +1,9 @@
-"""Claims judged from the records of all planners and machines together, and from nothing else.
+"""Checks claims from the records of all planners and machines alone.
 
-Judged: what planners saw of each agreed value can have happened one after another; no offer of a guest that
-must not run twice left before a claim that names it was agreed; no planner offered such a guest beside a
-dispatch of another that may have run. Imports nothing of what it judges: the rules of claims stand here a
-second time.
+The checks: the values that planners read and wrote under each key are linearizable; an offer of a guest that
+must not run twice is sent only after a claim that names it was agreed; no planner offers such a guest while a
+dispatch of another planner may have run. The module imports none of the checked code, so the rules of claims
+are implemented here a second time.
 """
 
 from base64 import b64decode
@@ -17,12 +17,12 @@
 from hazelhold.audit.rules import AuditRules, RuleViolation
 from hazelhold.protocol.record import Crossing
 
-PLANNER, RUN, SUBMISSION, DISPATCH, STATE, MACHINE, HOW, NO = range(8)  # places in a claim
+PLANNER, RUN, SUBMISSION, DISPATCH, STATE, MACHINE, HOW, NO = range(8)  # indices of the fields of a claim
 ORDER = ("free", "held", "placed", "over")
 
 
 def step(value: Hashable, call: Call) -> Hashable:
-    """What a call makes of the value that it finds."""
+    """The value of a key after the call, given the value before."""
     if call.kind == "read":
         return value
     if call.kind == "nextlife":
@@ -51,12 +51,12 @@
             return value
         claim[STATE], claim[MACHINE], claim[HOW] = state, machine, how
     else:
-        raise ValueError(f"a call of an unknown kind: {call.kind}")
+        raise ValueError(f"unknown kind of call: {call.kind}")
     return msgspec.msgpack.encode(claim)
 
 
 class ClaimAudit:
-    """Judges the crossings of one day; `off` if nothing was agreed on it."""
+    """Checks the recorded messages of one day; `off` if there were no proposals."""
 
     def __init__(self, crossings: Iterable[Crossing], rules: AuditRules) -> None:
         self.crossings = list(crossings)
@@ -64,9 +64,11 @@
         self.off = not any(c.way in ("ask", "agreed") for c in self.crossings)
 
     def violations(self) -> list[RuleViolation]:
+        """All violations, by time; none if `off`."""
         return [] if self.off else sorted([*self._histories(), *self._offers()], key=lambda b: b.at)
 
     def counts(self) -> dict[str, int]:
+        """The number of proposals by outcome."""
         found: dict[str, int] = defaultdict(int)
         for c in self.crossings:
             if c.way == "agreed":
@@ -95,7 +97,9 @@
                     calls[c.peer].append(
                         Call(kind, arguments, b64decode(message.get("value", "")), proposal.at, c.at)
                     )
-        for c in open_proposals.values():  # its process died: it may have been made, and made again
+        for c in (
+            open_proposals.values()
+        ):  # the process was killed: the change may have been applied once or twice
             calls[c.peer] += [Call(*_arguments(c.message), None, c.at)] * 2
         return [
             RuleViolation(
@@ -107,8 +111,8 @@
 
     def _offers(self) -> list[RuleViolation]:
         found = []
-        claimed: set[tuple] = set()  # planner, guest, ask, attempt, machine
-        # Dispatches that may have run, by guest: planner, machine, ask, attempt.
+        claimed: set[tuple] = set()  # planner, guest, submission, dispatch, machine
+        # Dispatches that may have run, by guest: planner, machine, submission, dispatch.
         outstanding: dict[str, dict[tuple[str, str, int, int], Crossing]] = defaultdict(dict)
         takes: dict[tuple[str, int], tuple[str, list]] = {}
         for c in self.crossings:
@@ -152,7 +156,7 @@
         return found
 
     def _update_outstanding(self, c: Crossing, body: dict[str, Any], outstanding: dict) -> None:
-        """What machines say of a dispatch takes it from those that may have run, or may be on."""
+        """Removes dispatches that did not run or ended without success, as their machine reports."""
         kind, guest = body.get("t"), body.get("guest", "")
         if kind == "refused" or kind == "ended" and body.get("how") != "done":
             outstanding.get(guest, {}).pop((c.by, c.peer, body.get("ask", 0), body.get("attempt", 0)), None)
@@ -172,7 +176,7 @@
 
 
 def _arguments(message: dict[str, Any]) -> tuple[str, tuple]:
-    """Kind and fields of an asking's change; bytes stand as text in a record."""
+    """Kind and fields of a proposed change. Records hold bytes as base64 text."""
     kind, *fields = message["change"]
     if kind in ("take", "release"):
         fields[-1] = b64decode(fields[-1])
--- a/hazelhold/audit/dispatches.py
+++ b/hazelhold/audit/dispatches.py
@@ -1,4 +1,4 @@
-"""What one life of a planner did for one ask of a task, as its own end of the connections saw it."""
+"""What one run of a planner did for one submission of a guest, as recorded at its ends of the connections."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 class Dispatch:
-    """One offer to a machine."""
+    """One offer of a guest to a machine."""
 
     def __init__(self, crossing: Crossing) -> None:
         self.crossing, self.at, self.machine = crossing, crossing.at, crossing.peer
@@ -17,14 +17,14 @@
 
 
 class Submission:
-    """One ask of a task, from when it was taken."""
+    """One submission of a guest, from its acceptance by the planner on."""
 
     def __init__(self, accepted: Crossing, submit: dict[str, Any] | None) -> None:
         self.accepted, self.submit = accepted, submit or {}
         self.final_answers: list[Crossing] = []
         self.dispatches: list[Dispatch] = []
-        self.state_lost = False  # what was answered last may not have been kept
-        self.excused = False  # its planner died while its disk failed, and a second run does no harm
+        self.state_lost = False  # the last answer may not have been persisted
+        self.excused = False  # its planner was killed while its disk failed, and the guest is idempotent
 
     @property
     def guest_class(self) -> str:
@@ -35,12 +35,15 @@
         return [a for a in self.dispatches if not a.never_ran]
 
     def matching(self, machine: str, body: dict[str, Any]) -> list[Dispatch]:
-        """The attempts that a machine's message is about."""
+        """The dispatches that a machine's message refers to."""
         number = body.get("attempt", 0)
         return [a for a in self.dispatches if a.machine == machine and a.number == number]
 
     def connections_closed(self, machine: str | None = None) -> None:
-        """No answer comes any more to what was out there; whether it ran is open. None: at all machines."""
+        """Marks dispatches to the machine (None: to all machines) as no longer outstanding.
+
+        They get no answer any more, and whether they ran is unknown.
+        """
         for dispatch in self.dispatches:
             dispatch.outstanding = (
                 dispatch.outstanding and machine is not None and dispatch.machine != machine
--- a/hazelhold/audit/findings.py
+++ b/hazelhold/audit/findings.py
@@ -1,4 +1,4 @@
-"""What the audit judges by and what it finds. Plain data; times are microseconds."""
+"""The parameters and the findings of the audit. Plain data; times are in microseconds."""
 
 from typing import Any
 
@@ -7,25 +7,25 @@
 from hazelhold.protocol.record import Crossing
 
 FINAL_ANSWERS = ("placed", "turned_back", "broken_off")
-RETURN_ALLOWANCE = 1_000_000  # so long a planner that comes back may take for answers that fell due meanwhile
-ANSWER_SLACK = (
-    50_000  # an answer that was on time at the planner's end may be this late by the ticker's pause
-)
+# The time that a planner has after a restart or pause for the answers that fell due meanwhile.
+RETURN_ALLOWANCE = 1_000_000
+# An answer that the planner decided on time may be sent this late because of the ticker's interval.
+ANSWER_SLACK = 50_000
 
 
 class AuditRules(Struct, tag_field="t", tag="rules"):
-    """The figures that the rules and the score need; stands in the record, so that it can be judged alone."""
+    """The parameters of the rules and the score. Stored in the record, which makes it self-contained."""
 
     products: dict[str, dict[str, Any]]
     max_dispatches: int
     drain_grace: int
     confirms_running: bool = False
     weights: tuple[float, float, float, float] = (0.3, 0.4, 0.2, 0.1)
-    durable: bool = False  # planners keep their state: one that was killed owes what it had taken
+    durable: bool = False  # planners persist their state: after a kill they still owe answers
 
 
 class RuleViolation(Struct):
-    """A broken rule: which, for whom, and the crossings that show it."""
+    """A violation of a rule, with the recorded messages that prove it."""
 
     rule: int
     what: str
@@ -39,5 +39,5 @@
 def violation(
     rule: int, what: str, planner: str, frames: list[Crossing], guest: str = "", machine: str = ""
 ) -> RuleViolation:
-    """A breach at the moment of its last crossing."""
+    """A violation at the time of the last of its frames."""
     return RuleViolation(rule, what, guest, planner, machine, frames[-1].at, frames)
--- a/hazelhold/audit/history.py
+++ b/hazelhold/audit/history.py
@@ -1,8 +1,8 @@
-"""Whether what clients saw of a register can have happened one after another: linearizability, by Wing and
-Gong's search (1993) with a memory of states (Lowe 2017).
+"""Checks whether a history of calls on a register is linearizable.
 
-A call has a beginning and an end; one whose answer never came has no end, and may have happened at any
-moment after its beginning or never. Times are of one clock. Imports nothing of what it judges.
+Uses the search of Wing and Gong (1993) with memoised states (Lowe 2017). A call without an answer has no end:
+it may have taken effect at any time after its beginning, or never. All times are of one clock. The module
+imports none of the checked code.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -12,8 +12,10 @@
 
 
 class Call(NamedTuple):
-    """`kind`: once (value), swap (expect, value), read. `result` is what was answered: the value then in
-    the key; None with `end` NEVER if the answer never came."""
+    """One call: once (value), swap (expect, value) or read.
+
+    `result` is the answer, the value of the key after the call; None, with `end` NEVER, if no answer came.
+    """
 
     kind: str
     arguments: tuple
@@ -23,7 +25,7 @@
 
 
 def step(state: Hashable, call: Call) -> Hashable:
-    """The value after the call."""
+    """The value of the register after the call."""
     if call.kind == "once":
         return state or call.arguments[0]
     if call.kind == "swap":
@@ -34,8 +36,11 @@
 def linearizable(
     calls: Iterable[Call], empty: Hashable = b"", step: Callable[[Hashable, Call], Hashable] = step
 ) -> bool:
-    """Whether some order that respects what ended before what began explains every answer, for one key;
-    `step` says what a call makes of a value."""
+    """Whether the calls on one key are linearizable.
+
+    That is, whether some sequential order explains every answer and keeps each call that ended before another
+    began ahead of it. `step` gives the value after a call.
+    """
     calls = sorted(calls, key=lambda c: (c.begin, c.end))
     seen: set[tuple[frozenset[int], Hashable]] = set()
     stack: list[tuple[frozenset[int], Hashable]] = [(frozenset(range(len(calls))), empty)]
@@ -45,12 +50,12 @@
             continue
         seen.add((remaining, state))
         if all(calls[n].end == NEVER for n in remaining):
-            return True  # what is left was never answered, and need not have happened
+            return True  # the rest was never answered and need not have taken effect
         first_end = min(calls[n].end for n in remaining)
         for n in remaining:
             call = calls[n]
             if call.begin > first_end:
-                continue  # something ended before it began, and has not been placed yet
+                continue  # a call that is not ordered yet ended before this one began
             after = step(state, call)
             if call.end == NEVER or after == call.result:
                 stack.append((remaining - {n}, after))
--- a/hazelhold/audit/machine_ends.py
+++ b/hazelhold/audit/machine_ends.py
@@ -1,4 +1,4 @@
-"""The machines' ends of the connections: rule 4, and rule 2 across all planners and asks."""
+"""Checks of the records of machines: rule 4, and rule 2 across all planners and submissions."""
 
 from collections import Counter, defaultdict
 
@@ -7,18 +7,18 @@
 
 
 class MachineEnds:
-    """Judges what machines were sent and did. What it finds is in `found`; `tally` counts."""
+    """Checks what machines received and did. Violations are in `found`, counts of events in `tally`."""
 
     def __init__(self, rules: AuditRules) -> None:
         self.rules = rules
         self.found: list[RuleViolation] = []
         self.tally: Counter[str] = Counter()
-        self.guest_classes: dict[str, str] = {}  # by task
-        self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # task: machine: its start
-        self.done: dict[str, Crossing] = {}  # by task
+        self.guest_classes: dict[str, str] = {}  # by guest
+        self.running: dict[str, dict[str, Crossing]] = defaultdict(dict)  # guest: machine: start
+        self.done: dict[str, Crossing] = {}  # by guest
 
     def evaluate(self, crossings: list[Crossing]) -> None:
-        """Takes the crossings of the whole day, in order."""
+        """Checks the recorded messages of the whole day, in order."""
         for c in crossings:
             if c.role == "machine":
                 self._process(c)
@@ -63,7 +63,7 @@
         self.running[guest][c.by] = c
 
     def _record_late_ends(self, c: Crossing) -> None:
-        """Ends that could not be told when they came stand in a machine's whole word."""
+        """Records ends that a machine could report only later, in its inventory."""
         for item in c.message["guests"]:
             if item["state"] == "ended":
                 self.running[item["guest"]].pop(c.by, None)
--- a/hazelhold/audit/planner_run.py
+++ b/hazelhold/audit/planner_run.py
@@ -1,4 +1,4 @@
-"""One life of one planner: rules 1, 2, 3 and 5, from its own end of the connections."""
+"""Checks of one run of a planner against rules 1, 2, 3 and 5, from the records of its own connection ends."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -15,33 +15,36 @@
 from hazelhold.audit.timeline import Outages, Timeline
 from hazelhold.protocol.record import Crossing
 
-SubmissionKey = tuple[str, int]  # a task's name and the number of the ask
+SubmissionKey = tuple[str, int]  # guest and number of the submission
 
 
 class ListedState(NamedTuple):
-    """What the planner was told of a machine last, and by which crossing."""
+    """The mode of a machine that the list reported last, and the message that changed it."""
 
     mode: str
     since: Crossing
 
 
 class MachineLocation(NamedTuple):
-    """Where a machine stands."""
+    """The zone and the cell of a machine."""
 
     zone: int = 0
     cell: int = 0
 
 
 class PlacedGuest(NamedTuple):
-    """Where a task is, or is on its way to."""
+    """The machine that a guest is placed on or offered to, and its service."""
 
     machine: str
     service: str
 
 
 class PlannerRunAudit:
-    """Judges the crossings of one life. What it finds is in `found`; `tally` counts, `open_asks` names what
-    was never answered."""
+    """Checks the recorded messages of one run of a planner.
+
+    Violations are in `found`, counts of events in `tally`, submissions without a final answer in
+    `unanswered`.
+    """
 
     def __init__(self, planner: str, rules: AuditRules, timeline: Timeline) -> None:
         self.planner, self.rules, self.timeline = planner, rules, timeline
@@ -57,7 +60,7 @@
         self.outages = Outages([])
 
     def evaluate(self, crossings: list[Crossing]) -> None:
-        """Takes the crossings of the whole life, in order."""
+        """Checks the messages of the whole run, in order."""
         self.outages = Outages(crossings)
         for c in crossings:
             if c.way == "planner_kill" or c.way == "planner_stop" and self.rules.durable:
@@ -78,7 +81,7 @@
         unkept = (c.message or {}).get("unkept")
         for submission in self.submissions.values():
             submission.connections_closed()
-            if unkept:  # its disk had failed: it owes as if it had none
+            if unkept:  # its disk had failed: its state may not have been persisted
                 submission.excused |= self._repeat(submission) == "rerunnable"
                 submission.state_lost = True
 
@@ -120,7 +123,7 @@
     def _answer(self, submission: Submission | None, guest: str, c: Crossing) -> None:
         kind = c.message["t"]
         if submission is None or submission.excused:
-            return  # a repeat of an answer that an earlier ask got, or all that is known of it is old
+            return  # repeats the answer to an earlier submission, or its state may be lost
         if submission.final_answers:
             first = submission.final_answers[0]
             if first.message["t"] not in (kind, "state") and not submission.state_lost:
@@ -151,13 +154,13 @@
             self._add_violation(2, what, [submission.accepted, ran[0].crossing, c], guest, ran[0].machine)
 
     def _record_queried_state(self, submission: Submission | None, c: Crossing) -> None:
-        """A planner that died before it sent an answer gives it when its owner asks."""
+        """Counts a state report as the final answer if the planner died before it could send the answer."""
         state = c.message.get("state", "")
         if submission is None or submission.final_answers:
             return
         overdue = c.at > submission.accepted.at + submission.submit.get(
             "patience", 0
-        )  # its answer was that its fate is open
+        )  # the answer was that the outcome is unknown
         if state not in ("held", "out", "unsettled", "unknown") or state == "unsettled" and overdue:
             submission.final_answers.append(c)
             self.tally["answered_when_asked"] += 1
@@ -182,12 +185,12 @@
                 if self.listed_states[name].mode != "gone":
                     self.listed_states[name] = ListedState("gone", c)
 
-    # Attempts.
+    # Dispatches.
 
     def _offer(self, c: Crossing, key: SubmissionKey) -> None:
         guest, machine = key[0], c.peer
         if key not in self.submissions and key in self.submits and self.rules.durable:
-            submit = self.submits[key]  # the planner died before it could say that it took the task
+            submit = self.submits[key]  # the planner died before it could acknowledge the guest
             self.submissions[key] = Submission(submit, submit.message)
         self.tally["dispatches"] += 1
         submission = self.submissions.get(key)
@@ -283,8 +286,11 @@
             del self.placed_guests[key]
 
     def _receive_inventory(self, c: Crossing) -> None:
-        """A machine's whole word on a planner's tasks, after a new connection: what is missing never
-        arrived, if the machine remembers all and lives the life in which it was offered."""
+        """Applies a machine's inventory after a reconnect.
+
+        A dispatch that is missing never arrived, provided that the inventory is complete and the machine has
+        not restarted since the offer.
+        """
         machine = c.peer
         inventory = {(s["guest"], s["ask"]): s for s in c.message["guests"]}
         for key, item in inventory.items():
@@ -315,7 +321,7 @@
             dispatch.outstanding, dispatch.ended = False, True
             dispatch.never_ran = item.get("how") == "withdrawn"
 
-    # What was never answered.
+    # Submissions without a final answer.
 
     def _check_unanswered(self) -> None:
         for (guest, number), submission in self.submissions.items():
@@ -326,9 +332,11 @@
                 continue
             due = submission.accepted.at + submission.submit.get("patience", 0) + ANSWER_SLACK
             if self.rules.durable and self.timeline.newest_submission(guest) > number:
-                self.tally["asked_anew"] += 1  # while its planner was down; the newer ask is owed
+                self.tally["asked_anew"] += (
+                    1  # while its planner was down; only the newer submission needs an answer
+                )
             elif self.rules.durable and not self._owner_returned(guest, submission.accepted.at, due):
-                self.tally["never_asked_for"] += 1  # the answer is kept for an owner that does not come
+                self.tally["never_asked_for"] += 1  # the answer waits for an owner that did not return
             elif self.killed_at and self.killed_at <= due:
                 self.tally["died_with_planner"] += 1
             elif due <= self.timeline.ends_at:
@@ -337,6 +345,6 @@
                 self._add_violation(1, "no final answer", [submission.accepted], guest)
 
     def _owner_returned(self, guest: str, accepted: int, due: int) -> bool:
-        """Whether the owner came back for a task whose planner died with it: True if it did not die."""
+        """Whether the owner returned after the planner of its guest died; True if the planner did not die."""
         deaths = [at for at in self.outages.deaths if accepted <= at <= due + RETURN_ALLOWANCE]
         return not deaths or self.timeline.owner_returned(guest, self.planner, deaths[-1])
--- a/hazelhold/audit/rules.py
+++ b/hazelhold/audit/rules.py
@@ -1,7 +1,8 @@
-"""The five rules, judged from what crossed the connections and from nothing else.
+"""Checks the five rules from recorded messages alone.
 
-The records of planners' own ends tell when a planner knew or did something; those of machines and owners tell
-what truly arrived. A planner that was killed owes nothing for what it held. Times are microseconds.
+The records of planners show when a planner knew or did something; those of machines and owners show what
+really arrived. A planner that was killed owes no answers for the guests that it held, unless its state is
+durable. Times are in microseconds.
 """
 
 from collections import Counter
@@ -20,29 +21,30 @@
 
 
 class Audit:
-    """Judges the crossings of one day. RecordError if no rules stand among them."""
+    """Checks the recorded messages of one day. Raises RecordError if they contain no rules."""
 
     def __init__(self, crossings: Iterable[Crossing]) -> None:
         self.timeline = Timeline(crossings)
         rules = [c.message for c in self.crossings if c.way == "rules"]
         if not rules:
-            raise RecordError("no rules stand in this record")
+            raise RecordError("no rules in this record")
         self.rules = convert(rules[0], AuditRules)
         self.tally: Counter[str] = Counter()
         self.unanswered: list[str] = []
 
     @classmethod
     def of_folder(cls, folder: Path) -> "Audit":
-        """The records (`*.jsonl`) of a folder, or one file."""
+        """Reads the records (`*.jsonl`) of a folder, or one file."""
         files = sorted(folder.glob("*.jsonl")) if folder.is_dir() else [folder]
         return cls(c for file in files for c in read_record(file))
 
     @property
     def crossings(self) -> list[Crossing]:
+        """The recorded messages, by time."""
         return self.timeline.crossings
 
     def violations(self) -> list[RuleViolation]:
-        """Every broken rule, in the order of their times."""
+        """Every violation of the rules, by time."""
         found: list[RuleViolation] = []
         self.tally, self.unanswered = Counter(), []
         for (planner, _), crossings in self.timeline.planner_runs(self.rules.durable).items():
@@ -57,9 +59,9 @@
         return sorted([*found, *machines.found], key=lambda b: b.at)
 
     def counts(self) -> dict[str, int]:
-        """How often what was seen, by name; of the last `breaches`."""
+        """Counts of events by name, from the last call of `violations`."""
         return dict(sorted(self.tally.items()))
 
     def unaccounted(self) -> list[str]:
-        """Tasks that a planner took and neither answered nor died with; of the last `breaches`."""
+        """Submissions neither answered nor lost with their planner, from the last call of `violations`."""
         return self.unanswered
--- a/hazelhold/audit/timeline.py
+++ b/hazelhold/audit/timeline.py
@@ -1,4 +1,4 @@
-"""What the whole record says of times: lives of planners and machines, and when owners asked."""
+"""Lookups in the whole record: runs of planners, incarnations of machines, submissions of owners."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -6,13 +6,13 @@
 from hazelhold.audit.findings import RETURN_ALLOWANCE
 from hazelhold.protocol.record import Crossing
 
-PlannerRunKey = tuple[str, int]  # a planner's name and the number of its life
+PlannerRunKey = tuple[str, int]  # a planner's name and the number of its run
 PLANNER_DOWN = ("planner_kill", "planner_stop", "planner_pause")
 PLANNER_BACK = ("planner_start", "planner_resume")
 
 
 class Timeline:
-    """The crossings of one day in order, with the look-ups that judging needs, each made once."""
+    """The recorded messages of one day by time, with lookup tables that are built on first use."""
 
     def __init__(self, crossings: Iterable[Crossing]) -> None:
         self.crossings = sorted(crossings, key=lambda c: c.at)
@@ -21,10 +21,11 @@
 
     @property
     def ends_at(self) -> int:
+        """Time of the last record."""
         return self.crossings[-1].at
 
     def planner_runs(self, durable: bool) -> dict[PlannerRunKey, list[Crossing]]:
-        """The planners' own crossings, apart for each life. With durable state a planner has one life."""
+        """The planners' own records by run. With durable state, a planner's restarts count as one run."""
         number: Counter[str] = Counter()
         runs: dict[PlannerRunKey, list[Crossing]] = defaultdict(list)
         for c in self.crossings:
@@ -45,7 +46,7 @@
         return runs
 
     def machine_incarnation(self, machine: str, at: int) -> int:
-        """How often the machine had started by then."""
+        """The number of starts of the machine up to time `at`."""
         if self._incarnation_starts is None:
             self._incarnation_starts = defaultdict(list)
             for c in self.crossings:
@@ -54,7 +55,7 @@
         return sum(start <= at for start in self._incarnation_starts.get(machine, ()))
 
     def newest_submission(self, guest: str) -> int:
-        """The highest number under which an owner asked for the task."""
+        """The highest submission number that an owner used for the guest."""
         if self._newest_submissions is None:
             self._newest_submissions = {}
             for c in self.crossings:
@@ -64,7 +65,7 @@
         return self._newest_submissions.get(guest, 0)
 
     def owner_returned(self, guest: str, planner: str, after: int) -> bool:
-        """Whether the planner heard of the task from its owner after this moment."""
+        """Whether the planner received a message on the guest from its owner after this time."""
         return any(
             c.at > after
             and c.role == "planner"
@@ -77,7 +78,10 @@
 
 
 class Outages:
-    """When one planner was paused, or (with durable state) down, or dying again before it was well."""
+    """The intervals in which one planner was paused or, with durable state, down.
+
+    A planner that goes down again within RETURN_ALLOWANCE counts as down throughout.
+    """
 
     def __init__(self, crossings: list[Crossing]) -> None:
         self.deaths = [c.at for c in crossings if c.way in ("planner_kill", "planner_stop")]
@@ -92,7 +96,7 @@
                 down_since = 0
 
     def excuse(self, due: int, at: int) -> bool:
-        """Whether what was due came late only because the planner was down, or just back."""
+        """Whether an answer due at `due` came late, at `at`, only because of an interval."""
         return any(
             start <= due <= back + RETURN_ALLOWANCE and at <= max(due, back) + RETURN_ALLOWANCE
             for start, back in self.intervals
--- a/hazelhold/audit/views.py
+++ b/hazelhold/audit/views.py
@@ -1,10 +1,10 @@
-"""Judges what planners believed of each other against what the wires and processes really did.
+"""Checks the planners' membership views against the real state of processes and network.
 
-From records alone: the rehearsal's notes of starts, kills, pauses and cuts are the truth; planners' notes of
-members are their views. Between two planners all is *well* while both run, neither is paused, and pairs that
-hear each other both ways join them, directly or through others. Where all is well nobody may be called gone
-for longer than `heal`; where it is not, whoever has a witness has to say so within `notice`. Times are
-microseconds.
+Works from records alone: the rehearsal's notes of starts, kills, pauses and partitions are the truth,
+planners' notes of members are their views. A pair of planners is *healthy* while both run, neither is paused,
+and they are connected, directly or through others, by links that work in both directions. In a healthy pair
+no planner may be considered gone for longer than `heal`; in an unhealthy one, a planner that still reaches
+another one has to notice within `notice`. Times are in microseconds.
 """
 
 from collections import defaultdict
@@ -20,7 +20,7 @@
 
 
 class ViewLimits(Struct, frozen=True):
-    """What a day allows: how many wrongly gone, and seconds to notice and to heal; more is missed."""
+    """Limits of a day: numbers of wrong and missed views, and the seconds to notice and to heal."""
 
     wrongly_gone: int = 0
     missed: int = 0
@@ -29,27 +29,29 @@
 
 
 class PairExpectation:
-    """What one planner has to believe of another, since when, and whether it did."""
+    """The view that one planner has to have of another, since when, and whether it has it."""
 
     def __init__(self) -> None:
         self.healthy: bool | None = None
         self.since = 0
-        self.met = True  # what must be believed is believed
+        self.met = True  # the view is as expected
 
 
 class Views:
-    """The views of one day."""
+    """Checks the membership views of one day."""
 
     def __init__(self, crossings: Iterable[Crossing], limits: ViewLimits) -> None:
         self.limits = limits
         self.notice, self.heal = round(limits.notice_s * 1e6), round(limits.heal_s * 1e6)
         self.up: set[str] = set()
         self.paused: set[str] = set()
-        self.blocked: dict[tuple[str, str], int] = defaultdict(int)  # how many cuts hold a direction
+        self.blocked: dict[tuple[str, str], int] = defaultdict(
+            int
+        )  # number of partitions that block a direction
         self.incarnation: dict[str, int] = {}
         self.view: dict[tuple[str, str], tuple[str, int]] = {}
         self.pairs: dict[tuple[str, str], PairExpectation] = defaultdict(PairExpectation)
-        self.last_unhealthy_at: dict[tuple[str, str], int] = {}  # when all was not well for the last time
+        self.last_unhealthy_at: dict[tuple[str, str], int] = {}  # when the pair was last unhealthy
         self.wrongly_gone: list[str] = []
         self.missed: list[str] = []
         self.noticed: list[int] = []
@@ -60,14 +62,14 @@
         self.off = not any(c.way == "member" for c in self.events)
 
     def evaluate(self) -> dict[str, Any]:
-        """The figures, and whether a bound was passed."""
+        """The numbers of wrong and missed views, the delays, and whether a limit was exceeded."""
         for c in self.events:
             if c.way == "member":
                 self._apply_view(c)
             else:
                 self._apply_event(c)
             if c.way == "day_over":
-                break  # from here on planners stop
+                break  # planners stop after this
         if self.events:
             self._update_pairs(c.at, close=True)
         limits = self.limits
@@ -80,7 +82,7 @@
             "bounds_passed": len(self.wrongly_gone) > limits.wrongly_gone or len(self.missed) > limits.missed,
         }
 
-    # The truth.
+    # The real state.
 
     def _apply_event(self, c: Crossing) -> None:
         names = (c.message or {}).get("pairs", [])
@@ -101,7 +103,7 @@
         self._update_pairs(c.at)
 
     def _connected_groups(self) -> dict[str, int]:
-        """For each planner that runs the number of its group, of those that reach each other both ways."""
+        """The group number of each running planner; links within a group work in both directions."""
         running = sorted(self.up - self.paused)
         group: dict[str, int] = {}
         for number, first in enumerate(running):
@@ -126,7 +128,9 @@
                 if a == b:
                     continue
                 pair = self.pairs[a, b]
-                healthy: bool | None = None  # nothing is asked of who does not run or has no witness
+                healthy: bool | None = (
+                    None  # no expectation of a planner that is not running or reaches no other
+                )
                 if a in group and b in group and group[a] == group[b]:
                     healthy = True
                 elif a in group and sizes[group[a]] > 1:
@@ -139,7 +143,7 @@
                     pair.met = self._view_matches(a, b, healthy)
 
     def _close_expectation(self, a: str, b: str, pair: PairExpectation, at: int) -> None:
-        """What was asked until now: was there time for it, and was it met?"""
+        """Reports the expectation that ends now as missed if there was time for it and it was not met."""
         limit = self.heal if pair.healthy else self.notice
         if pair.healthy is not None and not pair.met and at - pair.since > limit:
             what = "did not take back" if pair.healthy else "did not notice the end of"
@@ -163,7 +167,7 @@
             for pair in [p for p in self.view if p[0] == by]:
                 del self.view[pair]
             self._update_pairs(c.at)
-            for other in self.incarnation:  # a new life is to be learned by all, and has all to learn
+            for other in self.incarnation:  # all must learn of the new incarnation, and it of them
                 for a, b in ((by, other), (other, by)):
                     if a != b and self.pairs[a, b].healthy:
                         self.pairs[a, b].since, self.pairs[a, b].met = c.at, False
@@ -186,11 +190,11 @@
             pair.met = True
             (self.healed if pair.healthy else self.noticed).append(c.at - pair.since)
         elif pair.healthy and pair.met and what in GONE:
-            pair.met, pair.since = False, c.at  # to be taken back
+            pair.met, pair.since = False, c.at  # must be corrected
 
 
 def duration_summary(found: list[int]) -> dict[str, float]:
-    """Seconds: how many, the median and the longest."""
+    """Count, median and maximum of durations, in seconds."""
     if not found:
         return {"count": 0}
     return {
--- a/tests/test_claim_audit.py
+++ b/tests/test_claim_audit.py
@@ -1,4 +1,4 @@
-"""The audit of claims finds doctored records of each breach, and nothing in a sound one."""
+"""The audit of claims finds each kind of violation in manipulated records, and none in valid ones."""
 
 from base64 import b64encode
 
@@ -18,7 +18,7 @@
     return b64encode(value).decode()
 
 
-def asked(
+def proposal(
     at: int, by: str, no: int, change: list, value: bytes, outcome: str = "agreed", rounds: int = 1
 ) -> list[Crossing]:
     key = "claim/g"
@@ -44,34 +44,34 @@
 
 def take(at: int, by: str = "p0", value: bytes = CLAIM, known: bytes = b"", **more: object) -> list[Crossing]:
     change = ["take", by, 1, 0, 0, "m", 2, text(known)]
-    return asked(at, by, 2, change, value, **more)
+    return proposal(at, by, 2, change, value, **more)
 
 
 def offer(at: int, by: str = "p0", product: str = "once", machine: str = "m") -> list[Crossing]:
     return [Crossing(at, by, "planner", machine, "out", {"t": "offer", "guest": "g", "product": product})]
 
 
-def said(at: int, by: str = "p0", **body: object) -> list[Crossing]:
+def received(at: int, by: str = "p0", **body: object) -> list[Crossing]:
     return [Crossing(at, by, "planner", "m", "in", {"guest": "g", **body})]
 
 
-OTHER = c.encode(c.Take("p1", 1, 0, 0, "m", 2).claim())
+OTHER_CLAIM = c.encode(c.Take("p1", 1, 0, 0, "m", 2).claim())
 FREE = c.Release(CLAIM)(CLAIM)
-SOUND = {
+VALID = {
     "one": [*take(0), *offer(10)],
     "rerunnable": [*take(0), *offer(10), *offer(20, "p1", "plain")],
     "refused, freed, taken": [
         *take(0),
         *offer(10),
-        *said(20, t="refused"),
-        *asked(30, "p0", 3, ["release", text(CLAIM)], FREE),
-        *take(40, "p1", OTHER),
+        *received(20, t="refused"),
+        *proposal(30, "p0", 3, ["release", text(CLAIM)], FREE),
+        *take(40, "p1", OTHER_CLAIM),
         *offer(50, "p1"),
     ],
-    "an unheard round": [*take(0, outcome="open"), *asked(10, "p1", 9, ["read"], CLAIM)],
+    "an unanswered round": [*take(0, outcome="open"), *proposal(10, "p1", 9, ["read"], CLAIM)],
 }
-BROKEN = {
-    "no claim": ([*take(0, "p1", OTHER), *offer(10)], "without an agreed claim"),
+MANIPULATED = {
+    "no claim": ([*take(0, "p1", OTHER_CLAIM), *offer(10)], "without an agreed claim"),
     "claimed too late": ([*offer(1), *take(0)], "without an agreed claim"),
     "another machine": ([*take(0), *offer(10, machine="n")], "without an agreed claim"),
     "another's claim": ([*take(0), *take(10, "p1", CLAIM), *offer(20, "p1")], "without an agreed claim"),
@@ -79,34 +79,34 @@
         [
             *take(0),
             *offer(10),
-            *asked(20, "p0", 3, ["release", text(CLAIM)], FREE),
-            *take(30, "p1", OTHER),
+            *proposal(20, "p0", 3, ["release", text(CLAIM)], FREE),
+            *take(30, "p1", OTHER_CLAIM),
             *offer(40, "p1"),
         ],
         "beside another planner's",
     ),
-    "two claims": ([*take(0), *take(10, "p1", OTHER)], "has no order"),
-    "a claim unlearned": ([*take(0), *asked(10, "p1", 9, ["read"], b"")], "has no order"),
+    "two claims": ([*take(0), *take(10, "p1", OTHER_CLAIM)], "has no order"),
+    "a claim not read": ([*take(0), *proposal(10, "p1", 9, ["read"], b"")], "has no order"),
     "a fact without its claim": (
-        [*asked(0, "p0", 2, ["fact", "p0", 0, "over", "m", "done"], CLAIM)],
+        [*proposal(0, "p0", 2, ["fact", "p0", 0, "over", "m", "done"], CLAIM)],
         "has no order",
     ),
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
-def test_a_sound_record_has_no_breach(name: str) -> None:
-    audit = ClaimAudit(SOUND[name], RULES)
+@pytest.mark.parametrize("name", VALID)
+def test_a_valid_record_has_no_violation(name: str) -> None:
+    audit = ClaimAudit(VALID[name], RULES)
     assert audit.violations() == [] and not audit.off
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_each_doctored_record_is_found_out(name: str) -> None:
-    crossings, what = BROKEN[name]
+@pytest.mark.parametrize("name", MANIPULATED)
+def test_each_manipulated_record_is_detected(name: str) -> None:
+    crossings, what = MANIPULATED[name]
     found = [b.what for b in ClaimAudit(sorted(crossings, key=lambda x: x.at), RULES).violations()]
     assert any(what in each for each in found), found
     assert all(b.rule == 2 for b in ClaimAudit(crossings, RULES).violations())
 
 
-def test_a_record_without_claims_is_not_judged() -> None:
+def test_a_record_without_claims_is_not_checked() -> None:
     assert ClaimAudit(offer(10), RULES).off and ClaimAudit(offer(10), RULES).violations() == []
