--- a/hazelhold/audit/planner_run.py
+++ b/hazelhold/audit/planner_run.py
@@ -81,7 +81,7 @@
         unkept = (c.message or {}).get("unkept")
         for submission in self.submissions.values():
             submission.connections_closed()
-            if unkept:  # its disk had failed: its state may not have been persisted
+            if unkept:  # its disk had failed: treated like a planner without durable state
                 submission.excused |= self._repeat(submission) == "rerunnable"
                 submission.state_lost = True
 
@@ -123,7 +123,7 @@
     def _answer(self, submission: Submission | None, guest: str, c: Crossing) -> None:
         kind = c.message["t"]
         if submission is None or submission.excused:
-            return  # repeats the answer to an earlier submission, or its state may be lost
+            return  # repeats the answer to an earlier submission, or only outdated state is known
         if submission.final_answers:
             first = submission.final_answers[0]
             if first.message["t"] not in (kind, "state") and not submission.state_lost:
@@ -158,9 +158,8 @@
         state = c.message.get("state", "")
         if submission is None or submission.final_answers:
             return
-        overdue = c.at > submission.accepted.at + submission.submit.get(
-            "patience", 0
-        )  # the answer was that the outcome is unknown
+        # The answer at the deadline was that the outcome is unknown.
+        overdue = c.at > submission.accepted.at + submission.submit.get("patience", 0)
         if state not in ("held", "out", "unsettled", "unknown") or state == "unsettled" and overdue:
             submission.final_answers.append(c)
             self.tally["answered_when_asked"] += 1
@@ -332,9 +331,8 @@
                 continue
             due = submission.accepted.at + submission.submit.get("patience", 0) + ANSWER_SLACK
             if self.rules.durable and self.timeline.newest_submission(guest) > number:
-                self.tally["asked_anew"] += (
-                    1  # while its planner was down; only the newer submission needs an answer
-                )
+                # Submitted again while its planner was down: only the newer submission needs an answer.
+                self.tally["asked_anew"] += 1
             elif self.rules.durable and not self._owner_returned(guest, submission.accepted.at, due):
                 self.tally["never_asked_for"] += 1  # the answer waits for an owner that did not return
             elif self.killed_at and self.killed_at <= due:
--- a/hazelhold/audit/views.py
+++ b/hazelhold/audit/views.py
@@ -45,9 +45,8 @@
         self.notice, self.heal = round(limits.notice_s * 1e6), round(limits.heal_s * 1e6)
         self.up: set[str] = set()
         self.paused: set[str] = set()
-        self.blocked: dict[tuple[str, str], int] = defaultdict(
-            int
-        )  # number of partitions that block a direction
+        # The number of partitions that block a direction.
+        self.blocked: dict[tuple[str, str], int] = defaultdict(int)
         self.incarnation: dict[str, int] = {}
         self.view: dict[tuple[str, str], tuple[str, int]] = {}
         self.pairs: dict[tuple[str, str], PairExpectation] = defaultdict(PairExpectation)
@@ -128,15 +127,14 @@
                 if a == b:
                     continue
                 pair = self.pairs[a, b]
-                healthy: bool | None = (
-                    None  # no expectation of a planner that is not running or reaches no other
-                )
+                # None: nothing is expected of a planner that is not running or reaches no other.
+                healthy: bool | None = None
                 if a in group and b in group and group[a] == group[b]:
                     healthy = True
                 elif a in group and sizes[group[a]] > 1:
                     healthy = False
                 if pair.healthy is not True:
-                    self.last_unhealthy_at[a, b] = at  # until now
+                    self.last_unhealthy_at[a, b] = at  # unhealthy up to this time
                 if pair.healthy != healthy or close:
                     self._close_expectation(a, b, pair, at)
                     pair.healthy, pair.since = healthy, at
--- a/hazelhold/capture/replay.py
+++ b/hazelhold/capture/replay.py
@@ -64,15 +64,11 @@
         self.changed = other_config is not None or start["module"] != module_digest()
         self.module = start["module"]
         self.engine = Engine(config, start["seed"], 0)
-        self.streams: dict[
-            tuple[str, str], tuple[str, str]
-        ] = {}  # (near, far) addresses: role and name of the peer
-        self.replayed: deque[tuple[str, str, m.Message]] = (
-            deque()
-        )  # replayed messages without a captured counterpart so far
-        self.captured: deque[tuple[str, str, Any, int, int, str]] = (
-            deque()
-        )  # captured messages without a replayed counterpart so far
+        # Role and name of the peer by (near, far) addresses.
+        self.streams: dict[tuple[str, str], tuple[str, str]] = {}
+        # Messages not compared yet, because the other side has no counterpart so far.
+        self.replayed: deque[tuple[str, str, m.Message]] = deque()
+        self.captured: deque[tuple[str, str, Any, int, int, str]] = deque()
         self.compared = self.differing = self.inputs = 0
         self.first: Difference | None = None
         self.lost = self.damaged = 0
@@ -251,7 +247,7 @@
 
 
 def replay(items: Iterable[Frame | Note], other_config: PlannerConfig | None = None) -> dict[str, Any]:
-    """Replays every run of a planner in the capture; `other` replaces their configurations.
+    """Replays every run of a planner in the capture; `other_config` replaces their configurations.
 
     `same` is true only if at least one run was found and the replay sent the same messages in the same order.
     Frames of streams that belong to no planner of the capture are counted under `of_others`.
--- a/hazelhold/capture/streams.py
+++ b/hazelhold/capture/streams.py
@@ -73,9 +73,8 @@
     def __init__(self, skips: Skips) -> None:
         self.skips = skips
         self.flows: OrderedDict[tuple[Endpoint, Endpoint], Flow] = OrderedDict()
-        self.connection_numbers: OrderedDict[tuple[Endpoint, Endpoint], int] = (
-            OrderedDict()
-        )  # bounded like flows
+        # The number of the last connection between two endpoints; bounded like `flows`.
+        self.connection_numbers: OrderedDict[tuple[Endpoint, Endpoint], int] = OrderedDict()
         self.early_bytes = 0
         self.last: Packet | None = None
 
--- a/hazelhold/capture/write.py
+++ b/hazelhold/capture/write.py
@@ -19,10 +19,9 @@
 
 End = tuple[bytes, int]
 MAX_SEGMENT_BYTES = 60_000
-WRITE_INTERVAL_S = 0.05  # seconds
-NOTE_PACKETS = PacketBuilder(
-    (b"\x7f\0\0\1", 9), (b"\x7f\0\0\1", 9)
-)  # notes are addressed to the discard port
+WRITE_INTERVAL_S = 0.05
+# Notes are addressed to the discard port of the loopback address.
+NOTE_PACKETS = PacketBuilder((b"\x7f\0\0\1", 9), (b"\x7f\0\0\1", 9))
 
 
 class CapturedConnection:
@@ -31,10 +30,8 @@
     def __init__(self, writer: "CaptureWriter", near: End, far: End, dialled: bool, at: int) -> None:
         self.writer = writer
         self.builders = {True: PacketBuilder(near, far), False: PacketBuilder(far, near)}
-        self.seq = {
-            True: 1000,
-            False: 5000,
-        }  # keyed by whether the planner sends; any initial numbers will do
+        # The next sequence number by direction (True: the planner sends).
+        self.seq = {True: 1000, False: 5000}
         self.open = True
         self._packet(dialled, b"", SYN, at)
         self._packet(not dialled, b"", SYN | ACK, at)
@@ -85,7 +82,7 @@
         self.queue_bytes = queue_bytes
         self.queue: deque[tuple[int, bytes]] = deque()
         self.queued = 0
-        self.lost = self.lost_bytes = self.lost_in_all = 0
+        self.lost = self.lost_bytes = self.total_lost = 0
         self.file_number = 0
         self.files: deque[tuple[Path, int]] = deque()
         self.file = None
@@ -103,7 +100,7 @@
         if self.queued + len(data) > self.queue_bytes:
             self.lost += 1
             self.lost_bytes += len(data)
-            self.lost_in_all += 1
+            self.total_lost += 1
             return
         if self.lost:
             lost, self.lost = self.lost, 0
@@ -130,7 +127,7 @@
         self.end()
         self.thread.join(2.0)
 
-    # Runs in the writer thread (apart from the first `_open_file`).
+    # The methods below run in the writer thread, except for the first call of `_open_file`.
 
     def _open_file(self, at: int, first: bool = False) -> None:
         if self.file is not None:
@@ -188,7 +185,7 @@
             self.fault = error.strerror or str(error)
             self.lost += len(batch)
             self.lost_bytes += size
-            self.lost_in_all += len(batch)
+            self.total_lost += len(batch)
             if not self.stopping:
                 time.sleep(0.1)
             if self.file is not None:
--- a/hazelhold/service/ending.py
+++ b/hazelhold/service/ending.py
@@ -42,7 +42,7 @@
     if planner.tap is not None:
         planner.tap.writer.end()  # others may still speak while the rest is written
         await trio.to_thread.run_sync(planner.tap.writer.close)
-        planner.counts["capture_lost"] = planner.tap.writer.lost_in_all
+        planner.counts["capture_lost"] = planner.tap.writer.total_lost
     planner.log.info("stopped", unanswered=engine.unanswered(), **engine.counts)
 
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -337,7 +337,7 @@
     writer.note(2, {"n": "pump", "p": "p"})
     writer.close()
     result = [item.data["n"] for item in read([tmp_path / "c.pcap"], Skips())]
-    assert writer.lost_in_all == 1 and "space" in writer.fault and result == ["start", "lost", "pump"]
+    assert writer.total_lost == 1 and "space" in writer.fault and result == ["start", "lost", "pump"]
 
 
 @pytest.fixture(scope="module")
