--- a/hazelhold/audit/claims.py
+++ b/hazelhold/audit/claims.py
@@ -97,9 +97,8 @@
                     calls[c.peer].append(
                         Call(kind, arguments, b64decode(message.get("value", "")), proposal.at, c.at)
                     )
-        for c in (
-            open_proposals.values()
-        ):  # the process was killed: the change may have been applied once or twice
+        # The process was killed: the change may have been applied once or twice.
+        for c in open_proposals.values():
             calls[c.peer] += [Call(*_arguments(c.message), None, c.at)] * 2
         return [
             RuleViolation(
