--- a/bench/capacity/rows_planner.py
+++ b/bench/capacity/rows_planner.py
@@ -3,8 +3,6 @@
 from collections.abc import Callable, Iterator
 from functools import partial
 
-from hazelhold.scheduler import Scheduler
-
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
@@ -15,6 +13,7 @@
 from hazelhold.engine.records import Dial
 from hazelhold.interface import DecisionKind, MachineMode, Submission
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 SECOND = 1_000_000
 WORKERS = (456, 913, 1825, 3650, 7300)
--- a/bench/capacity/rows_probes.py
+++ b/bench/capacity/rows_probes.py
@@ -3,14 +3,13 @@
 import time
 from collections.abc import Iterator
 
-from hazelhold.scheduler import Scheduler
-
 from bench import throughput
 from bench.capacity import workers
 from bench.capacity.registry import RefusedError, measurement
 from hazelhold.config.planner import deployment_settings
 from hazelhold.interface import DecisionKind, Load
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 SECOND = 1_000_000
 TURN = SECOND // 100  # how often the module is asked
--- a/bench/state.py
+++ b/bench/state.py
@@ -19,7 +19,6 @@
 
 import structlog
 import trio
-from hazelhold.scheduler import Scheduler
 from msgspec.structs import replace
 
 from bench import throughput
@@ -29,6 +28,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.crashes import play_crashes
 from hazelhold.rehearse.run import play_virtual
+from hazelhold.scheduler import Scheduler
 from hazelhold.state.disk import RealDisk
 from hazelhold.state.images import AnswerImage, EndImage, GuestImage, ListImage, drop, put
 from hazelhold.state.store import Store
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -17,7 +17,6 @@
 
 import msgspec
 import trio
-from hazelhold.scheduler import Scheduler
 from hdrh.histogram import HdrHistogram
 
 from hazelhold.config.planner import (
@@ -41,6 +40,7 @@
     Submission,
 )
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 from hazelhold.service.connection import MessageConnection
 from hazelhold.service.net import Net, TcpNet
 from hazelhold.service.planner import Planner
--- a/hazelhold/cli/capture.py
+++ b/hazelhold/cli/capture.py
@@ -68,7 +68,7 @@
 @report_errors
 def info(files: tuple[Path, ...], as_json: bool) -> None:
     """Summarize the files, and list what was skipped in them."""
-    from hazelhold.capture.cut import survey
+    from hazelhold.capture.extract import survey
 
     skips = Skips()
     summary = survey(list(files), skips, progress_display())
@@ -146,10 +146,10 @@
 @report_errors
 def extract_command(files: tuple[Path, ...], output: Path, **filters: Any) -> None:  # noqa: ANN401 - as click calls
     """Copy the connections that carry a matching message to a new capture, each of them whole."""
-    from hazelhold.capture.cut import Wish, extract
+    from hazelhold.capture.extract import ExtractFilter, extract
 
     skips = Skips()
-    counts = extract(list(files), output, Wish(**filters), skips)
+    counts = extract(list(files), output, ExtractFilter(**filters), skips)
     click.echo(
         f"{output}: {counts.get('kept', 0)} packets of {counts['streams']} streams, "
         f"{counts.get('left out', 0)} left out"
@@ -182,7 +182,7 @@
     if to:
         import trio
 
-        from hazelhold.capture.load import asks, send
+        from hazelhold.capture.load import owner_messages, send
         from hazelhold.config.load import split_address
         from hazelhold.service.net import TcpNet
 
@@ -190,7 +190,7 @@
             split_address(to)
         except ValueError as error:
             raise click.BadParameter(str(error)) from None
-        plan = asks(list(files), skips)
+        plan = owner_messages(list(files), skips)
         result = trio.run(send, TcpNet(), to, plan, speed, mark or f"r{time.time_ns() // 1000}-")
         if as_json:
             click.echo(json.dumps(result | {"skipped": skipped(skips)}))
--- a/hazelhold/service/connection.py
+++ b/hazelhold/service/connection.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from hazelhold.capture.write import Trunk
+from hazelhold.capture.write import CapturedConnection
 from hazelhold.protocol.frames import FrameError, FrameReader, frame
 from hazelhold.protocol.messages import VERSION, Codec, Fault, Hello, Message, Welcome, encode
 from hazelhold.protocol.record import Recorder
@@ -117,7 +117,9 @@
         self.codec, self.now = codec, now
         self.recorder, self.peer = recorder, peer
         self.reader = FrameReader(frame_bytes)
-        self.trunk: Trunk | None = None  # this connection in the capture, if it is captured
+        self.captured_connection: CapturedConnection | None = (
+            None  # this connection in the capture, if it is captured
+        )
         self.body = b""  # body of the last message read
         self.raw = b""  # bytes of the last read
 
@@ -127,8 +129,8 @@
         body = encode(message)
         if not self.put(body):
             return False
-        if self.trunk is not None:
-            self.trunk.data(True, body, self.now())
+        if self.captured_connection is not None:
+            self.captured_connection.data(True, body, self.now())
         self.note("out", message)
         return True
 
@@ -202,7 +204,7 @@
 
     def captured(self) -> None:
         """Writes the last message read to the capture."""
-        if self.trunk is not None:
-            self.trunk.data(False, frame(self.body), self.now())
+        if self.captured_connection is not None:
+            self.captured_connection.data(False, frame(self.body), self.now())
 
     read_ahead: list[bytes] = []
--- a/hazelhold/service/connection_factory.py
+++ b/hazelhold/service/connection_factory.py
@@ -28,9 +28,11 @@
     def begin_capture(self, role: str, who: str, connection: MessageConnection, dialled: bool) -> None:
         """Starts to capture the connection if the planner has a capture. `who` is the peer's name."""
         if self.tap is not None:
-            connection.trunk = self.tap.trunk(role, who, connection.stream, dialled, self.net.now())
+            connection.captured_connection = self.tap.captured_connection(
+                role, who, connection.stream, dialled, self.net.now()
+            )
 
     def end_capture(self, connection: MessageConnection) -> None:
         """Ends the connection in the capture."""
-        if connection.trunk is not None:
-            connection.trunk.close(self.net.now())
+        if connection.captured_connection is not None:
+            connection.captured_connection.close(self.net.now())
--- a/hazelhold/service/driver.py
+++ b/hazelhold/service/driver.py
@@ -75,8 +75,8 @@
         if self.handed_over:
             return  # peers send what was not acknowledged again, to the next process
         now = self.net.now()
-        if connection.trunk is not None:
-            connection.trunk.data(False, frame(connection.body), now)
+        if connection.captured_connection is not None:
+            connection.captured_connection.data(False, frame(connection.body), now)
         getattr(self.engine, what)(now, *arguments)
         self.carry_out()
         self.ticker.notify()
--- a/hazelhold/service/owner_server.py
+++ b/hazelhold/service/owner_server.py
@@ -119,7 +119,7 @@
 
     def _refuse(self, connection: MessageConnection, error: FrameError) -> None:
         if self.connection_factory.tap is not None:  # the capture also holds what was refused
-            if connection.trunk is None:
+            if connection.captured_connection is None:
                 self.connection_factory.begin_capture(
                     "refused", connection.peer or "unknown", connection, False
                 )
@@ -130,7 +130,7 @@
                 if connection.body
                 else b""
             )
-            connection.trunk.data(False, received, self.driver.net.now())
+            connection.captured_connection.data(False, received, self.driver.net.now())
         self.counts["refused_" + error.code] += 1
         self.log.warning("connection_refused", code=error.code, reason=error.text, peer=connection.peer)
         connection.finish(m.Fault(code=error.code, text=error.text))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,5 @@
 """Shared by tests: a small deployment, machines, and a scheduler and an engine that are driven by hand."""
 
-from hazelhold.scheduler import Scheduler
-
 from hazelhold.config.planner import (
     FleetSettings,
     GuestClassConfig,
@@ -26,6 +24,7 @@
     Submission,
 )
 from hazelhold.protocol import messages as m
+from hazelhold.scheduler import Scheduler
 
 MS = 1000
 GUEST_CLASS = GuestClass(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,9 +5,9 @@
 from random import Random
 
 import pytest
-from hazelhold.scheduler import Scheduler
 
 from hazelhold.interface import DecisionKind, DispatchOutcome, OutcomeReason, Submission
+from hazelhold.scheduler import Scheduler
 from tests.helpers import DEPLOYMENT, MS, entry
 
 WINDOW = DEPLOYMENT.cold_budget_window
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -40,9 +40,8 @@
 
 
 def test_a_planner_that_violates_rules_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    from hazelhold.scheduler import Guest, Scheduler
-
     from hazelhold.engine import machines
+    from hazelhold.scheduler import Guest, Scheduler
 
     all_ready = {mode: machines.MachineMode.READY for mode in ("ready", "cordoned", "gone")}
     monkeypatch.setattr(machines, "MODES", all_ready)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,5 @@
 """A simple model of the five rules runs beside the scheduler on generated days and checks each decision."""
 
-from hazelhold.scheduler import Scheduler
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -13,6 +12,7 @@
     RepeatSemantics,
     Scope,
 )
+from hazelhold.scheduler import Scheduler
 from tests.helpers import DEPLOYMENT, GUEST_CLASSES, MS, entry, submission
 
 NEVER_RAN = (DispatchOutcome.REFUSED, DispatchOutcome.UNREACHABLE, DispatchOutcome.NOT_SENT)
--- a/tests/test_state_snapshot.py
+++ b/tests/test_state_snapshot.py
@@ -3,11 +3,11 @@
 from random import Random
 
 import msgspec
-from hazelhold.scheduler import Guest, Machine, Scheduler, ServiceUsage
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from hazelhold.interface import DecisionKind, DispatchOutcome, Load, OutcomeReason
+from hazelhold.scheduler import Guest, Machine, Scheduler, ServiceUsage
 from hazelhold.state import snapshot
 from tests.helpers import DEPLOYMENT, MS, scheduler, submission
 from tests.state_rig import S
