--- a/bench/capacity/configuration/counting.py
+++ b/bench/capacity/configuration/counting.py
@@ -8,7 +8,7 @@
 
 from bench.capacity.configuration.messages import Crossed
 from hazelhold.protocol.frames import FrameReader
-from hazelhold.rehearse.wires import CHUNK, Direction, Wires
+from hazelhold.rehearse.fault_proxy import CHUNK, Direction, FaultProxies
 from hazelhold.service.net import Handler, Net, TcpNet
 
 FRAME_LIMIT = 8 << 20  # bytes
@@ -105,7 +105,7 @@
         return await super().listen(address, counted, nursery, at_once)
 
 
-class CountingWires(Wires):
+class CountingWires(FaultProxies):
     """Wires between real processes, which count themselves nothing."""
 
     def __init__(self, net: Net, nursery: trio.Nursery, counts: Counts) -> None:
@@ -119,7 +119,7 @@
         reader = FrameReader(FRAME_LIMIT)
         try:
             while data := await source.receive_some(CHUNK):
-                while direction.ills.cut:
+                while direction.faults.cut:
                     await direction.changed.wait()
                 self.counts.add(sender, receiver, "between", len(reader.feed(data)), len(data))
                 await sink.send_all(data)
--- a/bench/capacity/configuration/fleet.py
+++ b/bench/capacity/configuration/fleet.py
@@ -252,7 +252,7 @@
         await self.tell(messages.Cut(ones, others, way))
 
     async def calm(self) -> None:
-        self.wires.calm()
+        self.wires.clear_faults()
         await self.tell(messages.Calm())
 
     # Asking.
--- a/bench/capacity/configuration/followers.py
+++ b/bench/capacity/configuration/followers.py
@@ -17,7 +17,7 @@
 from hazelhold.config.fleetconfig import FleetConfigSection
 from hazelhold.fleetconfig.document import Document
 from hazelhold.fleetconfig.follower_host import FollowerHost
-from hazelhold.rehearse.wires import Wires
+from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.standin.disk import FaultyDisk, Points
 
 
@@ -74,7 +74,7 @@
 
     async def obey(self, command: Command) -> None:
         if isinstance(command, Cut):
-            ends = Wires.between(command.ones, command.others, command.way)
+            ends = FaultProxies.between(command.ones, command.others, command.way)
             self.cuts.set(self.cuts.directions | set(ends))
         elif isinstance(command, Calm):
             self.cuts.set(set())
--- a/bench/capacity/configuration_model.py
+++ b/bench/capacity/configuration_model.py
@@ -15,8 +15,8 @@
 
 from bench.capacity import target as t
 from bench.capacity.configuration.payload import note
+from hazelhold.emulate.distribution_network import FRAME_BYTES, SimulatedNetwork
 from hazelhold.emulate.spread_nodes import Planned
-from hazelhold.emulate.spread_wires import FRAME_BYTES, Wires
 from hazelhold.emulate.spread_world import World
 from hazelhold.fleetconfig.codec import encode
 from hazelhold.fleetconfig.document import Put, canonical
@@ -85,7 +85,7 @@
         self.bytes_of: Counter[tuple[str, str]] = Counter()
         self.messages_of: Counter[tuple[str, str]] = Counter()
 
-    def add(self, wires: Wires) -> None:
+    def add(self, wires: SimulatedNetwork) -> None:
         """Takes what was counted in one more second."""
         row: Counter[str] = Counter()
         for (sender, receiver, kind), size in wires.bytes.items():
--- a/bench/capacity/parted.py
+++ b/bench/capacity/parted.py
@@ -5,7 +5,7 @@
 
 from bench.capacity.registry import RefusedError
 from bench.capacity.target import REGIONS
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import Terms
 
 SETTLED_S = 60.0  # the join is told to all within it
@@ -24,7 +24,7 @@
     """Planners that know each other, dealt out to the regions in turn."""
 
     def __init__(self, planners: int, seed: int = 1) -> None:
-        self.parley = Parley(seed, Terms("capacity"))
+        self.parley = MembershipSimulation(seed, Terms("capacity"))
         self.names = [f"planner-{number}" for number in range(planners)]
         for number, name in enumerate(self.names):
             self.parley.start(name, ["at-planner-0"], zone=f"region-{number % REGIONS}")
--- a/bench/capacity/rows_members.py
+++ b/bench/capacity/rows_members.py
@@ -11,7 +11,7 @@
 from bench.capacity.hollow.shared import once
 from bench.capacity.meters import no_collection, processor_time, traced_bytes
 from bench.capacity.registry import RefusedError, measurement
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import News, Terms
 from hazelhold.membership.rows import ALIVE
 
@@ -26,9 +26,9 @@
 VIRTUAL = "cores in virtual time; no loss, 0.2 to 1.5 ms on the way"
 
 
-def world(count: int) -> Parley:
+def world(count: int) -> MembershipSimulation:
     """Members that know each other."""
-    made = Parley(1, Terms("bench"))
+    made = MembershipSimulation(1, Terms("bench"))
     made.keep_news = False
     for number in range(count):
         made.start(f"m{number}", ["at-m0", "at-m1", "at-m2"], zone=f"z{number % ZONES}")
@@ -37,11 +37,11 @@
     return made
 
 
-def ahead(made: Parley, seconds: float) -> None:
+def ahead(made: MembershipSimulation, seconds: float) -> None:
     made.run(made.now / 1e6 + seconds)
 
 
-def datagrams(made: Parley) -> int:
+def datagrams(made: MembershipSimulation) -> int:
     return sum(made.sent.values()) - made.sent["bytes"]
 
 
--- a/bench/client.py
+++ b/bench/client.py
@@ -3,7 +3,7 @@
 Run as `python -m bench.client`. Cost: the core alone, a guest from submit to its end, beside the encoding
 and decoding of its messages as the plain part; memory of a client with one planner. Advice: a thousand
 clients whose patience outlasts the line, at twice what the planner's emulated processor carries
-(hazelhold/emulate/town.py).
+(hazelhold/emulate/client_population.py).
 """
 
 import argparse
@@ -19,7 +19,7 @@
 from bench.throughput import planner_config
 from hazelhold.client.core import ClientCore
 from hazelhold.client.types import ClientPolicy, TaskRequest
-from hazelhold.emulate.town import SECOND, Costs, Demand, Town
+from hazelhold.emulate.client_population import SECOND, ClientPopulation, Costs, Demand
 from hazelhold.protocol import messages as m
 
 CODEC = m.Codec(m.TO_OWNER)
@@ -76,7 +76,7 @@
 def advice(times: float, patience: int, seconds: int) -> dict[str, Any]:
     costs = Costs(decision=9000)  # a slow planner: the same line with fewer decisions to compute
     carries = SECOND / (costs.decision + 4 * costs.frame)
-    town = Town(
+    town = ClientPopulation(
         planner_config(),
         300,
         1,
@@ -89,7 +89,7 @@
     town.clock.run(4 * SECOND)
     town.want(town.clock.now + seconds * SECOND)
     town.clock.run(town.clock.now + (seconds + 2) * SECOND + patience)
-    said, counts = town.office.engine.advice.counts, town.counts
+    said, counts = town.planner.engine.advice.counts, town.counts
     return {
         "times": times,
         "patience_s": patience / SECOND,
--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership import messages
 from hazelhold.membership.core import Post, Terms
 from hazelhold.membership.rows import ALIVE, Row, told
@@ -66,7 +66,7 @@
 
 def fuzz(seed: int, datagrams: int) -> Counter[str]:
     random = Random(f"fuzz/{seed}")
-    made = Parley(seed, Terms("fuzz", most_members=MOST, forget=20_000_000))
+    made = MembershipSimulation(seed, Terms("fuzz", most_members=MOST, forget=20_000_000))
     made.keep_news = False
     names = [f"m{n}" for n in range(5)]
     for name in names:
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from hazelhold.emulate.heartbeats import Heartbeats
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import Core, News, Terms
 from hazelhold.membership.rows import GONE
 
@@ -63,8 +63,8 @@
 KINDS: dict[str, Callable[..., Any]] = {"hazelhold": Core, "swim": Swim, "heartbeats": Heartbeats}
 
 
-def world(kind: str, count: int, seed: int, settle: float = 20.0) -> Parley:
-    made = Parley(seed, TERMS, KINDS[kind])
+def world(kind: str, count: int, seed: int, settle: float = 20.0) -> MembershipSimulation:
+    made = MembershipSimulation(seed, TERMS, KINDS[kind])
     made.keep_news = False
     for number in range(count):
         made.start(f"m{number}", SEEDS, zone=f"z{number % 3}")
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -4,7 +4,7 @@
 carries:
 
 - the planner's processor: a thousand clients, machines that take everything, and a processor that is
-  emulated by costs (hazelhold/emulate/town.py), once with all protections and once without (no ask refused
+  emulated by costs (hazelhold/emulate/client_population.py), once with all protections and once without (no ask refused
   for the line, decisions without a pause to read, clients that repeat at once and without a budget);
 - the machines: the quiet example's, as models, with stand-in senders.
 
@@ -26,7 +26,7 @@
 from bench.throughput import planner_config
 from hazelhold.client.types import ClientPolicy
 from hazelhold.config.day import read_day
-from hazelhold.emulate.town import SECOND, Costs, Demand, Town
+from hazelhold.emulate.client_population import SECOND, ClientPopulation, Costs, Demand
 from hazelhold.protocol import messages as m
 from hazelhold.rehearse.run import play_virtual
 from hazelhold.service.net import TcpNet
@@ -46,19 +46,19 @@
     if not protected:
         planner = replace(planner, limits=replace(planner.limits, decisions_at_once=1_000_000))
         policy = ClientPolicy(retry_share=1e9, retry_burst=1e9, again_least=1, again_most=SECOND // 20)
-    town = Town(
+    town = ClientPopulation(
         planner, 1000, 1, Demand(times * carries, 2 * SECOND, SECOND // 2), policy, costs=costs, machines=32
     )
     town.open(4 * SECOND)
     town.clock.run(8 * SECOND)
     if not protected:
-        town.office.engine.advice.hopeless = lambda *asked: False
+        town.planner.engine.advice.hopeless = lambda *asked: False
     town.want(town.clock.now + seconds * SECOND)
     start = town.clock.now + 2 * SECOND
     town.clock.run(town.clock.now + seconds * SECOND)
     useful = sum(n for at, n in town.useful.items() if at * SECOND // 10 >= start)
     town.clock.run(town.clock.now + 4 * SECOND)
-    advice, counts = town.office.engine.advice.counts, town.counts
+    advice, counts = town.planner.engine.advice.counts, town.counts
     return {
         "limit": "processor",
         "times": times,
@@ -70,7 +70,7 @@
         "retries": counts["retries"],
         "retries_that_served": counts["retries_that_served"],
         "late_retries": counts["late_retries"],
-        "refused": town.office.engine.counts["rejected_overloaded"],
+        "refused": town.planner.engine.counts["rejected_overloaded"],
         "advised_came": advice["advised_came"],
         "advised_served": advice["advised_served"],
         "advised_came_early": advice["advised_came_early"],
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -3,7 +3,7 @@
 
 Run as `python -m bench.returns --sizes 1000,10000 --plot docs/plots/returns.png`. Each row plays one loss
 twice, with the library's spreading and with clients that dial again every 50 ms whatever they are told. The
-planner's processor is emulated by costs (hazelhold/emulate/town.py); the cores, the door, the engine and the
+planner's processor is emulated by costs (hazelhold/emulate/client_population.py); the cores, the door, the engine and the
 module are the real ones.
 """
 
@@ -18,7 +18,7 @@
 
 from bench.throughput import planner_config
 from hazelhold.client.types import ClientPolicy
-from hazelhold.emulate.town import BIN, SECOND, Demand, Town
+from hazelhold.emulate.client_population import BIN, SECOND, ClientPopulation, Demand
 
 # Seconds until the planner is back; a second number: it dies again after so long, for the third number.
 LOSSES = {
@@ -32,19 +32,21 @@
 def play(size: int, loss: str, spread: bool, last_words: bool, patience: int = 10 * SECOND) -> dict[str, Any]:
     """One loss. The demand is 100 guests a second, each living a second, whatever the number of clients."""
     began = time.process_time()
-    town = Town(planner_config(), size, 1, Demand(100.0, patience, SECOND), ClientPolicy(), spread)
+    town = ClientPopulation(
+        planner_config(), size, 1, Demand(100.0, patience, SECOND), ClientPolicy(), spread
+    )
     town.open(max(4 * SECOND, size * SECOND // 250))
     while len(town.back) < size:
         town.clock.run(town.clock.now + SECOND)
     town.want(town.clock.now + 600 * SECOND)
     town.clock.run(town.clock.now + 5 * SECOND)
     gone, before = town.clock.now, dict(town.counts)
-    window = town.office._window() if last_words else 0
+    window = town.planner._window() if last_words else 0
     for number, span in enumerate(LOSSES[loss]):
         if number % 2 == 0:
-            town.office.stop(last_words)
+            town.planner.stop(last_words)
             town.clock.run(town.clock.now + round(span * SECOND))
-            town.office.start()
+            town.planner.start()
             up = town.clock.now
         else:
             town.clock.run(town.clock.now + round(span * SECOND))
--- a/hazelhold/cli/stand_in.py
+++ b/hazelhold/cli/stand_in.py
@@ -79,7 +79,7 @@
 ) -> None:
     import trio
 
-    from hazelhold.rehearse.alone import run_part
+    from hazelhold.rehearse.standalone import run_part
 
     config = read_day(day)
     logs.set_up(log, level)
--- a/hazelhold/emulate/town.py
+++ b/hazelhold/emulate/client_population.py
@@ -46,7 +46,7 @@
     product: str = "plain"
 
 
-class Eager:
+class FixedDelayBackoff:
     """What clients do without spreading: dial again after a fixed wait, whatever they are told."""
 
     def __init__(self, wait: int = SECOND // 20) -> None:
@@ -65,10 +65,10 @@
         return self.gap
 
 
-class Office:
+class EmulatedPlanner:
     """The planner: a door, an engine, one processor; and the machines behind it, which outlive it."""
 
-    def __init__(self, town: "Town", config: PlannerConfig, costs: Costs, machines: int) -> None:
+    def __init__(self, town: "ClientPopulation", config: PlannerConfig, costs: Costs, machines: int) -> None:
         self.town, self.config, self.costs = town, config, costs
         self.clock = town.clock
         self.names = [f"m{n:03d}" for n in range(machines)]
@@ -260,7 +260,7 @@
             )
 
 
-class Town:
+class ClientPopulation:
     """The clients, their demand, and what is counted.
 
     `bins` has, for each tenth of a second, dials and frames that reached the planner; `counts` what became of
@@ -280,7 +280,7 @@
     ) -> None:
         self.clock, self.random, self.delay = Clock(), Random(f"town/{seed}"), 500
         self.demand, self.policy = demand, policy
-        self.office = Office(self, config, costs or Costs(), machines)
+        self.planner = EmulatedPlanner(self, config, costs or Costs(), machines)
         self.dials: Counter[int] = Counter()
         self.frames: Counter[int] = Counter()
         self.useful: Counter[int] = Counter()  # guests placed within their patience, by tenth of a second
@@ -294,12 +294,12 @@
         for number in range(clients):
             core = ClientCore(f"c{number}", ["p"], policy, self.random)
             if not spread:
-                core.backoffs["p"] = Eager()
+                core.backoffs["p"] = FixedDelayBackoff()
             self.cores[core.name] = core
 
     def open(self, over: int) -> None:
         """Starts the planner, and the clients over a span."""
-        self.office.start()
+        self.planner.start()
         for core in self.cores.values():
             self.clock.at(int(self.random.uniform(0, over)), self._begin, core)
 
@@ -340,7 +340,7 @@
     # What happens to clients.
 
     def welcomed(self, name: str, number: int, spread: int) -> None:
-        if self.office.owners.get(name) != number or self.links.get(name) != number:
+        if self.planner.owners.get(name) != number or self.links.get(name) != number:
             return
         self.back[name] = self.clock.now
         core = self.cores[name]
@@ -365,7 +365,7 @@
         now = self.clock.now
         self.dials[now // BIN] += 1
         self.numbers += 1
-        office, number = self.office, self.numbers
+        office, number = self.planner, self.numbers
         self.links[core.name] = number
         later = office.reached(core.name, number) if office.up else 0
         if not office.up or later:
@@ -387,7 +387,7 @@
             elif isinstance(action, Leave):
                 self.links.pop(core.name, None)
                 self.back.pop(core.name, None)
-                self.office.owners.pop(core.name, None)
+                self.planner.owners.pop(core.name, None)
             elif isinstance(action, Tell):
                 self._told(action)
         due = core.next_at()
@@ -402,7 +402,7 @@
             self._act(core)
 
     def _send(self, core: ClientCore, message: m.Message) -> None:
-        now, office = self.clock.now, self.office
+        now, office = self.clock.now, self.planner
         if isinstance(message, m.Submit):
             task = core.pending[message.guest]
             self.counts["asks"] += 1
@@ -414,8 +414,8 @@
             self.clock.at(now + self.delay, self._reach, office.life, core.name, message)
 
     def _reach(self, life: int, name: str, message: m.Message) -> None:
-        if self.office.up and self.office.life == life:
-            self.office.frame(name, message)
+        if self.planner.up and self.planner.life == life:
+            self.planner.frame(name, message)
 
     def _told(self, tell: Tell) -> None:
         outcome = tell.outcome
--- a/hazelhold/emulate/spread_wires.py
+++ b/hazelhold/emulate/distribution_network.py
@@ -54,7 +54,7 @@
         return self.listener if end is self.dialer else self.dialer
 
 
-class Wires:
+class SimulatedNetwork:
     """The clock, the events and the connections of a world."""
 
     def __init__(self, seed: int, latency: int = 2_000) -> None:
--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -22,7 +22,7 @@
 from hazelhold.config.load import ConfigError
 from hazelhold.config.planner import LimitsConfig, ListConfig, PlannerConfig, micros
 from hazelhold.emulate.clock import Clock
-from hazelhold.emulate.fleet_lines import FarDoor
+from hazelhold.emulate.fleet_connections import EmulatedServer
 from hazelhold.emulate.fleet_owner import Sender
 from hazelhold.emulate.fleet_planner import PlannerHost
 from hazelhold.emulate.fleet_time import SECOND, Net, Notes, Wake
@@ -30,8 +30,8 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Crossing
 from hazelhold.rehearse.environment import Environment
+from hazelhold.rehearse.fault_plan import plan
 from hazelhold.rehearse.run import audit_rules
-from hazelhold.rehearse.troubles import plan
 
 
 class Fleet(Environment):
@@ -49,17 +49,17 @@
         self.chief = Notes("rehearsal", "rehearsal", self.crossings)
         for name, host in self.hosts.items():
             host.ticker = Wake(self.clock, host.now, lambda now, h=host: h.machine.next_at(), host._work)
-            door = FarDoor(self, name, host.zone, host.recorder, host._said)
+            door = EmulatedServer(self, name, host.zone, host.recorder, host._said)
             door.muted = host.door.muted
             host.door = door
         lister = self.list_host
         lister.ticker = Wake(self.clock, self.net.now, lambda now: self.service.next_at(), lister._work)
-        lister.door = FarDoor(self, "list", -1, lister.door.recorder, lister._said, self.service.left)
+        lister.door = EmulatedServer(self, "list", -1, lister.door.recorder, lister._said, self.service.left)
 
     def recorder(self, by: str, role: str) -> Notes:
         return Notes(by, role, self.crossings)
 
-    def later(self, far: FarDoor, planner: PlannerHost, call: Callable, *given: object) -> None:
+    def later(self, far: EmulatedServer, planner: PlannerHost, call: Callable, *given: object) -> None:
         """After the way between the two."""
         near = far.zone in (-1, planner.zone)
         self.clock.at(self.clock.now + (self.delay if near else self.far_delay), call, *given)
--- a/hazelhold/emulate/fleet_lines.py
+++ b/hazelhold/emulate/fleet_connections.py
@@ -11,10 +11,10 @@
     from hazelhold.emulate.fleet_planner import PlannerHost
 
 
-class Line:
+class EmulatedConnection:
     """One connection between a planner and a machine or the list; `number` tells lines of one pair apart."""
 
-    def __init__(self, far: "FarDoor", planner: "PlannerHost", number: int) -> None:
+    def __init__(self, far: "EmulatedServer", planner: "PlannerHost", number: int) -> None:
         self.far, self.planner, self.number = far, planner, number
         self.up = False  # the far end has welcomed it
 
@@ -26,7 +26,7 @@
         self.far.fleet.later(self.far, self.planner, self.planner.shut, self)
 
 
-class FarDoor:
+class EmulatedServer:
     """The door of a machine or of the list service."""
 
     def __init__(
@@ -40,7 +40,7 @@
     ) -> None:
         self.fleet, self.name, self.zone, self.recorder = fleet, name, zone, recorder
         self.said, self.left = said, left
-        self.wires: dict[str, Line] = {}
+        self.wires: dict[str, EmulatedConnection] = {}
         self.open, self.address = True, name
         self.muted: Callable[[str], bool] = lambda planner: False
 
@@ -54,12 +54,12 @@
             line.cut()
             self.left(line.planner.name)
 
-    def hears(self, line: Line, message: m.Message) -> None:
+    def hears(self, line: EmulatedConnection, message: m.Message) -> None:
         if self.wires.get(line.planner.name) is line and not self.muted(line.planner.name):
             self.recorder.note(self.fleet.clock.now, line.planner.name, "in", message)
             self.said(line.planner.name, message)
 
-    def reached(self, line: Line) -> bool:
+    def reached(self, line: EmulatedConnection) -> bool:
         """A planner dials: False if nobody is there; silence if it is cut off."""
         if not self.open:
             return False
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from hazelhold.config.planner import PlannerConfig, micros
-from hazelhold.emulate.fleet_lines import Line
+from hazelhold.emulate.fleet_connections import EmulatedConnection
 from hazelhold.emulate.fleet_time import SECOND, Notes, Wake
 from hazelhold.engine.cases import AskList, Dial, HangUp, Lost, Send
 from hazelhold.engine.engine import Engine
@@ -21,8 +21,8 @@
         self.clock, self.up, self.stopping = fleet.clock, True, False
         self.engine = Engine(config, config.seed + life, self.clock.now)
         self.recorder = Notes(config.name, "planner", fleet.crossings)
-        self.lines: dict[str, Line] = {}
-        self.list_line: Line | None = None
+        self.lines: dict[str, EmulatedConnection] = {}
+        self.list_line: EmulatedConnection | None = None
         self.list_wanted: int | None = None if config.list.asked else 0
         self.ticker = Wake(
             self.clock, fleet.net.now, self.engine.next_at, self._work, micros(config.limits.batch_ms)
@@ -72,19 +72,19 @@
         self._hang_up(machine)
         far = self.fleet.hosts[machine].door
         self.fleet.numbers += 1
-        line = self.lines[machine] = Line(far, self, self.fleet.numbers)
+        line = self.lines[machine] = EmulatedConnection(far, self, self.fleet.numbers)
         self.fleet.later(far, self, self._arrives, line, machine)
 
-    def _arrives(self, line: Line, machine: str) -> None:
+    def _arrives(self, line: EmulatedConnection, machine: str) -> None:
         if self.up and self.lines.get(machine) is line and not line.far.reached(line):
             self.fleet.later(line.far, self, self._refused, line, machine)
 
-    def _refused(self, line: Line, machine: str) -> None:
+    def _refused(self, line: EmulatedConnection, machine: str) -> None:
         if self.up and self.lines.get(machine) is line:
             del self.lines[machine]
             self.feed("link_failed", machine)
 
-    def welcomed(self, line: Line) -> None:
+    def welcomed(self, line: EmulatedConnection) -> None:
         if self.up and line is self.list_line:
             line.up = True
             self._ask_list()
@@ -93,7 +93,7 @@
             self.recorder.note(self.clock.now, line.far.name, "open")
             self.feed("link_up", line.far.name, self.fleet.hosts[line.far.name]._welcome())
 
-    def shut(self, line: Line) -> None:
+    def shut(self, line: EmulatedConnection) -> None:
         """The line was broken at its far end."""
         if not self.up:
             return
@@ -113,13 +113,13 @@
                 self.recorder.note(self.clock.now, machine, "shut")
             self.fleet.later(line.far, self, self._hung_up, line)
 
-    def _hung_up(self, line: Line) -> None:
+    def _hung_up(self, line: EmulatedConnection) -> None:
         if line.far.wires.get(self.name) is line:
             del line.far.wires[self.name]
             line.far.recorder.note(self.clock.now, self.name, "shut")
             line.far.left(self.name)
 
-    def hears(self, line: Line, message: m.Message) -> None:
+    def hears(self, line: EmulatedConnection, message: m.Message) -> None:
         if not self.up:
             return
         if line is self.list_line:
@@ -136,7 +136,7 @@
             return
         far = self.fleet.list_host.door
         self.fleet.numbers += 1
-        line = self.list_line = Line(far, self, self.fleet.numbers)
+        line = self.list_line = EmulatedConnection(far, self, self.fleet.numbers)
         if not far.reached(line):
             self.clock.at(self.clock.now + self.fleet.delay, self.shut, line)
 
--- a/hazelhold/emulate/parley.py
+++ b/hazelhold/emulate/membership_simulation.py
@@ -36,7 +36,7 @@
         return self.began + round((own - 1_000_000) / self.rate) + 1
 
 
-class Parley:
+class MembershipSimulation:
     """A world of members. `make(row, seeds, terms, seed, now)` builds a core: the real one unless told."""
 
     def __init__(self, seed: int, terms: Terms, make: Callable[..., Any] = Core) -> None:
--- a/hazelhold/emulate/spread_world.py
+++ b/hazelhold/emulate/spread_world.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Iterable
 
+from hazelhold.emulate.distribution_network import End, SimulatedNetwork
 from hazelhold.emulate.spread_nodes import (
     ControlNode,
     Dialing,
@@ -15,7 +16,6 @@
     PlannerNode,
     Stored,
 )
-from hazelhold.emulate.spread_wires import End, Wires
 from hazelhold.fleetconfig.document import Document, Put, canonical
 from hazelhold.fleetconfig.history import WINDOW_REVISIONS
 from hazelhold.fleetconfig.revision import Change, Position, Revision, SealedRevision, seal
@@ -53,7 +53,7 @@
         a message on its way, microseconds. `relays`: of each zone and region; 0: all follow control
         machines."""
         self.control, self.times = tuple(control), times
-        self.wires, self.window = Wires(seed, latency), window
+        self.wires, self.window = SimulatedNetwork(seed, latency), window
         self.relays = relays
         self.order: list[SealedRevision] = []  # the agreed order; revision n stands at n - 1
         self.committed_at: list[int] = []
--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -13,7 +13,7 @@
 from hazelhold.model.owners import OwnerModel, Want
 from hazelhold.protocol.messages import Enlist, Entry
 from hazelhold.protocol.record import Recorder
-from hazelhold.rehearse.troubles import Target, TroubleStep
+from hazelhold.rehearse.fault_plan import FaultStep, Target
 from hazelhold.service.net import Net
 from hazelhold.service.wire import Wire
 from hazelhold.standin.lister import ListHost
@@ -232,7 +232,7 @@
 
     # What troubles do.
 
-    def do(self, step: TroubleStep) -> None:
+    def do(self, step: FaultStep) -> None:
         """Carries out one step; those on planners are for whoever runs them."""
         getattr(self, "_do_" + step.what)(step.machine, step.value)
 
--- a/hazelhold/rehearse/troubles.py
+++ b/hazelhold/rehearse/fault_plan.py
@@ -15,7 +15,7 @@
     cell: int
 
 
-class TroubleStep(NamedTuple):
+class FaultStep(NamedTuple):
     """Something done to the environment `at` microseconds after the day's start."""
 
     at: int
@@ -24,19 +24,19 @@
     value: object = None
 
 
-def plan(day: Day, seed: int, targets: list[Target], services: list[str]) -> list[TroubleStep]:
+def plan(day: Day, seed: int, targets: list[Target], services: list[str]) -> list[FaultStep]:
     """All steps of a day, in the order of their times."""
     random = Random(f"troubles/{seed}")
-    steps: list[TroubleStep] = []
+    steps: list[FaultStep] = []
     for trouble in day.troubles:
         steps += [
-            TroubleStep(round(at * 1e6), what, machine, value)
+            FaultStep(round(at * 1e6), what, machine, value)
             for at, what, machine, value in SHAPES[trouble.kind](trouble, random, targets, services, day)
         ]
     return sorted(steps, key=lambda s: s.at)
 
 
-def struck(trouble: Trouble, random: Random, targets: list[Target]) -> list[str]:
+def affected_machines(trouble: Trouble, random: Random, targets: list[Target]) -> list[str]:
     """The machines that a trouble strikes: a drawn part of the fleet, or of one kind, cell or zone first."""
     most = max(1, round(trouble.part * len(targets)))
     chosen = list(targets)
@@ -47,7 +47,7 @@
     return [s.name for s in chosen[:most]]
 
 
-def _span(what: str, field: str) -> object:
+def _fleet_wide(what: str, field: str) -> object:
     """A trouble that changes one thing for a while, everywhere."""
 
     def shape(t: Trouble, *_: object) -> list[tuple]:
@@ -56,11 +56,11 @@
     return shape
 
 
-def _ill(what: str) -> object:
+def _per_machine(what: str) -> object:
     """A trouble that makes some machines ill for a while."""
 
     def shape(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
-        names = struck(t, random, targets)
+        names = affected_machines(t, random, targets)
         return [
             (at, what, n, value) for n in names for at, value in ((t.at_s, t.size), (t.at_s + t.for_s, None))
         ]
@@ -71,7 +71,7 @@
 def _crash(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     return [
         (at, what, n, None)
-        for n in struck(t, random, targets)
+        for n in affected_machines(t, random, targets)
         for at, what in ((t.at_s, "crash"), (t.at_s + t.for_s, "up"))
     ]
 
@@ -79,14 +79,14 @@
 def _vanish(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     return [
         (at, what, n, None)
-        for n in struck(t, random, targets)
+        for n in affected_machines(t, random, targets)
         for at, what in ((t.at_s, "silent"), (t.at_s + t.for_s, "crash"), (t.at_s + t.for_s + 0.2, "up"))
     ]
 
 
 def _mass_restart(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     found = []
-    for name in struck(t, random, targets):
+    for name in affected_machines(t, random, targets):
         at = t.at_s + random.uniform(0, min(t.size, 0.5))
         found += [(at, "crash", name, None), (at + t.for_s, "up", name, None)]
     return found
@@ -95,7 +95,7 @@
 def _deploy(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     """Batches of `size` of the fleet drain for `extra` seconds, stop, and come back cold, one after
     another."""
-    names = struck(t, random, targets)
+    names = affected_machines(t, random, targets)
     batch = max(1, round(min(1.0, t.size) * len(targets)))
     batches = [names[i : i + batch] for i in range(0, len(names), batch)]
     found = []
@@ -113,7 +113,7 @@
 def _preempt(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     """In up to four waves: listed as draining, dead `size` seconds later, replaced `extra` seconds after
     that."""
-    names = struck(t, random, targets)
+    names = affected_machines(t, random, targets)
     waves = min(4, len(names))
     found = []
     for at, name in enumerate(names):
@@ -128,7 +128,7 @@
 
 def _ageing(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
     found = []
-    for name in struck(t, random, targets):
+    for name in affected_machines(t, random, targets):
         for part in range(1, 9):
             found.append((t.at_s + t.for_s * part / 9, "slow", name, 1 + (t.size - 1) * part / 8))
         found += [
@@ -179,7 +179,7 @@
     return [(t.at_s, "rejoin", "", (t.part, round(t.for_s * 1e6)))]
 
 
-def struck_planners(t: Trouble, day: Day) -> tuple[list[int], list[int]]:
+def affected_planners(t: Trouble, day: Day) -> tuple[list[int], list[int]]:
     """The planners that a trouble strikes, and those between whom and them it stands."""
     if t.by == "zone":
         whom = [n for n in range(day.planners) if n % day.zones == t.which % day.zones]
@@ -191,16 +191,16 @@
 def _pause(t: Trouble, random: Random, targets: list[Target], services: list[str], day: Day) -> list[tuple]:
     return [
         (at, what, "", number)
-        for number in struck_planners(t, day)[0]
+        for number in affected_planners(t, day)[0]
         for at, what in ((t.at_s, "planner_pause"), (t.at_s + t.for_s, "planner_resume"))
     ]
 
 
-def _between(first: str, last: str) -> object:
+def _planner_pairs(first: str, last: str) -> object:
     def shape(
         t: Trouble, random: Random, targets: list[Target], services: list[str], day: Day
     ) -> list[tuple]:
-        whom, others = struck_planners(t, day)
+        whom, others = affected_planners(t, day)
         return [
             (t.at_s, first, "", (whom, others, t.way, t.part, t.size)),
             (t.at_s + t.for_s, last, "", (whom, others, t.way, 0.0, 0.0)),
@@ -210,8 +210,8 @@
 
 
 SHAPES = {
-    "burst": _span("burst", "size"),
-    "list_down": _span("list_down", "part"),
+    "burst": _fleet_wide("burst", "size"),
+    "list_down": _fleet_wide("list_down", "part"),
     "deploy": _deploy,
     "flush": _flush,
     "heavy_tail": _heavy,
@@ -219,9 +219,9 @@
     "mass_restart": _mass_restart,
     "preempt": _preempt,
     "vanish": _vanish,
-    "report_late": _ill("report_late"),
-    "fast_errors": _ill("errors"),
-    "answer_lost": _ill("lost"),
+    "report_late": _per_machine("report_late"),
+    "fast_errors": _per_machine("errors"),
+    "answer_lost": _per_machine("lost"),
     "ageing": _ageing,
     "crash": _crash,
     "zone_cut": _cut,
@@ -230,6 +230,6 @@
     "planner_disk": _disk,
     "reconnect": _reconnect,
     "planner_pause": _pause,
-    "planner_cut": _between("planner_cut", "planner_heal"),
-    "planner_loss": _between("planner_loss", "planner_loss"),
+    "planner_cut": _planner_pairs("planner_cut", "planner_heal"),
+    "planner_loss": _planner_pairs("planner_loss", "planner_loss"),
 }
--- a/hazelhold/rehearse/wires.py
+++ b/hazelhold/rehearse/fault_proxy.py
@@ -36,19 +36,19 @@
 
     def __init__(self, seed: object) -> None:
         self.random = Random(f"wire/{seed}")
-        self.ills = LinkFaults()
+        self.faults = LinkFaults()
         self.carried = self.lost = 0
         self.free = 0.0  # when the rate lets the next bytes through, in seconds
         self.changed = trio.Event()
 
     def set(self, ills: LinkFaults) -> None:
-        self.ills = ills
+        self.faults = ills
         self.changed.set()
         self.changed = trio.Event()
 
     def fate(self, size: int, now: float) -> list[float]:
         """After how many seconds each copy arrives; empty if none does."""
-        ills = self.ills
+        ills = self.faults
         if ills.cut or self.random.random() < ills.loss:
             self.lost += 1
             return []
@@ -58,13 +58,13 @@
 
     def _slow(self, size: int, now: float) -> float:
         """How long the rate holds so many bytes back."""
-        if not self.ills.rate:
+        if not self.faults.rate:
             return 0.0
-        self.free = max(self.free, now) + size / self.ills.rate
+        self.free = max(self.free, now) + size / self.faults.rate
         return self.free - now
 
 
-class Wires:
+class FaultProxies:
     """All wires between the planners of a rehearsal, on any network. Lives in the nursery given."""
 
     def __init__(self, net: Net, nursery: trio.Nursery, seed: int, host: str = "127.0.0.1") -> None:
@@ -78,19 +78,19 @@
 
     # What goes wrong.
 
-    def ail(self, ones: Iterable[str], others: Iterable[str], way: str = "both", **ills: object) -> None:
+    def degrade(self, ones: Iterable[str], others: Iterable[str], way: str = "both", **ills: object) -> None:
         """Gives the directions from these to those (`out`), back (`in`) or `both` these ills, beside what
         they had."""
         for a, b in self.between(ones, others, way):
-            self.way(a, b).set(self.way(a, b).ills._replace(**ills))
+            self.way(a, b).set(self.way(a, b).faults._replace(**ills))
 
     def cut(self, ones: Iterable[str], others: Iterable[str], way: str = "both") -> None:
-        self.ail(ones, others, way, cut=True)
+        self.degrade(ones, others, way, cut=True)
 
     def heal(self, ones: Iterable[str], others: Iterable[str], way: str = "both") -> None:
-        self.ail(ones, others, way, cut=False)
+        self.degrade(ones, others, way, cut=False)
 
-    def calm(self) -> None:
+    def clear_faults(self) -> None:
         """Takes away all ills."""
         for direction in self.directions.values():
             direction.set(LinkFaults())
@@ -141,7 +141,7 @@
 
         async def door(stream: trio.abc.Stream) -> None:
             async with stream:
-                while self.way(a, b).ills.cut:  # it looks open, and says nothing
+                while self.way(a, b).faults.cut:  # it looks open, and says nothing
                     await self.way(a, b).changed.wait()
                 try:
                     far = await self.net.dial(target)
@@ -160,11 +160,11 @@
             while True:
                 data = await source.receive_some(CHUNK)
                 late = direction._slow(len(data), trio.current_time()) + (
-                    direction.random.uniform(*direction.ills.delay) / 1000
+                    direction.random.uniform(*direction.faults.delay) / 1000
                 )
                 if late > 0:
                     await trio.sleep(late)
-                while direction.ills.cut:
+                while direction.faults.cut:
                     await direction.changed.wait()
                 if not data:
                     break
--- a/hazelhold/rehearse/run.py
+++ b/hazelhold/rehearse/run.py
@@ -27,10 +27,10 @@
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.crashes import CrashingRunner, DiskFault
 from hazelhold.rehearse.environment import Environment
+from hazelhold.rehearse.fault_plan import FaultStep, plan
+from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.rehearse.ports import free_ports
 from hazelhold.rehearse.runners import InProcessRunner, PlannerRunner, ProcessRunner, Programs
-from hazelhold.rehearse.troubles import TroubleStep, plan
-from hazelhold.rehearse.wires import Wires
 from hazelhold.service.net import MemoryNet, Net, TcpNet
 from hazelhold.standin.disk import Points
 
@@ -53,7 +53,7 @@
 
 
 async def wire_up(
-    configs: list[PlannerConfig], day: Day, wires: Wires, ports: list[str]
+    configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str]
 ) -> list[PlannerConfig]:
     """The configurations with membership on, each planner reaching each other by a wire of its own."""
     names = [s.name for s in configs]
@@ -83,7 +83,7 @@
 
 
 async def copy_up(
-    configs: list[PlannerConfig], day: Day, wires: Wires, ports: list[str], folder: Path
+    configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str], folder: Path
 ) -> list[PlannerConfig]:
     """The configurations with claims agreed among all, each planner reaching the others by its own wires."""
     names = [s.name for s in configs]
@@ -170,7 +170,7 @@
         configs = planner_configs(day, seed, list_address, doors)
         wires = None
         if day.membership.on:
-            wires = Wires(net, nursery, seed, host)
+            wires = FaultProxies(net, nursery, seed, host)
             ports = (
                 [f"{host}:{port}" for port in free_ports(day.planners, socket.SOCK_DGRAM)]
                 if isinstance(net, TcpNet)
@@ -236,7 +236,7 @@
     environment: Environment,
     runner: PlannerRunner,
     chief: Recorder,
-    wires: Wires | None,
+    wires: FaultProxies | None,
     start: int,
 ) -> None:
     services = [w.service for w in environment.wants]
@@ -250,7 +250,7 @@
             environment.do(step)
 
 
-async def _planner(step: TroubleStep, runner: PlannerRunner, chief: Recorder, net: Net) -> None:
+async def _planner(step: FaultStep, runner: PlannerRunner, chief: Recorder, net: Net) -> None:
     """Does something to a planner's process, and notes it: an end before it comes (a crash is noted by
     the runner that makes it), a start once it is up."""
     name, what = f"planner-{step.value}", step.what.removeprefix("planner_")
@@ -265,13 +265,13 @@
         chief.note(net.now(), name, step.what)
 
 
-def _between(step: TroubleStep, wires: Wires, chief: Recorder, now: int) -> None:
+def _between(step: FaultStep, wires: FaultProxies, chief: Recorder, now: int) -> None:
     """Does something to the wires between planners."""
     whom, others, way, part, size = step.value
     ones, rest = [f"planner-{n}" for n in whom], [f"planner-{n}" for n in others]
     pairs = wires.between(ones, rest, way)
     if step.what == "planner_loss":
-        wires.ail(ones, rest, way, loss=part, double=part / 3, delay=(0.0, size * 1000))
+        wires.degrade(ones, rest, way, loss=part, double=part / 3, delay=(0.0, size * 1000))
     elif step.what == "planner_cut":
         wires.cut(ones, rest, way)
     else:
--- a/hazelhold/rehearse/alone.py
+++ b/hazelhold/rehearse/standalone.py
@@ -10,7 +10,7 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.frames import FrameError
 from hazelhold.rehearse.environment import Environment
-from hazelhold.rehearse.troubles import plan
+from hazelhold.rehearse.fault_plan import plan
 from hazelhold.service.net import TcpNet
 from hazelhold.service.wire import Wire
 
--- a/tests/processes/fleetconfig_rig.py
+++ b/tests/processes/fleetconfig_rig.py
@@ -31,8 +31,8 @@
 from hazelhold.fleetconfig.revision import Change
 from hazelhold.fleetconfig.store import KINDS, Stored, read_ledger
 from hazelhold.protocol.frames import FrameReader, frame
+from hazelhold.rehearse.fault_proxy import CHUNK, Direction, FaultProxies
 from hazelhold.rehearse.ports import free_ports
-from hazelhold.rehearse.wires import CHUNK, Direction, Wires
 from hazelhold.replica.votes import found
 from hazelhold.service.net import TcpNet
 from hazelhold.state.disk import RealDisk
@@ -46,7 +46,7 @@
 COMMIT = {"prepare", "promise", "accept", "accepted", "propose", "propose_answer", "revisions", "stored"}
 
 
-class FrameWires(Wires):
+class FrameWires(FaultProxies):
     """Wires that see frames. `kill` is called before the `left`-th message of a commit that `victim` sends or
     hears is carried on."""
 
@@ -78,7 +78,7 @@
         try:
             while data := await source.receive_some(CHUNK):
                 for body in reader.feed(data):
-                    while direction.ills.cut:
+                    while direction.faults.cut:
                         await direction.changed.wait()
                     self._saw(ends, body)
                     await sink.send_all(frame(body))
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -17,8 +17,8 @@
 from hazelhold.cli.members import ask
 from hazelhold.config.planner import MembershipConfig, PlannerConfig
 from hazelhold.membership.rows import STATES
+from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.rehearse.ports import free_ports
-from hazelhold.rehearse.wires import Wires
 from hazelhold.service.net import TcpNet
 from tests.helpers import planner_config
 
@@ -34,7 +34,7 @@
     ) -> None:
         self.folder, self.nursery, self.timing = folder, nursery, timing
         self.net = TcpNet()
-        self.wires = Wires(self.net, nursery, seed)
+        self.wires = FaultProxies(self.net, nursery, seed)
         self.names = [f"p{n}" for n in range(count)]
         self.ports = dict(zip(self.names, free_ports(count, socket.SOCK_DGRAM), strict=True))
         self.doors = dict(zip(self.names, free_ports(count), strict=True))
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -19,10 +19,10 @@
 from hazelhold.protocol import messages as m
 from hazelhold.protocol.record import Recorder
 from hazelhold.rehearse.environment import Environment
+from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.rehearse.ports import free_ports
 from hazelhold.rehearse.run import audit_rules, copy_up, planner_configs, wire_up
 from hazelhold.rehearse.runners import ProcessRunner
-from hazelhold.rehearse.wires import Wires
 from hazelhold.service.net import TcpNet
 from hazelhold.service.wire import Wire
 
@@ -121,7 +121,7 @@
         (folder / "records").mkdir()
         self.chief = Recorder(folder / "records" / "rehearsal.jsonl", "rehearsal", "rehearsal")
         self.environment = Environment(self.day, 1, self.net, folder / "records", "127.0.0.1")
-        self.wires = Wires(self.net, nursery, 1)
+        self.wires = FaultProxies(self.net, nursery, 1)
         self.names = [f"planner-{n}" for n in range(count)]
 
     async def open(self) -> None:
@@ -296,7 +296,7 @@
             await owners[1].placed("x", first=1)
             standing = {n: (await made.standing(n))["agrees"] for n in range(2)}
             assert standing == {0: "no_majority", 1: "yes"}  # as `hazelhold members` shows it
-            made.wires.calm()
+            made.wires.clear_faults()
             await owners[0].placed("y")
             await made.logged("agrees_again", 0)
             assert made.starts("x") == 1
--- a/tests/processes/test_fleetconfig_courses.py
+++ b/tests/processes/test_fleetconfig_courses.py
@@ -78,7 +78,7 @@
         south = [name for name in self.made.regions if name not in north]
         self.made.wires.cut(north, south, self.random.choice(["in", "out", "both"]))
         await self.write(f"cut-{len(self.told)}", seconds=3)
-        self.made.wires.calm()
+        self.made.wires.clear_faults()
 
     async def restart_all(self) -> None:
         """All control machines die at once, and come back with their disks."""
@@ -129,7 +129,7 @@
     async def end(self) -> None:
         """Everybody is back; every change is settled; the last one is in force everywhere."""
         await self.heal()
-        self.made.wires.calm()
+        self.made.wires.clear_faults()
         for change in self.asked.values():
             await self.ask(change, LONG)
             assert self.outcomes[change.id][-1] in ("committed", "conflict"), (change.id, self.outcomes)
--- a/tests/processes/test_fleetconfig_processes.py
+++ b/tests/processes/test_fleetconfig_processes.py
@@ -144,7 +144,7 @@
                 cut = await made.until("p1", lambda said: bool(said.cut_off))
                 assert cut.in_force == base
             await made.until("c1", lambda said: bool(said.cut_off))
-            made.wires.calm()
+            made.wires.clear_faults()
             await made.all_have(number)
             north = await made.put("north", base, customers__x={"by": "north"})
             south = await made.put("south", base, customers__x={"by": "south"})
--- a/tests/processes/test_membership_processes.py
+++ b/tests/processes/test_membership_processes.py
@@ -78,7 +78,7 @@
         await made.holds(
             10, lambda views: all(s != "gone" for v in views.values() for s in v.values()), made.names
         )
-        made.wires.calm()
+        made.wires.clear_faults()
         await made.all_alive()
 
     play(tmp_path, 4, test, suspect_ms=4000.0, suspect_most_ms=12_000.0)
@@ -94,7 +94,7 @@
         assert (await made.seen(made.at("p2")))[0]["alone_us"] >= 0
         await made.holds(3, lambda views: all(views[a][b] == "alive" for a in rest for b in rest), rest)
         assert {x["member"] for x in made.said() if x["state"] in ("suspected", "gone")} == {"p2"}
-        made.wires.calm()
+        made.wires.clear_faults()
         await made.all_alive()
 
     play(tmp_path, 5, test, suspect_ms=3000.0, suspect_most_ms=9000.0)
@@ -111,7 +111,7 @@
                 and all(views[a][b] == "alive" for h in (one, other) for a in h for b in h)
             )
         )
-        made.wires.calm()
+        made.wires.clear_faults()
         await made.all_alive()
 
     play(tmp_path, 6, test)
@@ -119,11 +119,11 @@
 
 def test_lost_late_and_doubled_datagrams_make_nobody_gone(tmp_path: Path) -> None:
     async def test(made: Rig) -> None:
-        made.wires.ail(made.names, made.names, loss=0.3, double=0.1, delay=(0.0, 60.0))
+        made.wires.degrade(made.names, made.names, loss=0.3, double=0.1, delay=(0.0, 60.0))
         await made.holds(
             15, lambda views: all(s != "gone" for v in views.values() for s in v.values()), made.names
         )
-        made.wires.calm()
+        made.wires.clear_faults()
         await made.all_alive()
         assert not [x for x in made.said() if x["state"] == "gone"]
 
--- a/tests/test_town.py
+++ b/tests/test_client_population.py
@@ -14,16 +14,16 @@
 from hazelhold.client.places import Watch, read_places
 from hazelhold.client.types import Outcome
 from hazelhold.config.load import ConfigError
-from hazelhold.emulate.town import BIN, SECOND, Demand, Town
+from hazelhold.emulate.client_population import BIN, SECOND, ClientPopulation, Demand
 from hazelhold.protocol import messages as m
 from hazelhold.service.net import MemoryNet
 from hazelhold.service.wire import Wire
 from tests.helpers import MS, EngineHarness, planner_config
 
 
-def town(size: int, spread: bool, **demand: object) -> Town:
+def town(size: int, spread: bool, **demand: object) -> ClientPopulation:
     wanted = Demand(20.0, **{"patience": 5 * SECOND, "life": SECOND, **demand})
-    made = Town(planner_config(), size, 1, wanted, ClientPolicy(), spread, machines=2)
+    made = ClientPopulation(planner_config(), size, 1, wanted, ClientPolicy(), spread, machines=2)
     made.open(2 * SECOND)
     while len(made.back) < size:
         made.clock.run(made.clock.now + SECOND)
@@ -40,10 +40,10 @@
         gone = here.clock.now
         for number, span in enumerate(losses):
             if number % 2 == 0:
-                here.office.stop(True)
+                here.planner.stop(True)
             here.clock.run(here.clock.now + round(span * SECOND))
             if number % 2 == 0:
-                here.office.start()
+                here.planner.start()
         here.clock.run(here.clock.now + 35 * SECOND)
         assert len(here.back) == 300 and not here.counts["late_retries"]
         found.append((here.peak(here.dials, gone), here.counts["placed"]))
@@ -55,9 +55,9 @@
 def test_guests_outlive_a_planner_that_dies_and_none_is_lost_or_run_twice() -> None:
     here = town(100, True, product="once", effect="exclusive", life=20 * SECOND)
     ran = here.counts["runs"]
-    here.office.stop(False)
+    here.planner.stop(False)
     here.clock.run(here.clock.now + 2 * SECOND)
-    here.office.start()
+    here.planner.start()
     here.clock.run(here.clock.now + 10 * SECOND)
     here.fresh_until = 0
     here.clock.run(here.clock.now + 60 * SECOND)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 from hazelhold.config.day import read_day
 from hazelhold.config.load import ConfigError
 from hazelhold.config.planner import read_planner
-from hazelhold.rehearse.troubles import Target, plan
+from hazelhold.rehearse.fault_plan import Target, plan
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -77,9 +77,9 @@
 
 
 def test_machines_enlist_with_a_list_service_elsewhere() -> None:
-    from hazelhold.rehearse.alone import run_part
     from hazelhold.rehearse.environment import Environment
     from hazelhold.rehearse.ports import free_ports
+    from hazelhold.rehearse.standalone import run_part
     from hazelhold.service.net import TcpNet
 
     day = msgspec.structs.replace(read_day(EXAMPLES / "quiet-day.json5"), length_s=2.0)
--- a/tests/test_wires.py
+++ b/tests/test_fault_proxy.py
@@ -6,18 +6,18 @@
 import trio
 from trio.testing import MockClock
 
-from hazelhold.rehearse.wires import Direction, LinkFaults, Wires
+from hazelhold.rehearse.fault_proxy import Direction, FaultProxies, LinkFaults
 from hazelhold.service.net import MemoryNet, Net, TcpNet
 
 NETS = [pytest.param(True, id="memory"), pytest.param(False, id="sockets")]
 
 
-def with_wires(memory: bool, test: Callable[[Wires, Net], Awaitable[None]]) -> None:
+def with_wires(memory: bool, test: Callable[[FaultProxies, Net], Awaitable[None]]) -> None:
     async def run() -> None:
         net = MemoryNet() if memory else TcpNet()
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
-                await test(Wires(net, nursery, 1, "memory" if memory else "127.0.0.1"), net)
+                await test(FaultProxies(net, nursery, 1, "memory" if memory else "127.0.0.1"), net)
                 nursery.cancel_scope.cancel()
 
     trio.run(run, clock=MockClock(autojump_threshold=0) if memory else None)
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("memory", NETS)
 def test_each_direction_of_datagrams_is_cut_by_itself(memory: bool) -> None:
-    async def test(wires: Wires, net: Net) -> None:
+    async def test(wires: FaultProxies, net: Net) -> None:
         a = await net.port("memory:0" if memory else "127.0.0.1:0")
         b = await net.port("memory:0" if memory else "127.0.0.1:0")
         to_b = address(net, await wires.datagrams("a", "b", b.address))
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("memory", NETS)
 def test_a_connection_over_a_cut_stays_open_and_silent_and_goes_on_after_it(memory: bool) -> None:
-    async def test(wires: Wires, net: Net) -> None:
+    async def test(wires: FaultProxies, net: Net) -> None:
         came: list[bytes] = []
 
         async def echo(stream: trio.abc.Stream) -> None:
@@ -91,7 +91,7 @@
         with trio.move_on_after(0.5) as waited:
             await stream.receive_some(100)
         assert waited.cancelled_caught and came == [b"one", b"two"]
-        wires.calm()
+        wires.clear_faults()
         assert await stream.receive_some(100) == b"TWO"
         wires.cut(["a"], ["b"], "out")
         await stream.send_all(b"three")
@@ -100,7 +100,7 @@
             await late.send_all(b"four")
             await late.receive_some(100)
         assert waited.cancelled_caught and came == [b"one", b"two"]
-        wires.calm()
+        wires.clear_faults()
         assert await stream.receive_some(100) == b"THREE"
         assert await late.receive_some(100) == b"FOUR"
 
@@ -108,7 +108,7 @@
 
 
 def test_a_far_end_that_refuses_or_breaks_ends_the_connection() -> None:
-    async def test(wires: Wires, net: Net) -> None:
+    async def test(wires: FaultProxies, net: Net) -> None:
         async def shut(stream: trio.abc.Stream) -> None:
             await stream.aclose()
 
--- a/tests/test_fleetconfig_spread.py
+++ b/tests/test_fleetconfig_spread.py
@@ -4,8 +4,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from hazelhold.emulate.distribution_network import Faults
 from hazelhold.emulate.spread_nodes import Planned, Stored
-from hazelhold.emulate.spread_wires import Faults
 from hazelhold.emulate.spread_world import put_planner
 from hazelhold.fleetconfig.roster import Place
 from tests.spread_rig import (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hazelhold.emulate.heartbeats import Heartbeats
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import Core
 from hazelhold.membership.rows import ALIVE, GONE, LEFT
 from tests.membership_world import SEEDS, TERMS, TWO, heard, names, within, world
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", TWO)
 def test_all_seeds_down_at_the_start_and_one_comes_late(seed: int) -> None:
-    made = Parley(seed, TERMS)
+    made = MembershipSimulation(seed, TERMS)
     for number in (3, 4, 5):
         made.start(f"m{number}", list(SEEDS))
     made.run(20)
@@ -92,7 +92,7 @@
 
 def test_a_first_planner_whose_seeds_stay_down_is_in_contact_once_others_joined_through_it() -> None:
     """Else it would outlive a younger process of its name, which came later and has to stay."""
-    made = Parley(1, TERMS)
+    made = MembershipSimulation(1, TERMS)
     older = made.start("m3", list(SEEDS))
     for name in ("m4", "m5"):
         made.start(name, ["at-m3"])
--- a/tests/test_membership_cuts.py
+++ b/tests/test_membership_cuts.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import Core
 from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row
 from tests.membership_world import SEEDS, TERMS, TWO, heard, names, within, world
@@ -23,7 +23,7 @@
     assert made.processes["m2"].core.table.members["m3"].via, "it says through whom it hears of the other"
 
 
-def isolated(made: Parley, name: str, deaf: bool, mute: bool) -> None:
+def isolated(made: MembershipSimulation, name: str, deaf: bool, mute: bool) -> None:
     others = names(6, name)
     if deaf:
         made.cut(others, [name], both=False)
@@ -31,7 +31,7 @@
         made.cut([name], others, both=False)
 
 
-def lone(made: Parley, name: str, deaf: bool, mute: bool) -> None:
+def lone(made: MembershipSimulation, name: str, deaf: bool, mute: bool) -> None:
     """What must hold of one that is deaf, mute or both: it is gone for the others, who accuse nobody else;
     it says that it is alone, sees the others as suspected, and calls nobody gone."""
     began = made.now / 1e6
@@ -59,7 +59,7 @@
     lone(world(6, seed), "m2", deaf, mute)
 
 
-def parted(made: Parley, both: bool) -> None:
+def parted(made: MembershipSimulation, both: bool) -> None:
     """Alive means answers: where a zone is not heard, neither side gets answers from the other."""
     one, other = ["m0", "m2", "m4"], ["m1", "m3", "m5"]
     made.cut(one, other, both)
@@ -96,7 +96,7 @@
 
 
 def test_clocks_that_run_at_other_rates_and_jumps_of_the_wall_clock_change_nothing() -> None:
-    made = Parley(1, TERMS)
+    made = MembershipSimulation(1, TERMS)
     for number in range(6):
         made.start(f"m{number}", list(SEEDS), rate=(0.8, 1.0, 1.25)[number % 3], life=10 ** (number + 1))
     within(made, 8, made.agree)
@@ -143,7 +143,7 @@
         lone(world(6, 1, NoWitness), "m2", deaf, mute)
 
 
-def overslept(make: type) -> Parley:
+def overslept(make: type) -> MembershipSimulation:
     """m0 hears a suspicion of m3, which m3 would refute, and is stopped before it can ask; what comes
     meanwhile is lost, as where a socket's buffer is full."""
     made = world(6, 2, make)
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership import messages
 from hazelhold.membership.core import Core, News, Post
 from hazelhold.membership.rows import ALIVE, Row, key, told
@@ -59,7 +59,7 @@
 
 def test_a_thousand_names_that_do_not_exist_are_bounded_probed_and_forgotten() -> None:
     terms = TERMS._replace(most_members=300, forget=20_000_000)
-    made = Parley(1, terms)
+    made = MembershipSimulation(1, terms)
     for name in names(4):
         made.start(name, list(SEEDS))
     made.run(3)
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import Core, Post
 from hazelhold.membership.rows import ALIVE, GONE, Row, key
 from tests.membership_world import SEEDS, TERMS, heard, names, within
@@ -37,7 +37,7 @@
 class Watch:
     """Looks at a view after each event: what must never go back, does not."""
 
-    def __init__(self, made: Parley) -> None:
+    def __init__(self, made: MembershipSimulation) -> None:
         self.made, self.last = made, {}
         carry = made._carry_out
 
@@ -58,8 +58,8 @@
         made._carry_out = look
 
 
-def settle_three(make: type = Core) -> Parley:
-    made = Parley(1, TERMS, make)
+def settle_three(make: type = Core) -> MembershipSimulation:
+    made = MembershipSimulation(1, TERMS, make)
     Watch(made)
     for name in ("m0", "m1", "m2"):
         made.start(name, list(SEEDS))
@@ -87,7 +87,7 @@
     return all(patterns <= renamed(order) for order in orders)
 
 
-def play_cuts(made: Parley, *patterns: tuple[bool, ...]) -> None:
+def play_cuts(made: MembershipSimulation, *patterns: tuple[bool, ...]) -> None:
     for pattern in patterns:
         made.cuts = {pair for pair, cut in zip(PAIRS, pattern, strict=True) if cut}
         made.run(made.now / 1e6 + 5.5)
@@ -114,7 +114,7 @@
 FATES = ("comes", "lost", "late", "twice")
 
 
-def fated(fates: tuple[str, ...], make: type, fault: str) -> Parley:
+def fated(fates: tuple[str, ...], make: type, fault: str) -> MembershipSimulation:
     """Three members; from now on the datagrams meet these fates, one each, then all come."""
     made = settle_three(make)
     left = list(fates)
@@ -161,7 +161,7 @@
 @given(st.data())
 def test_generated_schedules_end_in_agreement(data: st.DataObject) -> None:
     """Cuts, pauses, crashes, restarts, leaves and loss as they are drawn, over five members; then quiet."""
-    made = Parley(data.draw(st.integers(1, 1000)), TERMS)
+    made = MembershipSimulation(data.draw(st.integers(1, 1000)), TERMS)
     Watch(made)
     for name in names(5):
         made.start(name, list(SEEDS))
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -8,7 +8,7 @@
 from hazelhold.cli.main import main
 from hazelhold.config.day import Day, Trouble, check_day, read_day
 from hazelhold.protocol.record import Crossing
-from hazelhold.rehearse.troubles import plan
+from hazelhold.rehearse.fault_plan import plan
 from tests.test_day import EXAMPLES, bad_day
 
 PARTED = EXAMPLES / "parted-day.json5"
