--- a/bench/client.py
+++ b/bench/client.py
@@ -87,14 +87,14 @@
     )
     town.open(2 * SECOND)
     town.clock.run(4 * SECOND)
-    town.want(town.clock.now + seconds * SECOND)
+    town.generate_guests(town.clock.now + seconds * SECOND)
     town.clock.run(town.clock.now + (seconds + 2) * SECOND + patience)
     said, counts = town.planner.engine.advice.counts, town.counts
     return {
         "times": times,
         "patience_s": patience / SECOND,
         "carries": round(carries),
-        "made": town.made,
+        "made": town.submitted,
         "placed": counts["placed"],
         "asks": counts["asks"],
         "retries": counts["retries"],
--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -72,7 +72,7 @@
     for name in names:
         made.start(name, ["at-m0", "at-m1"])
     kept: list[bytes] = []
-    post = made._post
+    post = made._send_datagram
 
     def listen(process: object, action: Post) -> None:
         if len(kept) < 500 or random.random() < 0.01:
@@ -80,7 +80,7 @@
             del kept[:-500]
         post(process, action)
 
-    made._post = listen
+    made._send_datagram = listen
     done = 0
     while done < datagrams:
         made.run(made.now / 1e6 + 0.05)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -109,7 +109,7 @@
 
     def note(by: str, news: News) -> None:
         if news.what == "gone" and (about := made.processes.get(news.name)) is not None:
-            ran = about.up and not about.paused and made.now - about.resumed > 1_000_000
+            ran = about.up and not about.paused and made.now - about.resumed_at > 1_000_000
             wrongly[0] += ran and not (deaf and news.name == "m1")
 
     made.on_news = note
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -4,8 +4,8 @@
 carries:
 
 - the planner's processor: a thousand clients, machines that take everything, and a processor that is
-  emulated by costs (hazelhold/emulate/client_population.py), once with all protections and once without (no ask refused
-  for the line, decisions without a pause to read, clients that repeat at once and without a budget);
+  emulated by costs (hazelhold/emulate/client_population.py), once with all protections and once without (no
+  ask refused for the line, decisions without a pause to read, clients that repeat at once and without a budget);
 - the machines: the quiet example's, as models, with stand-in senders.
 
 Useful are guests placed within their patience. The machines' own evictions are not the planner's to answer.
@@ -53,7 +53,7 @@
     town.clock.run(8 * SECOND)
     if not protected:
         town.planner.engine.advice.hopeless = lambda *asked: False
-    town.want(town.clock.now + seconds * SECOND)
+    town.generate_guests(town.clock.now + seconds * SECOND)
     start = town.clock.now + 2 * SECOND
     town.clock.run(town.clock.now + seconds * SECOND)
     useful = sum(n for at, n in town.useful.items() if at * SECOND // 10 >= start)
--- a/bench/returns.py
+++ b/bench/returns.py
@@ -3,8 +3,8 @@
 
 Run as `python -m bench.returns --sizes 1000,10000 --plot docs/plots/returns.png`. Each row plays one loss
 twice, with the library's spreading and with clients that dial again every 50 ms whatever they are told. The
-planner's processor is emulated by costs (hazelhold/emulate/client_population.py); the cores, the door, the engine and the
-module are the real ones.
+planner's processor is emulated by costs (hazelhold/emulate/client_population.py); the cores, the
+door, the engine and the module are the real ones.
 """
 
 import argparse
@@ -36,9 +36,9 @@
         planner_config(), size, 1, Demand(100.0, patience, SECOND), ClientPolicy(), spread
     )
     town.open(max(4 * SECOND, size * SECOND // 250))
-    while len(town.back) < size:
+    while len(town.connected_at) < size:
         town.clock.run(town.clock.now + SECOND)
-    town.want(town.clock.now + 600 * SECOND)
+    town.generate_guests(town.clock.now + 600 * SECOND)
     town.clock.run(town.clock.now + 5 * SECOND)
     gone, before = town.clock.now, dict(town.counts)
     window = town.planner._window() if last_words else 0
@@ -51,10 +51,10 @@
         else:
             town.clock.run(town.clock.now + round(span * SECOND))
     limit = town.clock.now + 600 * SECOND
-    while len(town.back) < size and town.clock.now < limit:
+    while len(town.connected_at) < size and town.clock.now < limit:
         town.clock.run(town.clock.now + BIN)
     took = town.clock.now - up
-    town.fresh_until = 0
+    town.generate_until = 0
     town.clock.run(town.clock.now + patience + 2 * SECOND)
     dials = [town.dials[at] for at in range(gone // BIN, (up + took) // BIN + 1)]
     counts = {k: n - before.get(k, 0) for k, n in town.counts.items()}
--- a/hazelhold/emulate/__init__.py
+++ b/hazelhold/emulate/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time without sockets: the very cores, doors and engines, at sizes that sockets do not bear."""
+"""Emulators in virtual time, without sockets: the production cores and engines at sizes beyond sockets."""
--- a/hazelhold/emulate/fleet.py
+++ b/hazelhold/emulate/fleet.py
@@ -1,12 +1,14 @@
-"""A whole fleet in discrete events: the day files' machines, list, owners and troubles round real engines.
+"""Emulates a whole fleet in discrete events: a day's machines, list service, owners and faults, with real
+engines.
 
-What a rehearsal plays on sockets or memory streams is played here by calls: the same environment, models,
-engines and module, and records that the same audit judges. Left out are frames and their bytes. A message
-travels `delay`, or `far` between zones; a connection breaks for both ends after the same; a planner works at
-most once in its `batch_ms`, as its ticker does. Processors cost no time here (town.py has those).
+It replaces the sockets or memory streams of a rehearsal by scheduled calls. The environment, models, engines
+and scheduler are the same, and the same audit checks the records. Frames and their bytes are left out. A
+message takes `delay` microseconds, or `far` between zones; the end of a connection takes as long to reach
+the other side. A planner works at most once per `batch_ms`, as its ticker does. Processor time is not
+emulated here (client_population.py does that).
 
-The parts stand in modules of their own: `fleet_time` (clock and records), `fleet_lines` (connections),
-`fleet_planner` and `fleet_owner`; the day itself is here.
+Other modules hold the parts: `fleet_time` (clock and records), `fleet_connections`, `fleet_planner` and
+`fleet_owner`.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,23 +37,23 @@
 
 
 class Fleet(Environment):
-    """A day. `audited` keeps what crossed; without it only counts are kept."""
+    """One day. With `audited` all messages are recorded, otherwise only counts are kept."""
 
     def __init__(self, day: Day, seed: int, audited: bool = True, delay: int = 300, far: int = 1500) -> None:
         self.clock = Clock()
-        self.clock.now = SECOND  # moments of 0 mean none
+        self.clock.now = SECOND  # a time of 0 means none
         self.crossings: list[Crossing] | None = [] if audited else None
         super().__init__(day, seed, Net(self.clock), None, "fleet")
         self.delay, self.far_delay, self.numbers = delay, far, 0
-        self.reach: dict[str, set[str]] = {}  # owner: planners that it is connected to
+        self.reach: dict[str, set[str]] = {}  # by owner, the planners that it is connected to
         self.planners: dict[str, PlannerHost] = {}
         self.lives: dict[str, int] = {}
         self.chief = Notes("rehearsal", "rehearsal", self.crossings)
         for name, host in self.hosts.items():
             host.ticker = Wake(self.clock, host.now, lambda now, h=host: h.machine.next_at(), host._work)
-            door = EmulatedServer(self, name, host.zone, host.recorder, host._said)
-            door.muted = host.door.muted
-            host.door = door
+            server = EmulatedServer(self, name, host.zone, host.recorder, host._said)
+            server.muted = host.door.muted
+            host.door = server
         lister = self.list_host
         lister.ticker = Wake(self.clock, self.net.now, lambda now: self.service.next_at(), lister._work)
         lister.door = EmulatedServer(self, "list", -1, lister.door.recorder, lister._said, self.service.left)
@@ -59,25 +61,25 @@
     def recorder(self, by: str, role: str) -> Notes:
         return Notes(by, role, self.crossings)
 
-    def later(self, far: EmulatedServer, planner: PlannerHost, call: Callable, *given: object) -> None:
-        """After the way between the two."""
-        near = far.zone in (-1, planner.zone)
-        self.clock.at(self.clock.now + (self.delay if near else self.far_delay), call, *given)
+    def later(self, server: EmulatedServer, planner: PlannerHost, call: Callable, *arguments: object) -> None:
+        """Schedules a call after the network delay between a server and a planner."""
+        near = server.zone in (-1, planner.zone)
+        self.clock.at(self.clock.now + (self.delay if near else self.far_delay), call, *arguments)
 
-    def owner_hears(self, owner: str, host: PlannerHost, message: m.Message) -> None:
+    def deliver_to_owner(self, owner: str, host: PlannerHost, message: m.Message) -> None:
         if host.up and host.name in self.reach.get(owner, ()):
-            self.by_owner[owner].hears(host.name, message)
+            self.by_owner[owner].receive(host.name, message)
 
     # The day.
 
     def play(self) -> dict[str, Any]:
-        """The whole day; the report of rehearse.run, with events and crossings counted."""
+        """Plays the whole day; returns a report like that of rehearse.run, with the number of events."""
         day, clock = self.day, self.clock
         for name, host in self.hosts.items():
             host.ticker.stir()
             self._list(name, "ready", at_once=True)
         self._rooms()
-        self._keep_rooms_on()
+        self._update_free_capacity()
         self.list_host.ticker.stir()
         self.service.advance(clock.now)
         self.configs = {
@@ -98,13 +100,13 @@
             self.start_planner(name)
         self.chief.note(clock.now, "", "rules", audit_rules(day))
         start = clock.now
-        self._bring(start)
+        self._start_owners(start)
         for step in plan(day, self.seed, self.targets, [w.service for w in self.wants]):
-            clock.at(start + step.at, self._strike, step)
+            clock.at(start + step.at, self._inject_fault, step)
         clock.run(start + round(day.length_s * 1e6))
         self.chief.note(clock.now, "", "day_over")
-        longest = max(p.patience_ms for p in day.estate.products) / 1000
-        clock.run(clock.now + round((longest + 1) * 1e6))
+        max_patience = max(p.patience_ms for p in day.estate.products) / 1000
+        clock.run(clock.now + round((max_patience + 1) * 1e6))
         self.close()
         return self.report()
 
@@ -130,11 +132,11 @@
             }
         return found
 
-    def _keep_rooms_on(self) -> None:
+    def _update_free_capacity(self) -> None:
         self._rooms()
-        self.clock.at(self.clock.now + SECOND // 2, self._keep_rooms_on)
+        self.clock.at(self.clock.now + SECOND // 2, self._update_free_capacity)
 
-    def _bring(self, now: int) -> None:
+    def _start_owners(self, now: int) -> None:
         demand = self.day.demand
         until = now + round((demand.until_s or self.day.length_s) * 1e6)
         for number in range(demand.owners):
@@ -165,14 +167,14 @@
             wait = int(Random(f"{sender.model.name}/{name}/{self.lives[name]}").uniform(0.05, 1.0) * SECOND)
             self.clock.at(self.clock.now + wait, sender.connect, name)
 
-    def _strike(self, step: Any) -> None:  # noqa: ANN401 - a TroubleStep
+    def _inject_fault(self, step: Any) -> None:  # noqa: ANN401 - a TroubleStep
         if not step.what.startswith("planner_"):
             self.do(step)
             return
         name = f"planner-{step.value}"
         host = self.planners[name]
-        if host.up and host.stopping:  # as a runner does, wait for the end of a stop
-            self.clock.at(self.clock.now + SECOND // 100, self._strike, step)
+        if host.up and host.stopping:  # wait for the end of a stop, as a runner does
+            self.clock.at(self.clock.now + SECOND // 100, self._inject_fault, step)
             return
         if step.what == "planner_start":
             self.start_planner(name)
@@ -183,37 +185,37 @@
             return
         if step.what == "planner_stop":
             host.stopping = True
-            host.feed("stop")
-            self._stopped(host, self.clock.now + micros(host.config.limits.stop_ms))
+            host.deliver("stop")
+            self._end_when_answered(host, self.clock.now + micros(host.config.limits.stop_ms))
         else:
-            self._ended(host)
+            self._end_planner(host)
 
-    def _stopped(self, host: PlannerHost, until: int) -> None:
-        """Ends once everybody is answered, or the time for it is over."""
+    def _end_when_answered(self, host: PlannerHost, until: int) -> None:
+        """Ends a stopping planner once all guests are answered or the time for it is over."""
         if host.engine.unanswered() and self.clock.now < until:
-            self.clock.at(self.clock.now + SECOND // 100, self._stopped, host, until)
+            self.clock.at(self.clock.now + SECOND // 100, self._end_when_answered, host, until)
             return
-        host.feed("stop_now")
-        self._ended(host)
+        host.deliver("stop_now")
+        self._end_planner(host)
 
-    def _ended(self, host: PlannerHost) -> None:
+    def _end_planner(self, host: PlannerHost) -> None:
         host.end()
         for sender in self.senders:
             self.clock.at(self.clock.now + self.delay, sender.lose, host.name)
 
 
 def play_fleet(day: Day, seed: int, audited: bool = True) -> dict[str, Any]:
-    """One day in the emulator, whose planners are engines that share nothing: what strikes their processes or
-    what is between them is for a rehearsal."""
-    if wrong := [
+    """Plays one day in the emulator. Its planners are engines that share nothing, so faults of processes
+    and of the network between planners raise ConfigError: they need a rehearsal."""
+    if errors := [
         (f"troubles[{at}].kind", f"{t.kind} needs processes: rehearse it")
         for at, t in enumerate(day.troubles)
         if t.kind in BETWEEN
     ] + ([("copies.on", "claims among planners are not emulated: rehearse it")] if day.copies.on else []):
-        raise ConfigError(day.name, wrong)
+        raise ConfigError(day.name, errors)
     return Fleet(day, seed, audited).play()
 
 
 def write_records(crossings: Iterable[Crossing], path: Path) -> None:
-    """What crossed, as a record that `hazelhold audit` reads."""
+    """Writes recorded messages as a file that `hazelhold audit` reads."""
     path.write_bytes(b"".join(msgspec.json.encode(c) + b"\n" for c in crossings))
--- a/hazelhold/emulate/fleet_connections.py
+++ b/hazelhold/emulate/fleet_connections.py
@@ -1,4 +1,4 @@
-"""Connections of the emulated fleet: lines from planners to the doors of machines and of the list service."""
+"""Connections of the emulated fleet, from planners to the servers of machines and of the list service."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -12,22 +12,22 @@
 
 
 class EmulatedConnection:
-    """One connection between a planner and a machine or the list; `number` tells lines of one pair apart."""
+    """A connection of a planner to a machine or the list; `number` distinguishes those of one pair."""
 
-    def __init__(self, far: "EmulatedServer", planner: "PlannerHost", number: int) -> None:
-        self.far, self.planner, self.number = far, planner, number
-        self.up = False  # the far end has welcomed it
+    def __init__(self, server: "EmulatedServer", planner: "PlannerHost", number: int) -> None:
+        self.server, self.planner, self.number = server, planner, number
+        self.up = False  # whether the server has sent its Welcome
 
     def cut(self) -> None:
-        """Broken by the far end, or by what happens to it."""
-        if self.far.wires.get(self.planner.name) is self:
-            del self.far.wires[self.planner.name]
-            self.far.recorder.note(self.far.fleet.clock.now, self.planner.name, "shut")
-        self.far.fleet.later(self.far, self.planner, self.planner.shut, self)
+        """Closes the connection from the server's side."""
+        if self.server.wires.get(self.planner.name) is self:
+            del self.server.wires[self.planner.name]
+            self.server.recorder.note(self.server.fleet.clock.now, self.planner.name, "shut")
+        self.server.fleet.later(self.server, self.planner, self.planner.shut, self)
 
 
 class EmulatedServer:
-    """The door of a machine or of the list service."""
+    """The server of a machine or of the list service."""
 
     def __init__(
         self,
@@ -35,38 +35,38 @@
         name: str,
         zone: int,
         recorder: Notes,
-        said: Callable[[str, Any], None],
-        left: Callable[[str], None] = lambda planner: None,
+        on_message: Callable[[str, Any], None],
+        on_disconnect: Callable[[str], None] = lambda planner: None,
     ) -> None:
         self.fleet, self.name, self.zone, self.recorder = fleet, name, zone, recorder
-        self.said, self.left = said, left
+        self.on_message, self.on_disconnect = on_message, on_disconnect
         self.wires: dict[str, EmulatedConnection] = {}
         self.open, self.address = True, name
         self.muted: Callable[[str], bool] = lambda planner: False
 
     def send(self, planner: str, message: m.Message) -> None:
-        if (line := self.wires.get(planner)) and not self.muted(planner):
+        if (connection := self.wires.get(planner)) and not self.muted(planner):
             self.recorder.note(self.fleet.clock.now, planner, "out", message)
-            self.fleet.later(self, line.planner, line.planner.hears, line, message)
+            self.fleet.later(self, connection.planner, connection.planner.receive, connection, message)
 
     def shut(self) -> None:
-        for line in list(self.wires.values()):
-            line.cut()
-            self.left(line.planner.name)
+        for connection in list(self.wires.values()):
+            connection.cut()
+            self.on_disconnect(connection.planner.name)
 
-    def hears(self, line: EmulatedConnection, message: m.Message) -> None:
-        if self.wires.get(line.planner.name) is line and not self.muted(line.planner.name):
-            self.recorder.note(self.fleet.clock.now, line.planner.name, "in", message)
-            self.said(line.planner.name, message)
+    def receive(self, connection: EmulatedConnection, message: m.Message) -> None:
+        if self.wires.get(connection.planner.name) is connection and not self.muted(connection.planner.name):
+            self.recorder.note(self.fleet.clock.now, connection.planner.name, "in", message)
+            self.on_message(connection.planner.name, message)
 
-    def reached(self, line: EmulatedConnection) -> bool:
-        """A planner dials: False if nobody is there; silence if it is cut off."""
+    def accept(self, connection: EmulatedConnection) -> bool:
+        """Accepts a connection; False if the server is closed. A partitioned planner gets no reply."""
         if not self.open:
             return False
-        if not self.muted(line.planner.name):
-            if old := self.wires.get(line.planner.name):
+        if not self.muted(connection.planner.name):
+            if old := self.wires.get(connection.planner.name):
                 self.fleet.later(self, old.planner, old.planner.shut, old)
-            self.wires[line.planner.name] = line
-            self.recorder.note(self.fleet.clock.now, line.planner.name, "open")
-            self.fleet.later(self, line.planner, line.planner.welcomed, line)
+            self.wires[connection.planner.name] = connection
+            self.recorder.note(self.fleet.clock.now, connection.planner.name, "open")
+            self.fleet.later(self, connection.planner, connection.planner.welcomed, connection)
         return True
--- a/hazelhold/emulate/fleet_owner.py
+++ b/hazelhold/emulate/fleet_owner.py
@@ -1,4 +1,4 @@
-"""An owner of the emulated fleet: its model, connected to planners by calls."""
+"""Owners of the emulated fleet: their models, connected to planners by scheduled calls."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 class Sender:
-    """An owner's model; connected to every planner that is up, again a drawn while after it is back."""
+    """An owner's model, connected to all running planners; it reconnects some time after a planner's start."""
 
     def __init__(self, fleet: "Fleet", model: OwnerModel, recorder: Notes) -> None:
         self.fleet, self.model, self.recorder = fleet, model, recorder
@@ -31,7 +31,7 @@
         self.model.disconnected(self.fleet.clock.now, planner)
         self.ticker.stir()
 
-    def hears(self, planner: str, message: m.Message) -> None:
+    def receive(self, planner: str, message: m.Message) -> None:
         now = self.fleet.clock.now
         self.recorder.note(now, planner, "in", message)
         self.model.advance(now)
@@ -40,8 +40,8 @@
 
     def _work(self, now: int) -> None:
         self.model.advance(now)
-        out, self.model.out = self.model.out, []
-        for planner, message in out:
+        outgoing, self.model.out = self.model.out, []
+        for planner, message in outgoing:
             if planner in self.fleet.reach.get(self.model.name, ()):
                 self.recorder.note(now, planner, "out", message)
                 host = self.fleet.planners[planner]
--- a/hazelhold/emulate/fleet_planner.py
+++ b/hazelhold/emulate/fleet_planner.py
@@ -1,4 +1,4 @@
-"""A planner of the emulated fleet: its engine, with its lines in place of connections."""
+"""A planner of the emulated fleet: an engine with emulated connections."""
 
 from typing import TYPE_CHECKING
 
@@ -14,16 +14,16 @@
 
 
 class PlannerHost:
-    """One planner in one of its lives: an engine with its lines, and the owners that are connected."""
+    """One run of a planner's process: an engine and its connections to machines and the list service."""
 
-    def __init__(self, fleet: "Fleet", config: PlannerConfig, life: int, zone: int) -> None:
+    def __init__(self, fleet: "Fleet", config: PlannerConfig, run_number: int, zone: int) -> None:
         self.fleet, self.config, self.name, self.zone = fleet, config, config.name, zone
         self.clock, self.up, self.stopping = fleet.clock, True, False
-        self.engine = Engine(config, config.seed + life, self.clock.now)
+        self.engine = Engine(config, config.seed + run_number, self.clock.now)
         self.recorder = Notes(config.name, "planner", fleet.crossings)
-        self.lines: dict[str, EmulatedConnection] = {}
-        self.list_line: EmulatedConnection | None = None
-        self.list_wanted: int | None = None if config.list.asked else 0
+        self.connections: dict[str, EmulatedConnection] = {}
+        self.list_connection: EmulatedConnection | None = None
+        self.list_since: int | None = None if config.list.asked else 0
         self.ticker = Wake(
             self.clock, fleet.net.now, self.engine.next_at, self._work, micros(config.limits.batch_ms)
         )
@@ -32,30 +32,30 @@
 
     def _work(self, now: int) -> None:
         self.engine.pump(now)
-        self.carry_out()
+        self.perform_actions()
 
-    def feed(self, what: str, *given: object) -> None:
-        getattr(self.engine, what)(self.clock.now, *given)
-        self.carry_out()
+    def deliver(self, what: str, *arguments: object) -> None:
+        getattr(self.engine, what)(self.clock.now, *arguments)
+        self.perform_actions()
         self.ticker.stir()
 
-    def carry_out(self) -> None:
+    def perform_actions(self) -> None:
         while self.engine.actions:
             actions, self.engine.actions = self.engine.actions, []
             for action in actions:
-                self._do(action)
+                self._perform(action)
 
-    def _do(self, action: object) -> None:
+    def _perform(self, action: object) -> None:
         now, fleet = self.clock.now, self.fleet
         if isinstance(action, Send) and action.role == "owner":
             here = self.name in fleet.reach.get(action.peer, ())
             self.recorder.note(now, action.peer, "out" if here else "kept", action.message)
             if here:
-                self.clock.at(now + fleet.delay, fleet.owner_hears, action.peer, self, action.message)
+                self.clock.at(now + fleet.delay, fleet.deliver_to_owner, action.peer, self, action.message)
         elif isinstance(action, Send):
-            if line := self.lines.get(action.peer):
+            if connection := self.connections.get(action.peer):
                 self.recorder.note(now, action.peer, "out", action.message)
-                fleet.later(line.far, self, line.far.hears, line, action.message)
+                fleet.later(connection.server, self, connection.server.receive, connection, action.message)
         elif isinstance(action, Dial):
             self._dial(action.machine)
         elif isinstance(action, HangUp):
@@ -63,98 +63,107 @@
         elif isinstance(action, Lost):
             self._hang_up(action.peer)
         elif isinstance(action, AskList):
-            self.list_wanted = action.since
-            self._ask_list()
+            self.list_since = action.since
+            self._fetch_list()
 
-    # Lines to machines.
+    # Connections to machines.
 
     def _dial(self, machine: str) -> None:
         self._hang_up(machine)
-        far = self.fleet.hosts[machine].door
+        server = self.fleet.hosts[machine].door
         self.fleet.numbers += 1
-        line = self.lines[machine] = EmulatedConnection(far, self, self.fleet.numbers)
-        self.fleet.later(far, self, self._arrives, line, machine)
-
-    def _arrives(self, line: EmulatedConnection, machine: str) -> None:
-        if self.up and self.lines.get(machine) is line and not line.far.reached(line):
-            self.fleet.later(line.far, self, self._refused, line, machine)
-
-    def _refused(self, line: EmulatedConnection, machine: str) -> None:
-        if self.up and self.lines.get(machine) is line:
-            del self.lines[machine]
-            self.feed("link_failed", machine)
-
-    def welcomed(self, line: EmulatedConnection) -> None:
-        if self.up and line is self.list_line:
-            line.up = True
-            self._ask_list()
-        elif self.up and self.lines.get(line.far.name) is line:
-            line.up = True
-            self.recorder.note(self.clock.now, line.far.name, "open")
-            self.feed("link_up", line.far.name, self.fleet.hosts[line.far.name]._welcome())
-
-    def shut(self, line: EmulatedConnection) -> None:
-        """The line was broken at its far end."""
+        connection = self.connections[machine] = EmulatedConnection(server, self, self.fleet.numbers)
+        self.fleet.later(server, self, self._reach_server, connection, machine)
+
+    def _reach_server(self, connection: EmulatedConnection, machine: str) -> None:
+        if (
+            self.up
+            and self.connections.get(machine) is connection
+            and not connection.server.accept(connection)
+        ):
+            self.fleet.later(connection.server, self, self._refused, connection, machine)
+
+    def _refused(self, connection: EmulatedConnection, machine: str) -> None:
+        if self.up and self.connections.get(machine) is connection:
+            del self.connections[machine]
+            self.deliver("link_failed", machine)
+
+    def welcomed(self, connection: EmulatedConnection) -> None:
+        if self.up and connection is self.list_connection:
+            connection.up = True
+            self._fetch_list()
+        elif self.up and self.connections.get(connection.server.name) is connection:
+            connection.up = True
+            self.recorder.note(self.clock.now, connection.server.name, "open")
+            self.deliver(
+                "link_up", connection.server.name, self.fleet.hosts[connection.server.name]._welcome()
+            )
+
+    def shut(self, connection: EmulatedConnection) -> None:
+        """Handles a connection that its server closed."""
         if not self.up:
             return
-        if line is self.list_line:
-            self.list_line = None
-            self.feed("list_failed")
-            self.list_wanted = None if self.config.list.asked else self.engine.list_version
+        if connection is self.list_connection:
+            self.list_connection = None
+            self.deliver("list_failed")
+            self.list_since = None if self.config.list.asked else self.engine.list_version
             self.clock.at(self.clock.now + SECOND // 2, self._follow)
-        elif self.lines.get(line.far.name) is line:
-            del self.lines[line.far.name]
-            self.recorder.note(self.clock.now, line.far.name, "shut")
-            self.feed("link_down" if line.up else "link_failed", line.far.name)
+        elif self.connections.get(connection.server.name) is connection:
+            del self.connections[connection.server.name]
+            self.recorder.note(self.clock.now, connection.server.name, "shut")
+            self.deliver("link_down" if connection.up else "link_failed", connection.server.name)
 
     def _hang_up(self, machine: str) -> None:
-        if line := self.lines.pop(machine, None):
-            if line.up:
+        if connection := self.connections.pop(machine, None):
+            if connection.up:
                 self.recorder.note(self.clock.now, machine, "shut")
-            self.fleet.later(line.far, self, self._hung_up, line)
+            self.fleet.later(connection.server, self, self._hung_up, connection)
 
-    def _hung_up(self, line: EmulatedConnection) -> None:
-        if line.far.wires.get(self.name) is line:
-            del line.far.wires[self.name]
-            line.far.recorder.note(self.clock.now, self.name, "shut")
-            line.far.left(self.name)
+    def _hung_up(self, connection: EmulatedConnection) -> None:
+        if connection.server.wires.get(self.name) is connection:
+            del connection.server.wires[self.name]
+            connection.server.recorder.note(self.clock.now, self.name, "shut")
+            connection.server.on_disconnect(self.name)
 
-    def hears(self, line: EmulatedConnection, message: m.Message) -> None:
+    def receive(self, connection: EmulatedConnection, message: m.Message) -> None:
         if not self.up:
             return
-        if line is self.list_line:
+        if connection is self.list_connection:
             self.recorder.note(self.clock.now, "list", "in", message)
-            self.feed("list_said", message)
-        elif self.lines.get(line.far.name) is line:
-            self.recorder.note(self.clock.now, line.far.name, "in", message)
-            self.feed("machine_said", line.far.name, message)
+            self.deliver("list_said", message)
+        elif self.connections.get(connection.server.name) is connection:
+            self.recorder.note(self.clock.now, connection.server.name, "in", message)
+            self.deliver("machine_said", connection.server.name, message)
 
-    # The list.
+    # The list service.
 
     def _follow(self) -> None:
-        if not self.up or self.list_line is not None:
+        if not self.up or self.list_connection is not None:
             return
-        far = self.fleet.list_host.door
+        server = self.fleet.list_host.door
         self.fleet.numbers += 1
-        line = self.list_line = EmulatedConnection(far, self, self.fleet.numbers)
-        if not far.reached(line):
-            self.clock.at(self.clock.now + self.fleet.delay, self.shut, line)
+        connection = self.list_connection = EmulatedConnection(server, self, self.fleet.numbers)
+        if not server.accept(connection):
+            self.clock.at(self.clock.now + self.fleet.delay, self.shut, connection)
 
-    def _ask_list(self) -> None:
-        if self.list_line is not None and self.list_line.up and self.list_wanted is not None:
-            far, line = self.list_line.far, self.list_line
-            self.fleet.later(far, self, far.hears, line, m.Watch(since=self.list_wanted))
-            self.list_wanted = None
+    def _fetch_list(self) -> None:
+        if self.list_connection is not None and self.list_connection.up and self.list_since is not None:
+            server, connection = self.list_connection.server, self.list_connection
+            self.fleet.later(server, self, server.receive, connection, m.Watch(since=self.list_since))
+            self.list_since = None
 
     def owner_said(self, owner: str, message: m.Message) -> None:
         if self.up:
             self.recorder.note(self.clock.now, owner, "in", message)
-            self.feed("owner_said", owner, message)
+            self.deliver("owner_said", owner, message)
 
     def end(self) -> None:
-        """Its process is gone."""
+        """Ends the process; its connections are closed without notice."""
         self.up = False
         self.ticker.over = True
-        for line in [*self.lines.values(), *([self.list_line] if self.list_line else [])]:
-            self._hung_up(line)
-        self.lines.clear()
+        for connection in [
+            *self.connections.values(),
+            *([self.list_connection] if self.list_connection else []),
+        ]:
+            self._hung_up(connection)
+        self.connections.clear()
--- a/hazelhold/emulate/fleet_time.py
+++ b/hazelhold/emulate/fleet_time.py
@@ -1,4 +1,4 @@
-"""The fleet's clock in the places of a rehearsal's net, tickers and recorders."""
+"""Replacements on the fleet's clock for the network, tickers and recorders of a rehearsal."""
 
 from collections.abc import Callable
 
@@ -11,22 +11,22 @@
 
 
 class Notes:
-    """Takes the place of a recorder: crossings kept in memory, with one list for the whole fleet."""
+    """Replaces a recorder: keeps recorded messages in memory, in one list for the whole fleet."""
 
-    def __init__(self, by: str, role: str, kept: list[Crossing] | None) -> None:
-        self.by, self.role, self.kept = by, role, kept
+    def __init__(self, by: str, role: str, records: list[Crossing] | None) -> None:
+        self.by, self.role, self.records = by, role, records
 
     def note(self, at: int, peer: str, way: str, message: msgspec.Struct | None = None) -> None:
-        if self.kept is not None:
+        if self.records is not None:
             body = msgspec.to_builtins(message) if message is not None else None
-            self.kept.append(Crossing(at, self.by, self.role, peer, way, body))
+            self.records.append(Crossing(at, self.by, self.role, peer, way, body))
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing: no file is open."""
 
 
 class Net:
-    """The clock, as the environment asks for it."""
+    """The clock behind the interface of a network, as the environment uses it."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -39,7 +39,7 @@
 
 
 class Wake:
-    """Takes the place of a ticker: works when it is stirred and when something is due."""
+    """Replaces a ticker: runs `work` when notified and when `due` says so, at most once per `pause` (µs)."""
 
     def __init__(
         self,
@@ -52,22 +52,22 @@
         self.clock, self.now, self.due, self.work, self.pause = clock, now, due, work, pause
         self.at: int | None = None
         self.worked_at = -pause
-        self.over = False
+        self.stopped = False
 
     def stir(self) -> None:
-        self._when(max(self.clock.now, self.worked_at + self.pause))
+        self._schedule(max(self.clock.now, self.worked_at + self.pause))
 
-    def _when(self, when: int) -> None:
-        if not self.over and (self.at is None or when < self.at):
+    def _schedule(self, when: int) -> None:
+        if not self.stopped and (self.at is None or when < self.at):
             self.at = when
             self.clock.at(when, self._wake, when)
 
     def _wake(self, when: int) -> None:
-        if self.over or when != self.at:
+        if self.stopped or when != self.at:
             return
         self.at, self.worked_at = None, self.clock.now
         now = self.now()
         self.work(now)
         due = self.due(now)
-        if due is not None and not self.over:
-            self._when(max(self.clock.now + max(0, due - now), self.clock.now + self.pause))
+        if due is not None and not self.stopped:
+            self._schedule(max(self.clock.now + max(0, due - now), self.clock.now + self.pause))
--- a/hazelhold/emulate/heartbeats.py
+++ b/hazelhold/emulate/heartbeats.py
@@ -1,9 +1,9 @@
-"""The plain way, to be measured and played against: everyone tells everyone that it is there.
+"""All-to-all heartbeats: a simple membership protocol to compare the real one with.
 
-The same face as `membership.core.Core` as far as `Parley` and the tests use it. Each member sends every
-other a heartbeat each `probe`; who has been silent for `suspect` plus four answers counts as gone, and
-comes back with its next heartbeat. Nobody's word on others is taken but that they exist: each beat names
-some.
+It has the interface of the real membership core as far as `MembershipSimulation` and the tests use it. Each
+member sends every other a heartbeat each `probe`. A member that is silent for `suspect` plus four times
+`answer` counts as gone, and returns with its next heartbeat. From other members only the existence of
+members is learned: each heartbeat names some.
 """
 
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class Heartbeats:
-    """One member that only listens for others."""
+    """One member, which judges others only by their heartbeats."""
 
     def __init__(self, me: Row, seeds: list[str], terms: Terms, seed: int, now: int) -> None:
         self.me, self.seeds, self.terms, self.now = me, seeds, terms, now
@@ -54,12 +54,14 @@
             self._beat()
 
     def _beat(self) -> None:
-        to = {row.address for name, row in self.rows.items() if name != self.me.name and row.state != LEFT}
-        some = self.random.sample(list(self.rows.values()), min(6, len(self.rows)))
-        rows = [self.me, *(r for r in some if r.state == ALIVE and r is not self.me)]
+        addresses = {
+            row.address for name, row in self.rows.items() if name != self.me.name and row.state != LEFT
+        }
+        sample = self.random.sample(list(self.rows.values()), min(6, len(self.rows)))
+        rows = [self.me, *(r for r in sample if r.state == ALIVE and r is not self.me)]
         raws = [msgspec.Raw(messages.ENCODER.encode(r)) for r in rows]
         body = messages.encode(self.terms.deployment, self.me, messages.Rows(), raws)
-        for address in sorted(to | set(self.seeds) - {self.me.address}):
+        for address in sorted(addresses | set(self.seeds) - {self.me.address}):
             self.actions.append(Post(address, "", body))
 
     def hear(self, now: int, body: bytes) -> None:
@@ -74,7 +76,7 @@
                 continue
             if known and known.state == LEFT and row.life == known.life:
                 continue
-            if known is None:  # who is new is told of the others
+            if known is None:  # a new member is sent the others
                 rows = [msgspec.Raw(messages.ENCODER.encode(r)) for r in list(self.rows.values())[:8]]
                 answer = messages.encode(self.terms.deployment, self.me, messages.Rows(), rows)
                 self.actions.append(Post(row.address, row.name, answer))
--- a/hazelhold/emulate/membership_simulation.py
+++ b/hazelhold/emulate/membership_simulation.py
@@ -1,8 +1,9 @@
-"""Members in discrete events: real cores, virtual time, and datagrams that are lost, late, doubled or cut.
+"""Simulates membership in discrete events: real cores, virtual time, and a network that loses, delays,
+duplicates or blocks datagrams.
 
-What a process sees is its own clock, which may run at another rate; while it is paused its datagrams wait
-and its timers stand still, as for a stopped process. The truth (who runs, who may hear whom) is known here
-alone, so that views can be judged against it.
+Each process reads a clock of its own, which may run at another rate. While a process is paused its datagrams
+wait and its timers do not fire, as for a stopped process. Only the simulation knows the true state (who runs,
+and who can reach whom), so views can be checked against it.
 """
 
 from collections import Counter, deque
@@ -14,57 +15,58 @@
 from hazelhold.membership.core import Core, News, Post, Terms
 from hazelhold.membership.rows import ALIVE, GONE, Row
 
-INBOX = 512  # datagrams that wait for a paused process, as a socket's buffer bounds them
+INBOX = 512  # datagrams kept for a paused process, as limited by a socket's buffer
 
 
 class Process:
-    """One process under a name."""
+    """One process of a member; a restart under the same name is another process."""
 
-    def __init__(self, name: str, core: Any, address: str, rate: float, began: int) -> None:  # noqa: ANN401
+    def __init__(self, name: str, core: Any, address: str, rate: float, started_at: int) -> None:  # noqa: ANN401
         self.name, self.core, self.address = name, core, address
-        self.rate, self.began = rate, began
+        self.rate, self.started_at = rate, started_at
         self.paused = False
-        self.resumed = -(10**9)  # when, in the world's time
+        self.resumed_at = -(10**9)  # simulation time, in microseconds
         self.up = True
-        self.due = -1  # of its next wake in the heap, in the world's time
+        self.due = -1  # simulation time of its next wake in the heap; -1: none
         self.inbox: deque[bytes] = deque(maxlen=INBOX)
 
     def clock(self, at: int) -> int:
-        return round((at - self.began) * self.rate) + 1_000_000
+        return round((at - self.started_at) * self.rate) + 1_000_000
 
     def world(self, own: int) -> int:
-        return self.began + round((own - 1_000_000) / self.rate) + 1
+        return self.started_at + round((own - 1_000_000) / self.rate) + 1
 
 
 class MembershipSimulation:
-    """A world of members. `make(row, seeds, terms, seed, now)` builds a core: the real one unless told."""
+    """A simulated deployment. `make(row, seeds, terms, seed, now)` builds a core, by default the real one."""
 
     def __init__(self, seed: int, terms: Terms, make: Callable[..., Any] = Core) -> None:
         self.random, self.terms, self.make = Random(f"parley/{seed}"), terms, make
         self.now = 0
         self.events: list[tuple[int, int, Callable[..., None], tuple]] = []
-        self.number = 0
-        self.processes: dict[str, Process] = {}  # the newest of each name
+        self.sequence = 0
+        self.processes: dict[str, Process] = {}  # the newest process of each name
         self.at: dict[str, Process] = {}
         self.loss = 0.0
         self.double = 0.0
-        self.delay = (200, 1500)  # microseconds, evenly spread; a wide spread reorders
-        self.lossy: dict[tuple[str, str], float] = {}  # a pair's own loss, by direction
-        self.cuts: set[tuple[str, str]] = set()  # directions that carry nothing
+        self.delay = (200, 1500)  # microseconds, uniformly distributed; a wide range reorders
+        self.lossy: dict[tuple[str, str], float] = {}  # the loss of single directions, by sender and receiver
+        self.cuts: set[tuple[str, str]] = set()  # blocked directions: sender, receiver
         self.news: list[tuple[int, str, News]] = []
         self.on_news: Callable[[str, News], None] | None = None
         self.keep_news = True
-        self.sent: Counter[str] = Counter()  # datagrams by sender, and `bytes`
-        self.wrongly: list[tuple[int, str, str]] = []  # gone in somebody's view while the process ran
-        self.lives: Counter[str] = Counter()
+        self.sent: Counter[str] = Counter()  # datagrams by sender, and the total `bytes`
+        # Time, observer and member, of members reported gone while their process ran.
+        self.wrongly: list[tuple[int, str, str]] = []
+        self.starts: Counter[str] = Counter()
 
-    def _later(self, at: int, do: Callable[..., None], *given: object) -> None:
-        self.number += 1
-        heappush(self.events, (at, self.number, do, given))
+    def _schedule(self, at: int, call: Callable[..., None], *arguments: object) -> None:
+        self.sequence += 1
+        heappush(self.events, (at, self.sequence, call, arguments))
 
-    def plan(self, seconds: float, do: Callable[..., None], *given: object) -> None:
-        """Does something at this moment of the world."""
-        self._later(round(seconds * 1e6), do, *given)
+    def plan(self, seconds: float, call: Callable[..., None], *arguments: object) -> None:
+        """Schedules a call at a simulation time in seconds."""
+        self._schedule(round(seconds * 1e6), call, *arguments)
 
     def start(
         self,
@@ -75,11 +77,11 @@
         rate: float = 1.0,
         life: int | None = None,
     ) -> Process:
-        self.lives[name] += 1
+        self.starts[name] += 1
         address = address or f"at-{name}"
         row = Row(
             name=name,
-            life=self.lives[name] * 10 if life is None else life,
+            life=self.starts[name] * 10 if life is None else life,
             nonce=self.random.getrandbits(60),
             seq=0,
             state=ALIVE,
@@ -108,10 +110,10 @@
         process = self.processes[name]
         if process.up and not process.paused:
             process.paused = True
-            self._later(self.now + round(seconds * 1e6), self._resume, process)
+            self._schedule(self.now + round(seconds * 1e6), self._resume, process)
 
     def _resume(self, process: Process) -> None:
-        process.paused, process.resumed = False, self.now
+        process.paused, process.resumed_at = False, self.now
         while process.up and process.inbox:
             process.core.hear(process.clock(self.now), process.inbox.popleft())
             self._carry_out(process)
@@ -119,7 +121,7 @@
             self._wake(process, -1)
 
     def cut(self, one: list[str], other: list[str], both: bool = True) -> None:
-        """Nothing goes any more from these to those; with `both`, nor back."""
+        """Blocks datagrams from `one` to `other`; with `both`, also in the other direction."""
         self.cuts |= {(a, b) for a in one for b in other if a != b}
         if both:
             self.cuts |= {(b, a) for a in one for b in other if a != b}
@@ -128,29 +130,29 @@
         self.cuts.clear()
 
     def run(self, until: float, while_: Callable[[], bool] | None = None) -> bool:
-        """On to this second of the world; with `while_`, only while that holds. Whether it still does."""
+        """Advances to a simulation time in seconds, or until `while_` is false. Returns whether it holds."""
         end = round(until * 1e6)
         while self.events and self.events[0][0] <= end:
             if while_ is not None and not while_():
                 return False
-            self.now, _, do, given = heappop(self.events)
-            do(*given)
+            self.now, _, call, arguments = heappop(self.events)
+            call(*arguments)
         self.now = max(self.now, end)
         return while_ is None or while_()
 
-    # The wires.
+    # The network.
 
-    def _post(self, process: Process, post: Post) -> None:
+    def _send_datagram(self, process: Process, datagram: Post) -> None:
         self.sent[process.name] += 1
-        self.sent["bytes"] += len(post.body)
-        there = self.at.get(post.address)
-        if there is None or (process.name, there.name) in self.cuts:
+        self.sent["bytes"] += len(datagram.body)
+        receiver = self.at.get(datagram.address)
+        if receiver is None or (process.name, receiver.name) in self.cuts:
             return
-        loss = self.lossy.get((process.name, there.name), self.loss)
+        loss = self.lossy.get((process.name, receiver.name), self.loss)
         for _ in range(2 if self.double and self.random.random() < self.double else 1):
             if not loss or self.random.random() >= loss:
                 at = self.now + self.random.randint(*self.delay)
-                self._later(at, self._arrive, post.address, process.name, post.body)
+                self._schedule(at, self._arrive, datagram.address, process.name, datagram.body)
 
     def _arrive(self, address: str, sender: str, body: bytes) -> None:
         process = self.at.get(address)
@@ -172,19 +174,19 @@
         actions, process.core.actions = process.core.actions, []
         for action in actions:
             if isinstance(action, Post):
-                self._post(process, action)
+                self._send_datagram(process, action)
             elif isinstance(action, News):
-                self._note(process, action)
+                self._record_change(process, action)
         due = process.core.next_at()
         if due is not None:
             at = max(self.now, process.world(due))
             if at != process.due:
                 process.due = at
-                self._later(at, self._wake, process, at)
+                self._schedule(at, self._wake, process, at)
         else:
             process.due = -1
 
-    def _note(self, process: Process, news: News) -> None:
+    def _record_change(self, process: Process, news: News) -> None:
         if self.keep_news:
             self.news.append((self.now, process.name, news))
         if news.what == "gone":
@@ -194,7 +196,7 @@
         if self.on_news:
             self.on_news(process.name, news)
 
-    # What is believed.
+    # Views.
 
     def view(self, name: str, other: str) -> int | None:
         return self.processes[name].core.state_of(other)
@@ -203,7 +205,7 @@
         return [n for n, p in self.processes.items() if p.up and not p.core.left and not p.core.yielded]
 
     def agree(self) -> bool:
-        """Whether all who run hold all who run alive, and nobody else."""
+        """Whether every running member sees all running members as alive, and no others."""
         up = set(self.running())
         return all(self.view(a, b) == ALIVE for a in up for b in up) and all(
             self.view(a, b) not in (ALIVE, None)
--- a/tests/test_client_population.py
+++ b/tests/test_client_population.py
@@ -1,5 +1,4 @@
-"""Clients at numbers, in virtual time; whole clients beside planners that misbehave; planner lists that
-change."""
+"""Many clients in virtual time, single clients with misbehaving planners, and planner lists that change."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -21,56 +20,58 @@
 from tests.helpers import MS, EngineHarness, planner_config
 
 
-def town(size: int, spread: bool, **demand: object) -> ClientPopulation:
-    wanted = Demand(20.0, **{"patience": 5 * SECOND, "life": SECOND, **demand})
-    made = ClientPopulation(planner_config(), size, 1, wanted, ClientPolicy(), spread, machines=2)
-    made.open(2 * SECOND)
-    while len(made.back) < size:
-        made.clock.run(made.clock.now + SECOND)
-    made.want(made.clock.now + 60 * SECOND)
-    made.clock.run(made.clock.now + 2 * SECOND)
-    return made
+def settled_population(size: int, spread: bool, **demand: object) -> ClientPopulation:
+    demand_settings = Demand(20.0, **{"patience": 5 * SECOND, "life": SECOND, **demand})
+    population = ClientPopulation(
+        planner_config(), size, 1, demand_settings, ClientPolicy(), spread, machines=2
+    )
+    population.open(2 * SECOND)
+    while len(population.connected_at) < size:
+        population.clock.run(population.clock.now + SECOND)
+    population.generate_guests(population.clock.now + 60 * SECOND)
+    population.clock.run(population.clock.now + 2 * SECOND)
+    return population
 
 
 @pytest.mark.parametrize("losses", [(0.05,), (2.0,), (30.0,), (2.0, 1.0, 2.0)])
-def test_a_planners_clients_come_back_spread_however_long_it_is_away(losses: tuple[float, ...]) -> None:
+def test_clients_spread_their_reconnects_however_long_the_planner_is_away(losses: tuple[float, ...]) -> None:
     found = []
     for spread in (True, False):
-        here = town(300, spread)
-        gone = here.clock.now
-        for number, span in enumerate(losses):
+        population = settled_population(300, spread)
+        lost_at = population.clock.now
+        for number, duration in enumerate(losses):
             if number % 2 == 0:
-                here.planner.stop(True)
-            here.clock.run(here.clock.now + round(span * SECOND))
+                population.planner.stop(True)
+            population.clock.run(population.clock.now + round(duration * SECOND))
             if number % 2 == 0:
-                here.planner.start()
-        here.clock.run(here.clock.now + 35 * SECOND)
-        assert len(here.back) == 300 and not here.counts["late_retries"]
-        found.append((here.peak(here.dials, gone), here.counts["placed"]))
-    (calm, placed), (wild, _) = found
-    window = 2 * SECOND  # what this planner asks for at least
-    assert calm <= 3 * 300 * BIN / window and wild > 5 * calm and placed > 100
+                population.planner.start()
+        population.clock.run(population.clock.now + 35 * SECOND)
+        assert len(population.connected_at) == 300 and not population.counts["late_retries"]
+        found.append((population.peak(population.dials, lost_at), population.counts["placed"]))
+    (spread_peak, placed), (unspread, _) = found
+    window = 2 * SECOND  # the least return window that this planner asks for
+    assert spread_peak <= 3 * 300 * BIN / window and unspread > 5 * spread_peak and placed > 100
 
 
 def test_guests_outlive_a_planner_that_dies_and_none_is_lost_or_run_twice() -> None:
-    here = town(100, True, product="once", effect="exclusive", life=20 * SECOND)
-    ran = here.counts["runs"]
-    here.planner.stop(False)
-    here.clock.run(here.clock.now + 2 * SECOND)
-    here.planner.start()
-    here.clock.run(here.clock.now + 10 * SECOND)
-    here.fresh_until = 0
-    here.clock.run(here.clock.now + 60 * SECOND)
-    assert ran and not here.counts["lost"] and here.counts["runs"] <= here.made
-    assert here.counts["done"] == here.counts["runs"] == here.counts["placed"]
-
-
-def test_a_throttle_keeps_to_a_multiple_of_what_is_taken_and_opens_when_it_is() -> None:
+    population = settled_population(100, True, product="once", effect="exclusive", life=20 * SECOND)
+    ran = population.counts["runs"]
+    population.planner.stop(False)
+    population.clock.run(population.clock.now + 2 * SECOND)
+    population.planner.start()
+    population.clock.run(population.clock.now + 10 * SECOND)
+    population.generate_until = 0
+    population.clock.run(population.clock.now + 60 * SECOND)
+    assert ran and not population.counts["lost"] and population.counts["runs"] <= population.submitted
+    assert population.counts["done"] == population.counts["runs"] == population.counts["placed"]
+
+
+def test_a_throttle_sends_a_multiple_of_what_is_accepted_and_opens_again() -> None:
     throttle, sent = AdaptiveThrottle(Random(1)), 0
     for now in range(0, 20 * SECOND, 10 * MS):
         if throttle.allows(now):
             sent += 1
-            throttle.told(now, now % (200 * MS) == 0)  # a twentieth is taken
+            throttle.told(now, now % (200 * MS) == 0)  # one in twenty is accepted
     assert sent < 500  # of 2,000
     opened = [
         throttle.allows(now) and (throttle.told(now, True) or True)
@@ -79,7 +80,7 @@
     assert sum(opened[-500:]) == 500
 
 
-def test_a_pump_stops_after_so_many_decisions_and_asks_to_be_called_again() -> None:
+def test_a_pump_stops_after_its_decision_limit_and_is_due_again() -> None:
     harness = EngineHarness("", decisions_at_once=3)
     for number in range(10):
         harness.engine.owner_said(
@@ -93,46 +94,46 @@
     answered = []
     while True:
         harness.engine.pump(late)
-        said = [getattr(action, "message", None) for action in harness.engine.actions]
-        answered.append(sum(isinstance(each, m.TurnedBack) for each in said))
+        messages = [getattr(action, "message", None) for action in harness.engine.actions]
+        answered.append(sum(isinstance(each, m.TurnedBack) for each in messages))
         if not harness.engine.more:
             break
         assert harness.engine.next_at(late) == late
     assert max(answered) == 10 and len(answered) >= 4
 
 
-# Whole clients beside scripted planners.
+# Clients with scripted planners.
 
 
-def beside(
+def with_scripted_planners(
     scripts: dict[str, Callable[[Wire, m.Message], None]],
     test: Callable[[object, MemoryNet], Awaitable[None]],
     policy: ClientPolicy | None = None,
 ) -> None:
-    """A client whose planners are scripts: each is called with what the client says."""
+    """Runs a test with a client whose planners are scripts: each is called with the client's messages."""
 
     async def run() -> None:
         net = MemoryNet()
 
         async def serve(stream: trio.abc.Stream, name: str) -> None:
-            wire = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
+            connection = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(wire.write)
-                with wire.scope:
-                    await wire.first(m.Hello, 5)
-                    wire.send(m.Welcome(name=name))
-                    async for said in wire.messages():
-                        scripts[name](wire, said)
-                wire.finish()
+                nursery.start_soon(connection.write)
+                with connection.scope:
+                    await connection.first(m.Hello, 5)
+                    connection.send(m.Welcome(name=name))
+                    async for message in connection.messages():
+                        scripts[name](connection, message)
+                connection.finish()
 
         with trio.fail_after(600):
             async with trio.open_nursery() as nursery:
                 for name in scripts:
 
-                    async def door(stream: trio.abc.Stream, name: str = name) -> None:
+                    async def accept(stream: trio.abc.Stream, name: str = name) -> None:
                         await serve(stream, name)
 
-                    await net.listen(name, door, nursery)
+                    await net.listen(name, accept, nursery)
                 async with open_client("c", {n: n for n in scripts}, policy, net, seed=1) as client:
                     await trio.sleep(1)
                     await test(client, net)
@@ -141,74 +142,74 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-def silent(wire: Wire, said: m.Message) -> None:
-    """Accepts all and answers nothing: a planner that hangs, or a connection whose other end is gone."""
+def silent(connection: Wire, message: m.Message) -> None:
+    """Answers nothing: a planner that hangs, or a connection whose peer is gone."""
 
 
-def placing(wire: Wire, said: m.Message) -> None:
-    if isinstance(said, m.Submit):
-        wire.send(m.Held(guest=said.guest, ask=said.ask))
-        wire.send(m.Placed(guest=said.guest, ask=said.ask, machine="m"))
-    elif isinstance(said, m.Query):
-        wire.send(m.State(guest=said.guest, ask=said.ask, state="running", machine="m"))
+def placing(connection: Wire, message: m.Message) -> None:
+    if isinstance(message, m.Submit):
+        connection.send(m.Held(guest=message.guest, ask=message.ask))
+        connection.send(m.Placed(guest=message.guest, ask=message.ask, machine="m"))
+    elif isinstance(message, m.Query):
+        connection.send(m.State(guest=message.guest, ask=message.ask, state="running", machine="m"))
 
 
-def halving(wire: Wire, said: m.Message) -> None:
-    """Answers for half its guests."""
-    if isinstance(said, m.Submit) and int(said.guest[1:]) % 2:
-        placing(wire, said)
+def halving(connection: Wire, message: m.Message) -> None:
+    """Answers for every other guest."""
+    if isinstance(message, m.Submit) and int(message.guest[1:]) % 2:
+        placing(connection, message)
 
 
-def want(name: str, effect: str = "rerunnable", patience: int = 4 * SECOND) -> TaskRequest:
+def guest_request(name: str, effect: str = "rerunnable", patience: int = 4 * SECOND) -> TaskRequest:
     return TaskRequest(name, "plain", "s", 1.0, 1.0, patience, effect, life=60 * SECOND)
 
 
 @pytest.mark.parametrize("bad", [silent, halving])
-def test_a_planner_that_answers_nothing_or_half_is_passed_over(bad: Callable) -> None:
+def test_a_planner_that_answers_nothing_or_half_is_avoided(bad: Callable) -> None:
     async def test(client: object, net: MemoryNet) -> None:
         placed = 0
         for number in range(40):
-            outcome = await client.place(want(f"g{number}"))
+            outcome = await client.place(guest_request(f"g{number}"))
             placed += outcome.state == "placed"
         assert placed == 40 and client.core.choice.known["bad"].bad > client.core.choice.known["good"].bad
         assert (await client.query("g39")).state == "running"
 
-    beside({"bad": bad, "good": placing}, test)
+    with_scripted_planners({"bad": bad, "good": placing}, test)
 
 
-def test_a_connection_whose_other_end_is_gone_is_left_and_dialled_anew() -> None:
+def test_a_connection_whose_peer_is_gone_is_closed_and_dialled_again() -> None:
     async def test(client: object, net: MemoryNet) -> None:
         with pytest.raises(MayHaveRunError):
-            (await client.place(want("g1", "exclusive", 8 * SECOND))).or_raise()
+            (await client.place(guest_request("g1", "exclusive", 8 * SECOND))).or_raise()
         assert client.core.counts["silent"] >= 1
 
-    beside({"p": silent}, test)
+    with_scripted_planners({"p": silent}, test)
 
 
-def test_an_answer_lost_on_the_way_is_asked_for_and_no_exclusive_guest_goes_elsewhere() -> None:
-    asked: dict[str, int] = {"p": 0, "q": 0}
+def test_a_lost_answer_is_queried_and_no_at_most_once_guest_goes_elsewhere() -> None:
+    submissions: dict[str, int] = {"p": 0, "q": 0}
 
     def lossy(name: str) -> Callable[[Wire, m.Message], None]:
-        def say(wire: Wire, said: m.Message) -> None:
-            asked[name] += isinstance(said, m.Submit)
-            if isinstance(said, m.Submit):
-                wire.send(m.Held(guest=said.guest, ask=said.ask))
-                wire.cut()  # and the answer with it
+        def answer(connection: Wire, message: m.Message) -> None:
+            submissions[name] += isinstance(message, m.Submit)
+            if isinstance(message, m.Submit):
+                connection.send(m.Held(guest=message.guest, ask=message.ask))
+                connection.cut()  # the answer is lost with the connection
             else:
-                placing(wire, said)
+                placing(connection, message)
 
-        return say
+        return answer
 
     async def test(client: object, net: MemoryNet) -> None:
-        assert (await client.place(want("g1", "exclusive", 20 * SECOND))).state == "placed"
-        assert sum(asked.values()) == 1
+        assert (await client.place(guest_request("g1", "exclusive", 20 * SECOND))).state == "placed"
+        assert sum(submissions.values()) == 1
 
-    beside({"p": lossy("p"), "q": lossy("q")}, test)
+    with_scripted_planners({"p": lossy("p"), "q": lossy("q")}, test)
 
 
 def test_clocks_that_are_minutes_apart_change_nothing() -> None:
-    class Off(MemoryNet):
-        """The client's network: the same streams, another clock."""
+    class SkewedNet(MemoryNet):
+        """The client's network: the same streams, a clock 600 s ahead."""
 
         def now(self) -> int:
             return super().now() + 600 * SECOND
@@ -216,21 +217,21 @@
     from hazelhold.service.planner import Planner
 
     async def run() -> None:
-        net, off = MemoryNet(), Off()
-        off.doors = net.doors
+        net, skewed_net = MemoryNet(), SkewedNet()
+        skewed_net.doors = net.doors
         async with trio.open_nursery() as nursery:
             await nursery.start(Planner(planner_config(), 1, net).run)
-            async with open_client("c", {"p": "door"}, net=off, seed=1) as client:
+            async with open_client("c", {"p": "door"}, net=skewed_net, seed=1) as client:
                 await trio.sleep(1)
                 began = trio.current_time()
-                outcome = await client.place(want("g", "exclusive", 3 * SECOND))
+                outcome = await client.place(guest_request("g", "exclusive", 3 * SECOND))
                 assert outcome.state == "turned_back" and 2.9 < trio.current_time() - began <= 3
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-def test_outcomes_raise_by_what_they_are() -> None:
+def test_outcomes_raise_by_their_state() -> None:
     assert Outcome("g", "placed").or_raise().state == "placed"
     with pytest.raises(RefusedError, match="g: turned_back, no_time"):
         Outcome("g", "turned_back", reason="no_time").or_raise()
@@ -245,34 +246,34 @@
 
     async def run() -> None:
         net = MemoryNet()
-        asked = []
+        received = []
 
-        async def door(stream: trio.abc.Stream) -> None:
-            wire = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
+        async def accept(stream: trio.abc.Stream) -> None:
+            connection = Wire(stream, m.Codec(m.FROM_OWNER), net.now)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(wire.write)
-                with wire.scope:
-                    await wire.first(m.Hello, 5)
-                    wire.send(m.Welcome(name="x"))
-                    async for said in wire.messages():
-                        asked.append(said)
-                        placing(wire, said)
-                wire.finish()
+                nursery.start_soon(connection.write)
+                with connection.scope:
+                    await connection.first(m.Hello, 5)
+                    connection.send(m.Welcome(name="x"))
+                    async for message in connection.messages():
+                        received.append(message)
+                        placing(connection, message)
+                connection.finish()
 
         async with trio.open_nursery() as nursery:
             for address in ("a:1", "b:2"):
-                await net.listen(address, door, nursery)
+                await net.listen(address, accept, nursery)
             async with open_client("c", path, net=net, seed=1) as client:
                 await trio.sleep(1)
-                await client.place(want("g1"))
+                await client.place(guest_request("g1"))
                 path.write_text("{planners: {}}")
                 await trio.sleep(3)
                 assert client.watch.refused == 1 and list(client.core.listed) == ["a:1"]
                 path.write_text('{planners: {"b:2": "b:2"}}')
                 await trio.sleep(3)
-                # a:1 has a guest of ours: its connection stays, and it gets nothing new
+                # a:1 has a guest of this client: the connection stays, but gets no new guests
                 assert client.core.up == {"a:1": True, "b:2": True}
-                assert (await client.place(want("g2"))).state == "placed"
+                assert (await client.place(guest_request("g2"))).state == "placed"
                 assert client.core.pending["g2"].planner == "b:2"
                 client.core.said(net.now(), "a:1", m.GuestEnded(guest="g1", how="done"))
                 await trio.sleep(2)
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -84,16 +84,16 @@
 def test_what_an_earlier_life_sent_is_counted_and_changes_nothing() -> None:
     made = world(4, 1)
     kept: list[bytes] = []
-    post = made._post
+    post = made._send_datagram
 
     def listen(process: object, action: Post) -> None:
         if process.name == "m1":
             kept.append(action.body)
         post(process, action)
 
-    made._post = listen
+    made._send_datagram = listen
     made.run(made.now / 1e6 + 5)
-    made._post = post
+    made._send_datagram = post
     made.crash("m1")
     made.start("m1", list(SEEDS))
     within(made, 5, made.agree)
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -118,7 +118,7 @@
     """Three members; from now on the datagrams meet these fates, one each, then all come."""
     made = settle_three(make)
     left = list(fates)
-    post = made._post
+    post = made._send_datagram
 
     def send(process: object, action: Post) -> None:
         fate = left.pop(0) if left else "comes"
@@ -129,7 +129,7 @@
             if fate == "twice":
                 made._later(made.now + 50_000, post, process, action)
 
-    made._post = send
+    made._send_datagram = send
     if fault == "crash":
         made.crash("m2")
     elif fault:
