--- a/bench/overload.py
+++ b/bench/overload.py
@@ -5,7 +5,8 @@
 
 - the planner's processor: a thousand clients, machines that take everything, and a processor that is
   emulated by costs (hazelhold/emulate/client_population.py), once with all protections and once without (no
-  ask refused for the line, decisions without a pause to read, clients that repeat at once and without a budget);
+  ask refused for the line, decisions without a pause to read, clients that repeat at once and without a
+  budget);
 - the machines: the quiet example's, as models, with stand-in senders.
 
 Useful are guests placed within their patience. The machines' own evictions are not the planner's to answer.
--- a/hazelhold/emulate/fleet_owner.py
+++ b/hazelhold/emulate/fleet_owner.py
@@ -11,7 +11,7 @@
 
 
 class Sender:
-    """An owner's model, connected to all running planners; it reconnects some time after a planner's start."""
+    """An owner's model, connected to all running planners; reconnects some time after a planner's start."""
 
     def __init__(self, fleet: "Fleet", model: OwnerModel, recorder: Notes) -> None:
         self.fleet, self.model, self.recorder = fleet, model, recorder
--- a/hazelhold/rehearse/crashes.py
+++ b/hazelhold/rehearse/crashes.py
@@ -1,5 +1,4 @@
-"""Days on which planners die at numbered points: at a write, a sync or a send, and come back with their
-state."""
+"""Days on which planners crash at numbered points (write, sync or send) and restart with their state."""
 
 import contextlib
 import errno
@@ -28,7 +27,7 @@
 
 
 class DiskFault(NamedTuple):
-    """What a planner's disk does from when, for how long: one of FAULTS."""
+    """A fault of a planner's disk (one of FAULTS), with its start and duration in seconds."""
 
     what: str
     planner: int
@@ -37,14 +36,14 @@
 
 
 class Fate(msgspec.Struct):
-    """Stands in the record beside a crash: whether the planner's disk had failed by then."""
+    """Recorded with a crash: whether the planner's disk had failed by then."""
 
     unkept: bool = False
 
 
 class CrashingRunner(InProcessRunner):
-    """Planners in this process, each with a disk of its own that outlives it. One that dies at a point is
-    started again after a drawn while."""
+    """Planners in this process, each with a disk that outlives it. One that crashes at a point is started
+    again after a random time."""
 
     def __init__(
         self,
@@ -68,7 +67,7 @@
                 nursery.start_soon(self._fault, fault)
 
     async def _fault(self, fault: DiskFault) -> None:
-        """The disk fails for its time, whatever lives its planner has meanwhile."""
+        """Applies a disk fault for its duration, across restarts of the planner."""
         disk = self.disks[fault.planner]
         await trio.sleep(fault.at_s)
         if fault.what == "full":
@@ -99,32 +98,32 @@
         self.running[number] = planner, scope, done
 
         async def live(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-            dead = False
+            crashed = False
             try:
                 with scope:
                     await planner.run(task_status=task_status)
             except* Killed:
-                dead = True
+                crashed = True
             recorder.close()
             if planner.tap is not None:
                 planner.tap.writer.close()
             disk.crash()
             self.votes[number].crash()
             done.set()
-            if dead:
+            if crashed:
                 self.crashes += 1
                 self.chief.note(
                     self.net.now(), config.name, "planner_kill", Fate(unkept=planner.keeper.failed)
                 )
                 if self.running.pop(number, None) is not None:
-                    self.nursery.start_soon(self._again, number)
-                with contextlib.suppress(RuntimeError):  # it died before it was up
+                    self.nursery.start_soon(self._restart, number)
+                with contextlib.suppress(RuntimeError):  # it crashed before it was up
                     task_status.started()
 
         await self.nursery.start(live)
 
     async def kill(self, number: int) -> None:
-        """A trouble of the day kills it: as at a point."""
+        """Kills a planner for a fault of the day, like a crash at a point."""
         if number in self.running:
             planner, scope, done = self.running.pop(number)
             self.chief.note(
@@ -135,19 +134,19 @@
             await done.wait()
 
     async def stop(self, number: int) -> None:
-        """A clean stop whose last state could not be kept is as good as a crash with a failed disk."""
+        """Records a clean stop whose last state was not stored as a crash with a failed disk."""
         planner = self.running[number][0] if number in self.running else None
         await super().stop(number)
         if planner is not None and planner.keeper.failed:
             self.chief.note(self.net.now(), self.configs[number].name, "planner_kill", Fate(unkept=True))
 
-    async def _again(self, number: int) -> None:
+    async def _restart(self, number: int) -> None:
         await trio.sleep(self.random.uniform(*self.down_s))
         self.chief.note(self.net.now(), self.configs[number].name, "planner_start")
         await self.start(number)
 
     def _do(self, do: object, disk: FaultyDisk, action: Action) -> None:
-        """A send is a point, too."""
+        """Performs an action; a send counts as a crash point."""
         if disk.dead:
             return
         if isinstance(action, Send) and self.points.reached(f"send {type(action.message).__name__}"):
@@ -159,8 +158,8 @@
 def play_crashes(
     day: Day, seed: int, folder: Path, strike: set[int], faults: tuple[DiskFault, ...] = ()
 ) -> dict[str, Any]:
-    """The day in virtual time, its planners dying at the points of these numbers and their disks failing so;
-    the report has how many points there were and which were struck."""
+    """Plays the day in virtual time; planners crash at the points numbered in `strike`, disks have `faults`.
+    The report has the number of points and those at which a planner crashed."""
     from trio._core import _run  # as run.play_virtual does
     from trio.testing import MockClock
 
--- a/hazelhold/rehearse/fault_plan.py
+++ b/hazelhold/rehearse/fault_plan.py
@@ -1,4 +1,4 @@
-"""Turns a day's troubles into timed steps. The same day and seed give the same steps on any environment."""
+"""Turns a day's faults into timed steps. The same day and seed give the same steps in any environment."""
 
 from random import Random
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Target(NamedTuple):
-    """A machine as troubles see it."""
+    """What faults select a machine by."""
 
     name: str
     kind: str
@@ -16,7 +16,7 @@
 
 
 class FaultStep(NamedTuple):
-    """Something done to the environment `at` microseconds after the day's start."""
+    """A change of the environment, `at` microseconds after the start of the day."""
 
     at: int
     what: str
@@ -25,30 +25,30 @@
 
 
 def plan(day: Day, seed: int, targets: list[Target], services: list[str]) -> list[FaultStep]:
-    """All steps of a day, in the order of their times."""
+    """Returns all steps of a day, ordered by time."""
     random = Random(f"troubles/{seed}")
     steps: list[FaultStep] = []
-    for trouble in day.troubles:
+    for fault in day.troubles:
         steps += [
             FaultStep(round(at * 1e6), what, machine, value)
-            for at, what, machine, value in SHAPES[trouble.kind](trouble, random, targets, services, day)
+            for at, what, machine, value in SHAPES[fault.kind](fault, random, targets, services, day)
         ]
     return sorted(steps, key=lambda s: s.at)
 
 
-def affected_machines(trouble: Trouble, random: Random, targets: list[Target]) -> list[str]:
-    """The machines that a trouble strikes: a drawn part of the fleet, or of one kind, cell or zone first."""
-    most = max(1, round(trouble.part * len(targets)))
+def affected_machines(fault: Trouble, random: Random, targets: list[Target]) -> list[str]:
+    """Draws the machines that a fault affects: part of the fleet, from one kind, cell or zone if set."""
+    limit = max(1, round(fault.part * len(targets)))
     chosen = list(targets)
     random.shuffle(chosen)
-    if trouble.by != "any":
-        group = getattr(random.choice(targets), trouble.by)
-        chosen = [s for s in chosen if getattr(s, trouble.by) == group]
-    return [s.name for s in chosen[:most]]
+    if fault.by != "any":
+        group = getattr(random.choice(targets), fault.by)
+        chosen = [s for s in chosen if getattr(s, fault.by) == group]
+    return [s.name for s in chosen[:limit]]
 
 
 def _fleet_wide(what: str, field: str) -> object:
-    """A trouble that changes one thing for a while, everywhere."""
+    """A fault that changes one value of the whole fleet for a while."""
 
     def shape(t: Trouble, *_: object) -> list[tuple]:
         return [(t.at_s, what, "", getattr(t, field)), (t.at_s + t.for_s, what, "", None)]
@@ -57,7 +57,7 @@
 
 
 def _per_machine(what: str) -> object:
-    """A trouble that makes some machines ill for a while."""
+    """A fault that changes one value of some machines for a while."""
 
     def shape(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
         names = affected_machines(t, random, targets)
@@ -85,11 +85,11 @@
 
 
 def _mass_restart(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
-    found = []
+    steps = []
     for name in affected_machines(t, random, targets):
         at = t.at_s + random.uniform(0, min(t.size, 0.5))
-        found += [(at, "crash", name, None), (at + t.for_s, "up", name, None)]
-    return found
+        steps += [(at, "crash", name, None), (at + t.for_s, "up", name, None)]
+    return steps
 
 
 def _deploy(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
@@ -98,16 +98,16 @@
     names = affected_machines(t, random, targets)
     batch = max(1, round(min(1.0, t.size) * len(targets)))
     batches = [names[i : i + batch] for i in range(0, len(names), batch)]
-    found = []
+    steps = []
     for number, each in enumerate(batches):
         at = t.at_s + number * t.for_s / len(batches)
         for name in each:
-            found += [
+            steps += [
                 (at, "drain", name, None),
                 (at + t.extra, "crash", name, None),
                 (at + t.extra + 1.0, "up", name, None),
             ]
-    return found
+    return steps
 
 
 def _preempt(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
@@ -115,28 +115,28 @@
     that."""
     names = affected_machines(t, random, targets)
     waves = min(4, len(names))
-    found = []
+    steps = []
     for at, name in enumerate(names):
         start = t.at_s + (at % waves) * t.for_s / waves
-        found += [
+        steps += [
             (start, "notice", name, None),
             (start + t.size, "crash", name, None),
             (start + t.size + t.extra, "up", name, None),
         ]
-    return found
+    return steps
 
 
 def _ageing(t: Trouble, random: Random, targets: list[Target], *_: object) -> list[tuple]:
-    found = []
+    steps = []
     for name in affected_machines(t, random, targets):
         for part in range(1, 9):
-            found.append((t.at_s + t.for_s * part / 9, "slow", name, 1 + (t.size - 1) * part / 8))
-        found += [
+            steps.append((t.at_s + t.for_s * part / 9, "slow", name, 1 + (t.size - 1) * part / 8))
+        steps += [
             (t.at_s + t.for_s, "crash", name, None),
             (t.at_s + t.for_s, "slow", name, None),
             (t.at_s + t.for_s + t.extra, "up", name, None),
         ]
-    return found
+    return steps
 
 
 def _heavy(t: Trouble, random: Random, targets: list[Target], services: list[str], day: Day) -> list[tuple]:
@@ -165,7 +165,7 @@
 
 
 def _disk(t: Trouble, *_: object) -> list[tuple]:
-    """Its planner is killed and starts with no disk, or with the one of `extra` seconds before."""
+    """A planner is killed and starts with an empty disk, or with its disk of `extra` seconds before."""
     before = [(t.at_s - t.extra, "planner_copy", "", t.which)] if t.extra else []
     return [
         *before,
@@ -180,12 +180,12 @@
 
 
 def affected_planners(t: Trouble, day: Day) -> tuple[list[int], list[int]]:
-    """The planners that a trouble strikes, and those between whom and them it stands."""
+    """The numbers of the planners that a fault affects, and of the peers that it separates them from."""
     if t.by == "zone":
-        whom = [n for n in range(day.planners) if n % day.zones == t.which % day.zones]
+        affected = [n for n in range(day.planners) if n % day.zones == t.which % day.zones]
     else:
-        whom = list(t.whom) or [t.which]
-    return whom, list(t.others) or [n for n in range(day.planners) if n not in whom]
+        affected = list(t.whom) or [t.which]
+    return affected, list(t.others) or [n for n in range(day.planners) if n not in affected]
 
 
 def _pause(t: Trouble, random: Random, targets: list[Target], services: list[str], day: Day) -> list[tuple]:
@@ -200,10 +200,10 @@
     def shape(
         t: Trouble, random: Random, targets: list[Target], services: list[str], day: Day
     ) -> list[tuple]:
-        whom, others = affected_planners(t, day)
+        affected, others = affected_planners(t, day)
         return [
-            (t.at_s, first, "", (whom, others, t.way, t.part, t.size)),
-            (t.at_s + t.for_s, last, "", (whom, others, t.way, 0.0, 0.0)),
+            (t.at_s, first, "", (affected, others, t.way, t.part, t.size)),
+            (t.at_s + t.for_s, last, "", (affected, others, t.way, 0.0, 0.0)),
         ]
 
     return shape
--- a/hazelhold/rehearse/hunt.py
+++ b/hazelhold/rehearse/hunt.py
@@ -1,4 +1,4 @@
-"""Looks for days on which a rule breaks: draws fleets, habits and troubles, plays them in virtual time."""
+"""Searches for days that break a rule: draws fleets, demand and faults, and plays them in virtual time."""
 
 import tempfile
 from concurrent.futures import ProcessPoolExecutor
@@ -13,7 +13,7 @@
 from hazelhold.rehearse.crashes import FAULTS, DiskFault, play_crashes
 from hazelhold.rehearse.run import play_virtual
 
-# Of each kind of trouble: ranges of for_s, part, size and extra that real days have shown or come near to.
+# By kind of fault: ranges of for_s, part, size and extra like those of real days.
 RANGES = {
     "burst": ((2, 10), (0, 0), (1.4, 2.5), (0, 0)),
     "deploy": ((8, 30), (0.4, 1), (0.05, 0.3), (0.3, 5)),
@@ -40,7 +40,7 @@
 
 
 def draw(base: Day, seed: int, length: float) -> Day:
-    """A day like the base in products and kinds, with other habits and up to ten troubles at once."""
+    """Draws a day with the guest classes and machine kinds of the base, other demand and up to ten faults."""
     random = Random(f"hunt/{seed}")
     fleet = replace(
         base.estate.fleet,
@@ -56,12 +56,12 @@
     troubles = []
     for _ in range(random.randint(1, 10)):
         kind = random.choice(KINDS)
-        span, part, size, extra = RANGES[kind]
+        duration, part, size, extra = RANGES[kind]
         troubles.append(
             Trouble(
                 kind=kind,
                 at_s=round(random.uniform(0.5, length * 0.85), 3),
-                for_s=round(random.uniform(*span), 3),
+                for_s=round(random.uniform(*duration), 3),
                 part=round(random.uniform(*part), 3),
                 size=round(random.uniform(*size), 3),
                 extra=round(random.uniform(*extra), 3),
@@ -94,13 +94,13 @@
 
 
 def draw_crashes(day: Day, seed: int) -> tuple[set[int], tuple[DiskFault, ...]]:
-    """Points at which planners with durable state die, some hundreds apart, and failing disks."""
+    """Draws points at which planners with durable state crash, some hundreds apart, and disk faults."""
     random = Random(f"crashes/{seed}")
-    strike, at = set(), 0.0
+    crash_points, at = set(), 0.0
     apart = random.choice([150, 400, 1500])
     while at < 20_000:
         at += random.expovariate(1 / apart)
-        strike |= {int(at), int(at) + random.choice([0, 1, 5, 30])}  # often again amid the recovery
+        crash_points |= {int(at), int(at) + random.choice([0, 1, 5, 30])}  # often again during recovery
     faults = tuple(
         DiskFault(
             random.choice(sorted(FAULTS)),
@@ -110,12 +110,12 @@
         )
         for _ in range(random.choice([0, 0, 1, 3]))
     )
-    return strike, faults
+    return crash_points, faults
 
 
-def judge(base: Day, seed: int, length: float, crashes: bool = False) -> dict[str, Any]:
-    """Plays one drawn day; a crash of the program counts as found, with its text. With `crashes` planners
-    keep their state, die at drawn points and have failing disks, and owe all that they took."""
+def play_and_audit(base: Day, seed: int, length: float, crashes: bool = False) -> dict[str, Any]:
+    """Plays and audits one drawn day; an exception is reported as a finding, with its text. With `crashes`
+    planners persist their state, crash at drawn points and have disk faults, and owe all accepted guests."""
     day = draw(base, seed, length)
     with tempfile.TemporaryDirectory(prefix="hazelhold-") as folder:
         try:
@@ -124,13 +124,13 @@
                 if crashes
                 else play_virtual(day, seed, Path(folder))
             )
-        except Exception as wrong:  # noqa: BLE001 - whatever it is, it is what the hunt is for
+        except Exception as error:  # noqa: BLE001 - any exception is a finding
             import traceback
 
             return {
                 "seed": seed,
                 "broken": ["crash"],
-                "what": "".join(traceback.format_exception(wrong))[-1500:],
+                "what": "".join(traceback.format_exception(error))[-1500:],
             }
     broken = [f"rule {b['rule']}: {b['what']}" for b in said["rules_broken"]]
     broken += [f"unaccounted {name}" for name in said["unaccounted"]]
@@ -147,13 +147,15 @@
 def hunt(
     base: Day, seed: int, runs: int, length: float, jobs: int, crashes: bool = False
 ) -> list[dict[str, Any]]:
-    """Judges `runs` drawn days from this seed on, some at a time; the same arguments find the same."""
+    """Plays `runs` drawn days from a seed on, `jobs` at a time; equal arguments give equal results."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(
-            pool.map(judge, [base] * runs, range(seed, seed + runs), [length] * runs, [crashes] * runs)
+            pool.map(
+                play_and_audit, [base] * runs, range(seed, seed + runs), [length] * runs, [crashes] * runs
+            )
         )
 
 
 def write_day(day: Day, path: Path) -> None:
-    """A drawn day as a file that `rehearse` plays."""
+    """Writes a drawn day as a file that `rehearse` plays."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(day), indent=1) + b"\n")
--- a/hazelhold/rehearse/ports.py
+++ b/hazelhold/rehearse/ports.py
@@ -1,4 +1,4 @@
-"""Port numbers for processes that are told theirs before they start."""
+"""Chooses port numbers for processes that need them before they start."""
 
 import fcntl
 import os
@@ -17,7 +17,7 @@
 
 
 class PortsError(Exception):
-    """There are not as many free ports as were asked for."""
+    """There are fewer free ports than requested."""
 
 
 def ephemeral_ports(source: Path = RANGE_FILE) -> tuple[int, int]:
@@ -45,8 +45,8 @@
 def free_ports(
     count: int, kind: int = socket.SOCK_STREAM, choice: range | None = None, cursor: Path | None = None
 ) -> list[int]:
-    """Ports of 127.0.0.1 that are free and that nobody is given for a long while; a process can bind its port
-    again after a restart.
+    """Returns free ports of 127.0.0.1, not given out again for long; a process can bind its port again
+    after a restart.
 
     They are not ephemeral, so no connection that is dialled and no socket bound to port 0 takes one. All
     processes of a user take turns through a locked file, so that two are given the same port only once
@@ -65,7 +65,7 @@
 
 
 def _position(text: str, ports: range) -> int:
-    """Where in the range to go on; the start if the file is new or of another range."""
+    """The position in the range to continue from; 0 if the file is new or of another range."""
     last = int(text) if text.isascii() and text.isdigit() else -1
     return ports.index(last) + 1 if last in ports else 0
 
@@ -77,11 +77,11 @@
         if len(found) == count:
             break
         port = ports[(position + step) % len(ports)]
-        tried = held.enter_context(socket.socket(socket.AF_INET, kind))
+        candidate = held.enter_context(socket.socket(socket.AF_INET, kind))
         try:
-            tried.bind(("127.0.0.1", port))
+            candidate.bind(("127.0.0.1", port))
         except OSError:
-            tried.close()
+            candidate.close()
             continue
         found.append(port)
     if len(found) < count:
--- a/hazelhold/rehearse/run.py
+++ b/hazelhold/rehearse/run.py
@@ -52,7 +52,7 @@
     ]
 
 
-async def wire_up(
+async def with_membership(
     configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str]
 ) -> list[PlannerConfig]:
     """The configurations with membership on, each planner reaching each other by a wire of its own."""
@@ -82,7 +82,7 @@
     return found
 
 
-async def copy_up(
+async def with_replication(
     configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str], folder: Path
 ) -> list[PlannerConfig]:
     """The configurations with claims agreed among all, each planner reaching the others by its own wires."""
@@ -176,14 +176,14 @@
                 if isinstance(net, TcpNet)
                 else [f"members-{number}" for number in range(day.planners)]
             )
-            configs = await wire_up(configs, day, wires, ports)
+            configs = await with_membership(configs, day, wires, ports)
             if day.copies.on:
                 ports = (
                     [f"{host}:{port}" for port in free_ports(day.planners)]
                     if isinstance(net, TcpNet)
                     else [f"copies-{number}" for number in range(day.planners)]
                 )
-                configs = await copy_up(configs, day, wires, ports, folder)
+                configs = await with_replication(configs, day, wires, ports, folder)
         if keep:
             configs = [replace(s, state=StateConfig(folder=str(folder / "state" / s.name))) for s in configs]
         if points is not None:
--- a/tests/processes/fleetconfig_rig.py
+++ b/tests/processes/fleetconfig_rig.py
@@ -135,7 +135,7 @@
     def home(self, name: str) -> Path:
         return self.folder / name
 
-    async def wire_up(self) -> None:
+    async def with_membership(self) -> None:
         """Files, wires and seats for all."""
         await self.write_files()
         for name in self.controls:
@@ -388,7 +388,7 @@
     async with trio.open_nursery() as nursery:
         made = ProcessFleet(folder, nursery, controls, planners, one_zone, programs)
         try:
-            await made.wire_up()
+            await made.with_membership()
             await made.start_all()
             listed = {
                 f"planners__{p}": {"address": made.at(p), "zone": made.zones[p], "region": made.regions[p]}
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -45,7 +45,7 @@
     def at(self, name: str) -> str:
         return f"127.0.0.1:{self.ports[name]}"
 
-    async def wire_up(self, seeds: Iterable[str]) -> None:
+    async def with_membership(self, seeds: Iterable[str]) -> None:
         for number, name in enumerate(self.names):
             reach = {
                 other: await self.wires.datagrams(name, other, self.at(other))
@@ -194,7 +194,7 @@
     async with trio.open_nursery() as nursery:
         made = Rig(folder, nursery, count, **timing)
         try:
-            await made.wire_up(seeds)
+            await made.with_membership(seeds)
             if start:
                 await made.start_all()
                 await made.all_alive()
--- a/tests/processes/test_copies_processes.py
+++ b/tests/processes/test_copies_processes.py
@@ -21,7 +21,7 @@
 from hazelhold.rehearse.environment import Environment
 from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.rehearse.ports import free_ports
-from hazelhold.rehearse.run import audit_rules, copy_up, planner_configs, wire_up
+from hazelhold.rehearse.run import audit_rules, planner_configs, with_membership, with_replication
 from hazelhold.rehearse.runners import ProcessRunner
 from hazelhold.service.net import TcpNet
 from hazelhold.service.wire import Wire
@@ -131,9 +131,9 @@
         import socket
 
         ports = [f"127.0.0.1:{p}" for p in free_ports(count, socket.SOCK_DGRAM)]
-        configs = await wire_up(configs, day, self.wires, ports)
+        configs = await with_membership(configs, day, self.wires, ports)
         ports = [f"127.0.0.1:{p}" for p in free_ports(count)]
-        self.configs = await copy_up(configs, day, self.wires, ports, self.folder)
+        self.configs = await with_replication(configs, day, self.wires, ports, self.folder)
         self.runner = ProcessRunner(self.configs, self.folder, self.nursery, None)
         self.chief.note(self.net.now(), "", "rules", audit_rules(day))
         for number in range(count):
