--- a/hazelhold/rehearse/environment.py
+++ b/hazelhold/rehearse/environment.py
@@ -1,4 +1,4 @@
-"""Everything that a day needs but its planners: machines, list service and owners, and what troubles do to
+"""The environment of a day's planners: machines, list service and owners, and the faults injected into
 them."""
 
 from pathlib import Path
@@ -24,8 +24,8 @@
 
 
 class Environment:
-    """The surroundings of a day's planners: the stand-ins, and what troubles do to them. The planners' names
-    and addresses come from whoever starts them."""
+    """The stand-ins around a day's planners. The names and addresses of planners come from the caller that
+    starts them."""
 
     def __init__(self, day: Day, seed: int, net: Net, records: Path | None, host: str) -> None:
         self.day, self.seed, self.net, self.records, self.host = day, seed, net, records, host
@@ -36,7 +36,7 @@
         self.recorders: list[Recorder] = []
         self._make_machines()
         r = day.roster
-        self.remote: Wire | None = None  # a list service elsewhere, for machines that stand alone
+        self.remote: Wire | None = None  # an external list service, for standalone machines
         self.service = ListService(
             seed,
             net.now(),
@@ -54,7 +54,7 @@
         return made
 
     def _wants(self) -> list[Want]:
-        """The services of the day: each has one product, one shape, one customer and one usual life."""
+        """Draws the day's services: each has one guest class, size, customer and usual lifetime."""
         day, random, found = self.day, self.random, []
         products = {p.name: p for p in day.estate.products}
         total = sum(w.share for w in day.wares)
@@ -96,7 +96,9 @@
             for w in day.wares
         }
         number = 0
-        shared: dict[tuple[str, object], dict[str, str]] = {}  # tickets that stand, by product and group
+        shared: dict[
+            tuple[str, object], dict[str, str]
+        ] = {}  # accepted idempotency keys, by guest class and group
         for stock in day.stock:
             kind = kinds[stock.kind]
             for _ in range(stock.count):
@@ -124,7 +126,7 @@
                     drains=day.drains,
                 )
                 name = f"m{number:03d}"
-                off = (3600, -3600, 0)[min(number, 2)] * SECOND  # two machines whose clocks are an hour off
+                off = (3600, -3600, 0)[min(number, 2)] * SECOND  # the clocks of two machines are an hour off
                 machine = Machine(name, profile, self.seed * 1000 + number, self.net.now() + off)
                 target = Target(name, kind.name, number % day.zones, number // day.cell_size)
                 for product in machine.tickets:
@@ -138,7 +140,7 @@
                 number += 1
 
     async def open(self, nursery: trio.Nursery) -> str:
-        """Starts list service and machines; returns the list's address."""
+        """Starts the list service and the machines; returns the address of the list."""
         address = await self.list_host.run(f"{self.host}:0", nursery)
         await self.open_machines(nursery)
         self.service.advance(self.net.now())
@@ -152,7 +154,7 @@
         nursery.start_soon(self._keep_rooms)
 
     def bring_owners(self, planners: dict[str, str], nursery: trio.Nursery) -> None:
-        """Starts the senders; from here on guests come. `planners` are addresses by name."""
+        """Starts the owners, which then submit guests. `planners` has addresses by name."""
         demand, now = self.day.demand, self.net.now()
         self.zones = {name: at % self.day.zones for at, name in enumerate(planners)}
         until = now + round((demand.until_s or self.day.length_s) * 1e6)
@@ -230,10 +232,10 @@
         self.service.set(self.net.now(), entry, machine.up_at - host.clock_off, at_once)
         self.list_host.ticker.stir()
 
-    # What troubles do.
+    # Faults.
 
     def do(self, step: FaultStep) -> None:
-        """Carries out one step; those on planners are for whoever runs them."""
+        """Injects one fault step; the caller that runs the planners handles theirs."""
         getattr(self, "_do_" + step.what)(step.machine, step.value)
 
     def _do_burst(self, name: str, value: float | None) -> None:
@@ -254,7 +256,7 @@
         self._list(name, "cordoned")
 
     def _do_notice(self, name: str, value: object) -> None:
-        """Listed as draining at once: the machine's keeper tells before it takes it away."""
+        """Lists a machine as draining at once: its operator announces that it will be removed."""
         self.hosts[name].machine.drain(self.hosts[name].now())
         self.hosts[name].ticker.stir()
         self._list(name, "cordoned", at_once=True)
@@ -302,8 +304,8 @@
         self._stir()
 
     def _do_cut(self, name: str, value: int) -> None:
-        """Nothing passes between this zone's machines and planners of other zones, and the other way
-        round."""
+        """Partitions this zone: its machines from the planners of other zones, and its planners from other
+        machines."""
         zone = value % self.day.zones
         for host in self.hosts.values():
             host.cut_from = {p for p, z in self.zones.items() if (z == zone) != (host.zone == zone)}
--- a/hazelhold/rehearse/run.py
+++ b/hazelhold/rehearse/run.py
@@ -36,7 +36,7 @@
 
 
 def planner_configs(day: Day, seed: int, list_address: str, doors: list[str]) -> list[PlannerConfig]:
-    """One configuration for each planner of the day; they share nothing but the estate."""
+    """Returns a configuration for each planner of the day; they share only the fleet's settings."""
     return [
         PlannerConfig(
             name=f"planner-{number}",
@@ -55,7 +55,7 @@
 async def with_membership(
     configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str]
 ) -> list[PlannerConfig]:
-    """The configurations with membership on, each planner reaching each other by a wire of its own."""
+    """Returns the configurations with membership on; each planner reaches each other by its own proxy."""
     names = [s.name for s in configs]
     members = day.membership
     found = []
@@ -85,7 +85,7 @@
 async def with_replication(
     configs: list[PlannerConfig], day: Day, wires: FaultProxies, ports: list[str], folder: Path
 ) -> list[PlannerConfig]:
-    """The configurations with claims agreed among all, each planner reaching the others by its own wires."""
+    """Returns the configurations with claims among all planners, which reach each other by proxies."""
     names = [s.name for s in configs]
     planners = [CopiesPlanner(name, ports[at], f"zone-{at % day.zones}") for at, name in enumerate(names)]
     found = []
@@ -208,7 +208,7 @@
         await _until(net, start + round(day.length_s * 1e6))
         chief.note(net.now(), "", "day_over")
         longest = max(p.patience_ms for p in day.estate.products) / 1000
-        await trio.sleep(longest + 1.0)  # whoever was taken is answered by then
+        await trio.sleep(longest + 1.0)  # every accepted guest is answered by then
         for number in range(day.planners):
             await runner.stop(number)
         environment.close()
@@ -225,7 +225,7 @@
 
 
 class Cut(msgspec.Struct):
-    """Directions between planners that carry nothing from now on, or do again; stands in the record."""
+    """Recorded when directions between planners are blocked, degraded or opened again."""
 
     pairs: list[tuple[str, str]]
 
@@ -251,8 +251,8 @@
 
 
 async def _planner(step: FaultStep, runner: PlannerRunner, chief: Recorder, net: Net) -> None:
-    """Does something to a planner's process, and notes it: an end before it comes (a crash is noted by
-    the runner that makes it), a start once it is up."""
+    """Injects a fault into a planner's process and records it: an end before it happens (a crash is recorded
+    by its runner), a start once the planner is up."""
     name, what = f"planner-{step.value}", step.what.removeprefix("planner_")
     if what in ("copy", "no_disk", "old_disk"):
         chief.note(net.now(), name, step.what)
@@ -266,7 +266,7 @@
 
 
 def _between(step: FaultStep, wires: FaultProxies, chief: Recorder, now: int) -> None:
-    """Does something to the wires between planners."""
+    """Injects a fault into the network between planners."""
     whom, others, way, part, size = step.value
     ones, rest = [f"planner-{n}" for n in whom], [f"planner-{n}" for n in others]
     pairs = wires.between(ones, rest, way)
@@ -284,14 +284,14 @@
 
 
 def sound(said: dict[str, Any]) -> bool:
-    """Whether a report's day broke no rule, lost nobody and passed no bound on views."""
+    """Whether a report shows no broken rule, no unaccounted guest and no exceeded limit on views."""
     return not (said["rules_broken"] or said["unaccounted"] or said.get("views", {}).get("bounds_passed"))
 
 
 def report(
     records: Path, name: str, seed: int, seconds: float, owners: dict, bounds: ViewBounds | None = None
 ) -> dict[str, Any]:
-    """Audit and score of a folder of records, as plain values."""
+    """Audits and scores a folder of records; returns plain values."""
     audit = Audit.of_folder(records)
     breaches = audit.breaches()
     claims = ClaimAudit(audit.crossings, audit.rules)
@@ -321,8 +321,8 @@
     net: MemoryNet | None = None,
     interleaving: int | None = None,
 ) -> dict[str, Any]:
-    """The whole day in memory and virtual time: minutes of trouble in seconds, without a socket. The order of
-    what comes at one moment follows from the seed, or from `interleaving`."""
+    """Plays the whole day in memory and virtual time, without sockets. The order of simultaneous events comes
+    from the seed, or from `interleaving`."""
     from trio._core import _run  # the same knobs as trio's own plug-ins for tests use
     from trio.testing import MockClock
 
--- a/hazelhold/rehearse/runners.py
+++ b/hazelhold/rehearse/runners.py
@@ -24,7 +24,7 @@
 
 
 class PlannerRunner(Protocol):
-    """What a rehearsal asks of whoever runs its planners; planners are numbered from 0."""
+    """The interface for running a rehearsal's planners, which are numbered from 0."""
 
     def found(self, number: int) -> None:
         """Gives a planner its seat in the agreed set, before its first start."""
@@ -39,10 +39,10 @@
         """Copies its disk, whatever it is doing."""
 
     async def no_disk(self, number: int) -> None:
-        """Takes the disk of a planner that is down away."""
+        """Removes the disk of a planner that is down."""
 
     async def old_disk(self, number: int) -> None:
-        """Puts the copy back in its place."""
+        """Restores the copy of its disk."""
 
     async def pause(self, number: int) -> None: ...
 
@@ -50,7 +50,7 @@
 
 
 def captured(config: PlannerConfig, folder: Path | None, life: int) -> PlannerConfig:
-    """The configuration of one life of a planner, with a capture of its own if there is a folder for it."""
+    """The configuration of one run of a planner, with its own capture file if there is a folder for it."""
     if folder is None:
         return config
     return replace(config, capture=replace(config.capture, file=str(folder / f"{config.name}-{life}.pcap")))
@@ -208,7 +208,7 @@
     async def copy(self, number: int) -> None:
         folder, copy = self._votes(number)
         shutil.rmtree(copy, ignore_errors=True)
-        with contextlib.suppress(shutil.Error):  # a file went while it was copied, as on a live disk
+        with contextlib.suppress(shutil.Error):  # a file was removed during the copy, as on a live disk
             shutil.copytree(folder, copy)
 
     async def no_disk(self, number: int) -> None:
@@ -220,7 +220,7 @@
         copy.rename(folder)
 
     def _votes(self, number: int) -> tuple[Path, Path]:
-        """Where a planner's votes are, and where a copy of them is kept."""
+        """The folder of a planner's votes and that of their copy."""
         folder = Path(self.configs[number].copies.folder)
         return folder, folder.with_name(folder.name + ".copy")
 
@@ -240,7 +240,7 @@
     async def stop(self, number: int) -> None:
         if process := self.running.pop(number, None):
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGCONT)  # a paused one would never see it
+            process.send_signal(signal.SIGCONT)  # a paused process would not receive SIGTERM
             with trio.move_on_after(30):
                 await process.wait()
                 return
