--- a/bench/fuzz_membership.py
+++ b/bench/fuzz_membership.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership import messages
 from hazelhold.membership.core import MembershipSettings, SendDatagram
 from hazelhold.membership.rows import ALIVE, Row, encode_row
@@ -66,13 +66,13 @@
 
 def fuzz(seed: int, datagrams: int) -> Counter[str]:
     random = Random(f"fuzz/{seed}")
-    made = Parley(seed, MembershipSettings("fuzz", most_members=MOST, forget=20_000_000))
+    made = MembershipSimulation(seed, MembershipSettings("fuzz", most_members=MOST, forget=20_000_000))
     made.keep_news = False
     names = [f"m{n}" for n in range(5)]
     for name in names:
         made.start(name, ["at-m0", "at-m1"])
     kept: list[bytes] = []
-    post = made._post
+    post = made._send_datagram
 
     def listen(process: object, action: SendDatagram) -> None:
         if len(kept) < 500 or random.random() < 0.01:
@@ -80,7 +80,7 @@
             del kept[:-500]
         post(process, action)
 
-    made._post = listen
+    made._send_datagram = listen
     done = 0
     while done < datagrams:
         made.run(made.now / 1e6 + 0.05)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from hazelhold.emulate.heartbeats import Heartbeats
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings
 from hazelhold.membership.rows import GONE
 
@@ -63,8 +63,8 @@
 KINDS: dict[str, Callable[..., Any]] = {"hazelhold": MembershipCore, "swim": Swim, "heartbeats": Heartbeats}
 
 
-def world(kind: str, count: int, seed: int, settle: float = 20.0) -> Parley:
-    made = Parley(seed, TERMS, KINDS[kind])
+def world(kind: str, count: int, seed: int, settle: float = 20.0) -> MembershipSimulation:
+    made = MembershipSimulation(seed, TERMS, KINDS[kind])
     made.keep_news = False
     for number in range(count):
         made.start(f"m{number}", SEEDS, zone=f"z{number % 3}")
@@ -109,7 +109,7 @@
 
     def note(by: str, news: MembershipChange) -> None:
         if news.what == "gone" and (about := made.processes.get(news.name)) is not None:
-            ran = about.up and not about.paused and made.now - about.resumed > 1_000_000
+            ran = about.up and not about.paused and made.now - about.resumed_at > 1_000_000
             wrongly[0] += ran and not (deaf and news.name == "m1")
 
     made.on_news = note
--- a/hazelhold/cli/stand_in.py
+++ b/hazelhold/cli/stand_in.py
@@ -86,7 +86,7 @@
     """Runs one part of a day and prints its counts as JSON."""
     import trio
 
-    from hazelhold.rehearse.alone import run_part
+    from hazelhold.rehearse.standalone import run_part
 
     config = read_day(day)
     logs.set_up(log, level)
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import MembershipChange, MembershipCore, MembershipSettings
 
 SETTINGS = MembershipSettings("tests")
@@ -14,9 +14,9 @@
 TWO = [pytest.param(seed, id=f"seed{seed}") for seed in (1, 2)]
 
 
-def world(count: int, seed: int, make: type = MembershipCore, settle: float = 8.0) -> Parley:
+def world(count: int, seed: int, make: type = MembershipCore, settle: float = 8.0) -> MembershipSimulation:
     """Members m0 to m(count-1) that know each other, in two zones in turn."""
-    simulation = Parley(seed, SETTINGS, make)
+    simulation = MembershipSimulation(seed, SETTINGS, make)
     for number in range(count):
         simulation.start(f"m{number}", list(SEEDS), zone=f"z{number % 2}")
     assert not simulation.run(settle, lambda: not simulation.agree())
@@ -27,7 +27,7 @@
 
 
 def changes(
-    simulation: Parley, what: str, by: str = "", of: str = ""
+    simulation: MembershipSimulation, what: str, by: str = "", of: str = ""
 ) -> list[tuple[float, str, MembershipChange]]:
     """The changes of this kind, with their time in seconds and the member that reported them."""
     return [
@@ -42,7 +42,7 @@
     return [f"m{n}" for n in range(count) if f"m{n}" not in but]
 
 
-def within(simulation: Parley, seconds: float, condition: Callable[[], bool]) -> float:
+def within(simulation: MembershipSimulation, seconds: float, condition: Callable[[], bool]) -> float:
     """Runs until the condition holds, and returns the seconds that took. Fails after `seconds`."""
     began = simulation.now
     assert not simulation.run(simulation.now / 1e6 + seconds, lambda: not condition()), (
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -17,8 +17,8 @@
 from hazelhold.cli.members import ask
 from hazelhold.config.planner import MembershipConfig, PlannerConfig
 from hazelhold.membership.rows import STATES
+from hazelhold.rehearse.fault_proxy import FaultProxies
 from hazelhold.rehearse.ports import free_ports
-from hazelhold.rehearse.wires import Wires
 from hazelhold.service.net import TcpNet
 from tests.helpers import planner_config
 
@@ -34,7 +34,7 @@
     ) -> None:
         self.folder, self.nursery, self.timing = folder, nursery, timing
         self.net = TcpNet()
-        self.wires = Wires(self.net, nursery, seed)
+        self.wires = FaultProxies(self.net, nursery, seed)
         self.names = [f"p{n}" for n in range(count)]
         self.ports = dict(zip(self.names, free_ports(count, socket.SOCK_DGRAM), strict=True))
         self.doors = dict(zip(self.names, free_ports(count), strict=True))
@@ -45,7 +45,7 @@
     def at(self, name: str) -> str:
         return f"127.0.0.1:{self.ports[name]}"
 
-    async def wire_up(self, seeds: Iterable[str]) -> None:
+    async def with_membership(self, seeds: Iterable[str]) -> None:
         for number, name in enumerate(self.names):
             reach = {
                 other: await self.wires.datagrams(name, other, self.at(other))
@@ -194,7 +194,7 @@
     async with trio.open_nursery() as nursery:
         made = Rig(folder, nursery, count, **timing)
         try:
-            await made.wire_up(seeds)
+            await made.with_membership(seeds)
             if start:
                 await made.start_all()
                 await made.all_alive()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hazelhold.emulate.heartbeats import Heartbeats
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import ALIVE, GONE, LEFT
 from tests.membership_world import SEEDS, SETTINGS, TWO, changes, names, within, world
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", TWO)
 def test_all_seeds_down_at_the_start_and_one_comes_late(seed: int) -> None:
-    simulation = Parley(seed, SETTINGS)
+    simulation = MembershipSimulation(seed, SETTINGS)
     for number in (3, 4, 5):
         simulation.start(f"m{number}", list(SEEDS))
     simulation.run(20)
@@ -98,7 +98,7 @@
 
 def test_a_first_planner_whose_seeds_stay_down_is_in_contact_once_others_joined_through_it() -> None:
     """Otherwise it would exceed the incarnation of a younger process of its name, which has to stay."""
-    simulation = Parley(1, SETTINGS)
+    simulation = MembershipSimulation(1, SETTINGS)
     older = simulation.start("m3", list(SEEDS))
     for name in ("m4", "m5"):
         simulation.start(name, ["at-m3"])
--- a/tests/test_membership_cuts.py
+++ b/tests/test_membership_cuts.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import MembershipCore
 from hazelhold.membership.rows import ALIVE, GONE, SUSPECTED, Row
 from tests.membership_world import SEEDS, SETTINGS, TWO, changes, names, within, world
@@ -25,7 +25,7 @@
     )
 
 
-def isolated(simulation: Parley, name: str, deaf: bool, mute: bool) -> None:
+def isolated(simulation: MembershipSimulation, name: str, deaf: bool, mute: bool) -> None:
     """Cuts a member off from the others in one or both directions."""
     others = names(6, name)
     if deaf:
@@ -34,7 +34,7 @@
         simulation.cut([name], others, both=False)
 
 
-def lone(simulation: Parley, name: str, deaf: bool, mute: bool) -> None:
+def lone(simulation: MembershipSimulation, name: str, deaf: bool, mute: bool) -> None:
     """Checks a member that cannot receive, cannot send, or neither. The others see it as gone and suspect
     nobody else; it reports that it is alone, sees the others as suspected, and reports nobody gone."""
     began = simulation.now / 1e6
@@ -64,7 +64,7 @@
     lone(world(6, seed), "m2", deaf, mute)
 
 
-def parted(simulation: Parley, both: bool) -> None:
+def parted(simulation: MembershipSimulation, both: bool) -> None:
     """Alive means that it answers: where one zone's datagrams are lost, neither side gets acks."""
     one, other = ["m0", "m2", "m4"], ["m1", "m3", "m5"]
     simulation.cut(one, other, both)
@@ -107,7 +107,7 @@
 
 
 def test_clocks_that_run_at_other_rates_and_jumps_of_the_wall_clock_change_nothing() -> None:
-    simulation = Parley(1, SETTINGS)
+    simulation = MembershipSimulation(1, SETTINGS)
     for number in range(6):
         simulation.start(
             f"m{number}", list(SEEDS), rate=(0.8, 1.0, 1.25)[number % 3], life=10 ** (number + 1)
@@ -156,7 +156,7 @@
         lone(world(6, 1, NoWitness), "m2", deaf, mute)
 
 
-def overslept(make: type) -> Parley:
+def overslept(make: type) -> MembershipSimulation:
     """m0 gets a suspicion of m3, which m3 would refute, and is paused before it can query m3. Datagrams that
     arrive meanwhile are lost, as if the socket's buffer were full."""
     simulation = world(6, 2, make)
--- a/tests/test_membership_input.py
+++ b/tests/test_membership_input.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership import messages
 from hazelhold.membership.core import MembershipChange, MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, Row, encode_row, key
@@ -59,7 +59,7 @@
 
 def test_a_thousand_nonexistent_members_are_bounded_probed_and_forgotten() -> None:
     settings = SETTINGS._replace(most_members=300, forget=20_000_000)
-    simulation = Parley(1, settings)
+    simulation = MembershipSimulation(1, settings)
     for name in names(4):
         simulation.start(name, list(SEEDS))
     simulation.run(3)
@@ -84,16 +84,16 @@
 def test_datagrams_of_an_earlier_incarnation_are_counted_and_change_nothing() -> None:
     simulation = world(4, 1)
     recorded: list[bytes] = []
-    send = simulation._post
+    send = simulation._send_datagram
 
     def listen(process: object, action: SendDatagram) -> None:
         if process.name == "m1":
             recorded.append(action.body)
         send(process, action)
 
-    simulation._post = listen
+    simulation._send_datagram = listen
     simulation.run(simulation.now / 1e6 + 5)
-    simulation._post = send
+    simulation._send_datagram = send
     simulation.crash("m1")
     simulation.start("m1", list(SEEDS))
     within(simulation, 5, simulation.agree)
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhold.emulate.parley import Parley
+from hazelhold.emulate.membership_simulation import MembershipSimulation
 from hazelhold.membership.core import MembershipCore, SendDatagram
 from hazelhold.membership.rows import ALIVE, GONE, Row, key
 from tests.membership_world import SEEDS, SETTINGS, changes, names, within
@@ -37,7 +37,7 @@
 class Watch:
     """Checks the view after each event: incarnations and states must never go back."""
 
-    def __init__(self, simulation: Parley) -> None:
+    def __init__(self, simulation: MembershipSimulation) -> None:
         self.simulation, self.last = simulation, {}
         carry = simulation._carry_out
 
@@ -58,8 +58,8 @@
         simulation._carry_out = check
 
 
-def settle_three(make: type = MembershipCore) -> Parley:
-    simulation = Parley(1, SETTINGS, make)
+def settle_three(make: type = MembershipCore) -> MembershipSimulation:
+    simulation = MembershipSimulation(1, SETTINGS, make)
     Watch(simulation)
     for name in ("m0", "m1", "m2"):
         simulation.start(name, list(SEEDS))
@@ -87,7 +87,7 @@
     return all(patterns <= renamed(order) for order in orders)
 
 
-def play_cuts(simulation: Parley, *patterns: tuple[bool, ...]) -> None:
+def play_cuts(simulation: MembershipSimulation, *patterns: tuple[bool, ...]) -> None:
     for pattern in patterns:
         simulation.cuts = {pair for pair, cut in zip(PAIRS, pattern, strict=True) if cut}
         simulation.run(simulation.now / 1e6 + 5.5)
@@ -116,11 +116,11 @@
 FATES = ("comes", "lost", "late", "twice")
 
 
-def fated(fates: tuple[str, ...], make: type, fault: str) -> Parley:
+def fated(fates: tuple[str, ...], make: type, fault: str) -> MembershipSimulation:
     """Three members; the next datagrams have these fates, one each, and all later ones arrive."""
     simulation = settle_three(make)
     left = list(fates)
-    send_datagram = simulation._post
+    send_datagram = simulation._send_datagram
 
     def send(process: object, action: SendDatagram) -> None:
         fate = left.pop(0) if left else "comes"
@@ -131,7 +131,7 @@
             if fate == "twice":
                 simulation._later(simulation.now + 50_000, send_datagram, process, action)
 
-    simulation._post = send
+    simulation._send_datagram = send
     if fault == "crash":
         simulation.crash("m2")
     elif fault:
@@ -163,7 +163,7 @@
 @given(st.data())
 def test_generated_schedules_end_in_agreement(data: st.DataObject) -> None:
     """Random cuts, pauses, crashes, restarts, leaves and loss among five members; then a quiet time."""
-    simulation = Parley(data.draw(st.integers(1, 1000)), SETTINGS)
+    simulation = MembershipSimulation(data.draw(st.integers(1, 1000)), SETTINGS)
     Watch(simulation)
     for name in names(5):
         simulation.start(name, list(SEEDS))
