--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -92,7 +92,7 @@
 def test_the_examples_are_valid_and_a_missing_file_is_named() -> None:
     files = [str(EXAMPLES / name) for name in ("planner.json5", "bad-day.json5", "quiet-day.json5")]
     ran = CliRunner().invoke(main, ["check-config", *files])
-    assert ran.exit_code == 0 and ran.output.count("sound") == 3
+    assert ran.exit_code == 0 and ran.output.count("valid") == 3
     ran = CliRunner().invoke(main, ["check-config", "nowhere.json5"])
     assert ran.exit_code == 2 and "nowhere.json5" in ran.output
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -45,7 +45,7 @@
 
     all_ready = {mode: machines.MachineMode.READY for mode in ("ready", "cordoned", "gone")}
     monkeypatch.setattr(machines, "MODES", all_ready)
-    monkeypatch.setattr(Guest, "may_turn_back", lambda self: True)
+    monkeypatch.setattr(Guest, "may_refuse", lambda self: True)
     monkeypatch.setattr(Scheduler, "_allowed", lambda self, guest, machine, now: True)
     day = bad_day(
         length_s=25.0, troubles=[Trouble("answer_lost", 2, 20, 1.0, 0.4), Trouble("deploy", 5, 12, 1.0, 0.2)]
--- a/tests/test_fleetconfig_validation.py
+++ b/tests/test_fleetconfig_validation.py
@@ -83,7 +83,7 @@
         ("fleet", "cold_for_ms: Expected"),
         ("fleet", "probing: Expected"),
         ("kinds/big", "is no"),
-        ("products/search", "goal_ms: the"),
+        ("products/search", "goal_ms: exceeds"),
         ("products/search", "kind: no"),
         ("products/other", "effect: Invalid"),
         ("products/other", "patience_ms: is"),
--- a/tests/test_membership_search.py
+++ b/tests/test_membership_search.py
@@ -125,11 +125,11 @@
     def send(process: object, action: SendDatagram) -> None:
         fate = left.pop(0) if left else "comes"
         if fate == "late":
-            simulation._later(simulation.now + 700_000, send_datagram, process, action)
+            simulation._schedule(simulation.now + 700_000, send_datagram, process, action)
         elif fate != "lost":
             send_datagram(process, action)
             if fate == "twice":
-                simulation._later(simulation.now + 50_000, send_datagram, process, action)
+                simulation._schedule(simulation.now + 50_000, send_datagram, process, action)
 
     simulation._send_datagram = send
     if fault == "crash":
