--- a/tests/faults/run.py
+++ b/tests/faults/run.py
@@ -234,8 +234,8 @@
         server = self.servers[restart.server]
         if server.leaving:
             return
+        born = time.time()  # before its new process accepts anything
         await server.restart()
-        born = time.time()
         await trio.sleep(restart.notice)
         if server.leaving:
             return
